--- a/Duties/Leases/GuardedConnection.cpp
+++ b/Duties/Leases/GuardedConnection.cpp
@@ -17,16 +17,16 @@
 
 using namespace std::chrono_literals;
 
-/** Kept for this module: no other part of the programs uses it. */
+/** Real-time signal reserved for this module. */
 int
 GuardSignal()
 {
   return SIGRTMIN + 3;
 }
 
-/** Runs in the sending thread at the lease's end. Both calls are safe in a
- * signal handler. The shutdown makes every later send fail; connecting to
- * AF_UNSPEC aborts the connection, which drops bytes not yet sent. */
+/** Signal handler that runs in the sending thread when the lease expires. Both
+ * calls are async-signal-safe. The shutdown makes every later send fail;
+ * connecting to AF_UNSPEC aborts the connection and drops unsent bytes. */
 void
 AbortConnection(int, siginfo_t* aInfo, void*)
 {
@@ -51,10 +51,10 @@
     sigemptyset(&action.sa_mask);
     sigaction(GuardSignal(), &action, nullptr);
   });
-  sigset_t own;
-  sigemptyset(&own);
-  sigaddset(&own, GuardSignal());
-  pthread_sigmask(SIG_UNBLOCK, &own, nullptr);
+  sigset_t signals;
+  sigemptyset(&signals);
+  sigaddset(&signals, GuardSignal());
+  pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
 timespec
@@ -70,7 +70,7 @@
 }
 
 void
-SetTimeouts(int aSocket, milliseconds aTimeout, milliseconds aRest)
+SetTimeouts(int aSocket, milliseconds aTimeout, milliseconds aRemaining)
 {
   timeval wait{};
   wait.tv_sec = aTimeout.count() / 1000;
@@ -78,7 +78,7 @@
   setsockopt(aSocket, SOL_SOCKET, SO_SNDTIMEO, &wait, sizeof(wait));
   setsockopt(aSocket, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
   const auto unacknowledged =
-    static_cast<unsigned>(std::min(aTimeout, aRest).count());
+    static_cast<unsigned>(std::min(aTimeout, aRemaining).count());
   setsockopt(aSocket,
              IPPROTO_TCP,
              TCP_USER_TIMEOUT,
@@ -86,7 +86,7 @@
              sizeof(unacknowledged));
   const int yes = 1;
   setsockopt(aSocket, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
-  // The close at the end drops what hasn't been sent.
+  // close() resets the connection and drops unsent bytes.
   const linger abortive{ 1, 0 };
   setsockopt(aSocket, SOL_SOCKET, SO_LINGER, &abortive, sizeof(abortive));
 }
@@ -101,17 +101,17 @@
 
 guarded_connection::~guarded_connection()
 {
-  // The timer goes first: its handler must not meet the number of a closed
-  // socket, which another thread may have got meanwhile. A signal already on
-  // its way comes before timer_delete returns to this thread.
-  if (mIsArmed) {
+  // The timer is deleted before the socket is closed: another thread may reuse
+  // the descriptor, which the signal handler must not abort. A signal that is
+  // already pending is delivered before timer_delete returns to this thread.
+  if (mIsTimerArmed) {
     timer_delete(mTimer);
   }
   close(mSocket);
 }
 
 bool
-guarded_connection::Arm()
+guarded_connection::ArmTimer()
 {
   InstallHandler();
   sigevent event{};
@@ -122,7 +122,7 @@
   if (timer_create(CLOCK_BOOTTIME, &event, &mTimer) != 0) {
     return false;
   }
-  mIsArmed = true;
+  mIsTimerArmed = true;
   itimerspec when{};
   when.it_value = ToTimespec(mLeaseEnd);
   return timer_settime(mTimer, TIMER_ABSTIME, &when, nullptr) == 0;
@@ -131,19 +131,19 @@
 bool
 guarded_connection::Connect(const http::endpoint& aTo, milliseconds aTimeout)
 {
-  const auto rest =
+  const auto remaining =
     std::chrono::duration_cast<milliseconds>(mLeaseEnd - boot_clock::now());
-  if (rest <= 1ms) {
+  if (remaining <= 1ms) {
     return false;
   }
-  SetTimeouts(mSocket, aTimeout, rest - 1ms);
+  SetTimeouts(mSocket, aTimeout, remaining - 1ms);
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(aTo.mPort);
   if (inet_pton(AF_INET, aTo.mAddress.c_str(), &address.sin_addr) != 1) {
     return false;
   }
-  // Linux bounds connect by SO_SNDTIMEO too.
+  // Linux applies SO_SNDTIMEO to connect() as well.
   return connect(mSocket,
                  reinterpret_cast<const sockaddr*>(&address),
                  sizeof(address)) == 0;
@@ -154,17 +154,18 @@
                          time_point aLeaseEnd,
                          milliseconds aTimeout)
 {
-  using opened = std::unique_ptr<guarded_connection>;
+  using connection_pointer = std::unique_ptr<guarded_connection>;
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (socket < 0) {
-    return Fail<opened>("no socket");
+    return Fail<connection_pointer>("cannot create a TCP socket");
   }
-  opened connection(new guarded_connection(socket, aLeaseEnd));
-  if (!connection->Arm()) {
-    return Fail<opened>("no timer");
+  connection_pointer connection(new guarded_connection(socket, aLeaseEnd));
+  if (!connection->ArmTimer()) {
+    return Fail<connection_pointer>(
+      "cannot arm the timer for the lease's expiry");
   }
   if (!connection->Connect(aTo, aTimeout)) {
-    return Fail<opened>("no connection");
+    return Fail<connection_pointer>("cannot connect, or the lease has expired");
   }
   return Succeed(std::move(connection));
 }
@@ -173,7 +174,7 @@
 guarded_connection::Send(std::string_view aBytes)
 {
   while (!aBytes.empty()) {
-    // A connection that the handler aborted refuses here.
+    // Fails once the signal handler has aborted the connection.
     const auto sent = send(mSocket, aBytes.data(), aBytes.size(), MSG_NOSIGNAL);
     if (sent < 0 && errno == EINTR) {
       continue;
@@ -190,11 +191,11 @@
 guarded_connection::Receive(std::string& aBytes)
 {
   char buffer[4096];
-  const auto got = recv(mSocket, buffer, sizeof(buffer), 0);
-  if (got <= 0) {
+  const auto received = recv(mSocket, buffer, sizeof(buffer), 0);
+  if (received <= 0) {
     return false;
   }
-  aBytes.append(buffer, static_cast<std::size_t>(got));
+  aBytes.append(buffer, static_cast<std::size_t>(received));
   return true;
 }
 
--- a/Duties/Leases/GuardedPost.cpp
+++ b/Duties/Leases/GuardedPost.cpp
@@ -6,7 +6,7 @@
 namespace lavender::leases {
 namespace {
 
-constexpr std::size_t kMaximumAnswer = 64 * 1024;
+constexpr std::size_t kMaximumResponse = 64 * 1024;
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
 std::string
@@ -22,7 +22,7 @@
          "Connection: close\r\n\r\n" + aBody;
 }
 
-/** Length that the head announces; none when it doesn't. */
+/** Value of Content-Length; none when the header is missing. */
 std::optional<std::size_t>
 ContentLength(std::string aHead)
 {
@@ -37,21 +37,21 @@
   return std::strtoull(aHead.c_str() + found + kName.size(), nullptr, 10);
 }
 
-/** The whole answer; none when it was cut short. */
+/** Reads the response; none when it is truncated, too large or malformed. */
 std::optional<http::response>
-ReadAnswer(guarded_connection& aConnection)
+ReadResponse(guarded_connection& aConnection)
 {
   std::string bytes;
   std::size_t headEnd = std::string::npos;
   while (headEnd == std::string::npos) {
-    if (bytes.size() > kMaximumAnswer || !aConnection.Receive(bytes)) {
+    if (bytes.size() > kMaximumResponse || !aConnection.Receive(bytes)) {
       return std::nullopt;
     }
     headEnd = bytes.find(kHeadEnd);
   }
   const auto head = bytes.substr(0, headEnd);
   const auto length = ContentLength(head);
-  if (!length || *length > kMaximumAnswer || head.rfind("HTTP/1.", 0) != 0) {
+  if (!length || *length > kMaximumResponse || head.rfind("HTTP/1.", 0) != 0) {
     return std::nullopt;
   }
   const auto bodyStart = headEnd + kHeadEnd.size();
@@ -60,11 +60,11 @@
       return std::nullopt;
     }
   }
-  http::response answer;
+  http::response received;
   const auto space = head.find(' ');
-  answer.mStatus = std::atoi(head.c_str() + space + 1);
-  answer.mBody = bytes.substr(bodyStart, *length);
-  return answer;
+  received.mStatus = std::atoi(head.c_str() + space + 1);
+  received.mBody = bytes.substr(bodyStart, *length);
+  return received;
 }
 
 } // namespace
@@ -84,16 +84,17 @@
   }
   outcome.mState = http::call_state::Unknown;
   if (!(*connection)->Send(WriteRequest(aClient, aPath, json::Write(aBody)))) {
-    outcome.mLastReason = "sending was cut off";
+    outcome.mLastReason = "the connection failed while the request was sent";
     return outcome;
   }
-  auto answer = ReadAnswer(**connection);
-  if (!answer) {
-    outcome.mLastReason = "no whole answer";
+  auto received = ReadResponse(**connection);
+  if (!received) {
+    outcome.mLastReason =
+      "no complete response with a Content-Length up to 64 KB";
     return outcome;
   }
   outcome.mState = http::call_state::Answered;
-  outcome.mResponse = std::move(*answer);
+  outcome.mResponse = std::move(*received);
   if (aClient.mMetrics) {
     aClient.mMetrics->Count(
       "lavender_platform_calls_total",
--- a/Duties/Leases/GuardedPost.h
+++ b/Duties/Leases/GuardedPost.h
@@ -8,13 +8,13 @@
 namespace lavender::leases {
 
 /** Posts a document to one of the platform's interfaces under a lease: no byte
- * leaves after the lease's end, also when this process is paused.
+ * is sent after the lease has expired, even when this process is paused.
  *
- * The one HTTP client that isn't the library's: cxxtools doesn't show its
- * socket, and the guard has to shut exactly that. So this writes a bounded
- * minimal HTTP/1.1 POST on a guarded_connection of its own; it takes no
- * redirect, no chunked answer and none over 64 KB. The state tells as
- * http::Call's does whether the document may have arrived. */
+ * This doesn't use the HTTP library's client, because cxxtools doesn't expose
+ * the socket that guarded_connection has to abort. It writes a minimal HTTP/1.1
+ * POST on a connection of its own and accepts no redirect, no chunked response
+ * and no response over 64 KB. As with http::Call, the state of the result says
+ * whether the document may have arrived. */
 http::call_result
 PostUnderLease(const platform::client& aClient,
                const std::string& aPath,
--- a/Duties/Leases/HeldLease.h
+++ b/Duties/Leases/HeldLease.h
@@ -7,21 +7,23 @@
 #include <optional>
 #include <string>
 
-/** Which process is in charge of a duty that must have one. */
+/** Leases, which let at most one process at a time do a certain task. */
 namespace lavender::leases {
 
-/** A lease that this process holds now. */
+/** A lease that this process currently holds. */
 struct held_lease
 {
   std::string mName;
-  /** Grows with each holder; goes into every order given under the lease. */
+  /** Fencing number: grows with each holder and is sent with every order issued
+   * under the lease. */
   std::int64_t mFencing = 0;
-  /** Counted from before the request that won or renewed it left. */
+  /** Counted from just before the request that acquired or renewed the lease
+   * was sent. */
   time_point mExpiresAt;
 };
 
-/** Asks for the lease of that name; none while another process holds it. What
- * duties use, so that their tests need no store. */
+/** Requests the lease of that name; none while this process doesn't hold it.
+ * A function type, so that tests need no object store. */
 using lease_source =
   std::function<std::optional<held_lease>(const std::string&)>;
 
--- a/Duties/Leases/Lease.cpp
+++ b/Duties/Leases/Lease.cpp
@@ -7,11 +7,12 @@
 
 using namespace std::chrono_literals;
 
-/** Candidates beyond these read the more rarely the further they are: with
- * hundreds of entries the reads of all would exceed the Object API's rate. */
-constexpr std::size_t kCloseCandidates = 3;
-/** A lease is renewed after this part of its duration. */
-constexpr int kRenewPart = 3;
+/** Candidates from this rank on read less often the higher their rank is: with
+ * hundreds of entries, frequent reads by all of them would exceed the Object
+ * API's rate limit. */
+constexpr std::size_t kFrequentReaders = 3;
+/** A lease is renewed after its duration divided by this. */
+constexpr int kRenewalDivisor = 3;
 
 void
 Observe(lease_state& aState,
@@ -23,11 +24,11 @@
   if (aState.mRevision && aRevision != 0 && aRevision < *aState.mRevision) {
     return;
   }
-  aState.mCheckedAt = aNow;
+  aState.mLastSeenAt = aNow;
   if (!aState.mRevision || *aState.mRevision != aRevision) {
     aState.mRevision = aRevision;
     aState.mRecord = aRecord;
-    aState.mSeenAt = aNow;
+    aState.mFirstSeenAt = aNow;
   }
   if (aState.mRecord.mHolder != aSelf.mIncarnation ||
       aState.mRecord.mIsReleased) {
@@ -36,45 +37,47 @@
 }
 
 void
-Adopt(lease_state& aState,
-      std::int64_t aRevision,
-      const lease_settings& aSettings,
-      time_point aNow)
+ApplyPendingWrite(lease_state& aState,
+                  std::int64_t aRevision,
+                  const lease_settings& aSettings,
+                  time_point aNow)
 {
   const auto& pending = *aState.mPending;
   aState.mRevision = aRevision;
   aState.mRecord = pending.mRecord;
-  aState.mSeenAt = aNow;
+  aState.mFirstSeenAt = aNow;
   if (pending.mRecord.mIsReleased) {
     aState.mHeld.reset();
   } else {
     aState.mHeld = held_lease{ aState.mName,
                                pending.mRecord.mFencing,
                                pending.mSentAt + pending.mRecord.mDuration };
-    aState.mNextAt = pending.mSentAt + aSettings.mDuration / kRenewPart;
+    aState.mNextStepAt =
+      pending.mSentAt + aSettings.mDuration / kRenewalDivisor;
   }
   aState.mPending.reset();
 }
 
 milliseconds
-LateBytesWait(const lease_settings& aSettings)
+TransitWait(const lease_settings& aSettings)
 {
-  return aSettings.mLateBytes + aSettings.mLateBytes / aSettings.mDriftPart +
+  return aSettings.mLateBytes + aSettings.mLateBytes / aSettings.mDriftDivisor +
          1ms;
 }
 
-/** When a lease that another process holds, or nobody, may be taken. */
+/** When this process may acquire a lease that it doesn't hold. */
 time_point
-FreeAt(const lease_state& aState,
-       const candidate& aSelf,
-       const lease_settings& aSettings)
+AvailableAt(const lease_state& aState,
+            const candidate& aSelf,
+            const lease_settings& aSettings)
 {
-  const auto rank = std::min(aSelf.mRank, kCloseCandidates);
+  const auto rank = std::min(aSelf.mRank, kFrequentReaders);
   const auto handicap = aSettings.mHandicap * static_cast<int>(rank);
   if (*aState.mRevision == 0 || aState.mRecord.mIsReleased) {
-    return aState.mSeenAt + handicap;
+    return aState.mFirstSeenAt + handicap;
   }
-  return aState.mSeenAt + TakeoverWait(aState.mRecord, aSettings) + handicap;
+  return aState.mFirstSeenAt + TakeoverWait(aState.mRecord, aSettings) +
+         handicap;
 }
 
 lease_step
@@ -121,17 +124,17 @@
 milliseconds
 TakeoverWait(const lease_record& aRecord, const lease_settings& aSettings)
 {
-  // The holder's own duration counts: it may run with other settings.
+  // The holder may run with a longer duration than this process.
   const auto duration = std::max(aRecord.mDuration, aSettings.mDuration);
   const auto wait = duration + aSettings.mLateBytes;
-  return wait + wait / aSettings.mDriftPart + 1ms;
+  return wait + wait / aSettings.mDriftDivisor + 1ms;
 }
 
 milliseconds
-ReadEvery(std::size_t aRank, const lease_settings& aSettings)
+ReadInterval(std::size_t aRank, const lease_settings& aSettings)
 {
   const auto ordinal = static_cast<int>(aRank + 1);
-  return aRank >= kCloseCandidates ? aSettings.mDuration * ordinal
+  return aRank >= kFrequentReaders ? aSettings.mDuration * ordinal
                                    : aSettings.mDuration / 6 * ordinal;
 }
 
@@ -143,7 +146,7 @@
        time_point aNow)
 {
   lease_step step;
-  if (aNow < aState.mNextAt) {
+  if (aNow < aState.mNextStepAt) {
     return step;
   }
   if (!aState.mRevision || aState.mPending) {
@@ -153,14 +156,15 @@
   const auto& record = aState.mRecord;
   if (*aState.mRevision != 0 && !record.mIsReleased &&
       record.mHolder == aSelf.mIncarnation) {
-    // Nobody else wrote since, so the lease can go on; but after a lapse as a
-    // new one, since work under the old number was broken off.
+    // No other process has written since, so this process can renew. After an
+    // expiry it needs a new fencing number, because work under the old one was
+    // aborted.
     const auto held = HeldAt(aState, aNow);
     const bool isSame = held && held->mFencing == record.mFencing;
     if (!held && aState.mHeld &&
-        aNow < aState.mHeld->mExpiresAt + LateBytesWait(aSettings)) {
-      // Own bytes sent just before the lapse may still arrive, and must not do
-      // so after those sent under the new number.
+        aNow < aState.mHeld->mExpiresAt + TransitWait(aSettings)) {
+      // Bytes sent under the old number may still be in transit and must not
+      // arrive after bytes sent under the new one.
       return step;
     }
     return MakeWrite(aState,
@@ -169,10 +173,11 @@
                      aNonce,
                      isSame ? record.mFencing : record.mFencing + 1);
   }
-  const auto freeAt = FreeAt(aState, aSelf, aSettings);
-  // Only what an answer still showed after that moment is worth a write: a
-  // candidate that reads rarely would otherwise write in vain each time.
-  if (aNow >= freeAt && aState.mCheckedAt >= freeAt) {
+  const auto availableAt = AvailableAt(aState, aSelf, aSettings);
+  // Writes only when a response received after that time still contained the
+  // revision: a candidate that reads rarely would otherwise use a stale
+  // revision and cause a conflict each time.
+  if (aNow >= availableAt && aState.mLastSeenAt >= availableAt) {
     return MakeWrite(aState, aSelf, aSettings, aNonce, record.mFencing + 1);
   }
   step.mAction = lease_action::Read;
@@ -197,14 +202,15 @@
   }
   switch (aWritten.mState) {
     case platform::write_state::Done:
-      Adopt(aState, aWritten.mRevision, aSettings, aNow);
+      ApplyPendingWrite(aState, aWritten.mRevision, aSettings, aNow);
       return;
     case platform::write_state::Conflict:
       if (aWritten.mCurrent) {
         const auto current = ParseRecord(aWritten.mCurrent->mValue);
         if (current.mNonce == aState.mPending->mRecord.mNonce) {
-          // The write was carried out twice, and the first one counted.
-          Adopt(aState, aWritten.mCurrent->mRevision, aSettings, aNow);
+          // The write was executed twice and the first execution succeeded.
+          ApplyPendingWrite(
+            aState, aWritten.mCurrent->mRevision, aSettings, aNow);
           return;
         }
         Observe(aState, aWritten.mCurrent->mRevision, current, aSelf, aNow);
@@ -213,15 +219,15 @@
         aState.mHeld.reset();
       }
       aState.mPending.reset();
-      aState.mNextAt = aNow + aSettings.mRetryEvery;
+      aState.mNextStepAt = aNow + aSettings.mRetryInterval;
       return;
     case platform::write_state::Refused:
       aState.mPending.reset();
-      aState.mNextAt = aNow + aSettings.mRetryEvery;
+      aState.mNextStepAt = aNow + aSettings.mRetryInterval;
       return;
     case platform::write_state::Unknown:
-      // Stays pending: the next step reads back.
-      aState.mNextAt = aNow;
+      // The write stays pending; the next step reads the object.
+      aState.mNextStepAt = aNow;
       return;
   }
 }
@@ -234,7 +240,7 @@
          time_point aNow)
 {
   if (aRead.mState == platform::read_state::Failed) {
-    aState.mNextAt = aNow + aSettings.mRetryEvery;
+    aState.mNextStepAt = aNow + aSettings.mRetryInterval;
     return;
   }
   const bool isFound = aRead.mState == platform::read_state::Found;
@@ -243,19 +249,19 @@
   const auto revision = isFound ? aRead.mObject.mRevision : 0;
   if (aState.mPending && isFound &&
       record.mNonce == aState.mPending->mRecord.mNonce) {
-    Adopt(aState, revision, aSettings, aNow);
+    ApplyPendingWrite(aState, revision, aSettings, aNow);
     return;
   }
-  // A write that didn't take effect yet may still do so; its condition keeps
-  // it from undoing anybody else's, and a later answer shows it.
+  // The pending write may still take effect later. Its condition prevents it
+  // from overwriting another process's write, and a later read reveals it.
   aState.mPending.reset();
   Observe(aState, revision, record, aSelf, aNow);
-  aState.mNextAt = aNow;
+  aState.mNextStepAt = aNow;
   if (record.mHolder != aSelf.mIncarnation || record.mIsReleased) {
-    const auto freeAt = FreeAt(aState, aSelf, aSettings);
-    aState.mNextAt = aNow + ReadEvery(aSelf.mRank, aSettings);
-    if (aSelf.mRank < kCloseCandidates || freeAt <= aNow) {
-      aState.mNextAt = std::clamp(freeAt, aNow, aState.mNextAt);
+    const auto availableAt = AvailableAt(aState, aSelf, aSettings);
+    aState.mNextStepAt = aNow + ReadInterval(aSelf.mRank, aSettings);
+    if (aSelf.mRank < kFrequentReaders || availableAt <= aNow) {
+      aState.mNextStepAt = std::clamp(availableAt, aNow, aState.mNextStepAt);
     }
   }
 }
--- a/Duties/Leases/Lease.h
+++ b/Duties/Leases/Lease.h
@@ -8,36 +8,38 @@
 #include <optional>
 #include <string>
 
-/** The decisions of a lease, without I/O: when to read, write and believe.
+/** Lease protocol without I/O: when to read and write the lease's object, and
+ * when a process may consider itself the holder.
  *
- * Why at most one process believes: a holder counts its time from before its
- * write left, so its belief ends no later than the write's effect plus the
- * duration. A successor has seen that same revision stand unchanged for longer
- * than this by its own clock, and its own write is conditional on it. No clock
- * of one process is compared with another's. */
+ * Mutual exclusion: a holder counts the duration from before it sent its write,
+ * so it stops acting no later than the write's effect plus the duration. A
+ * successor takes over only after its own clock has shown the same revision
+ * unchanged for longer than that, and its write is conditional on that
+ * revision. Clocks of different processes are never compared. */
 namespace lavender::leases {
 
-/** Times of all leases; the same in all processes. */
+/** Timing of all leases. All processes must use the same values. */
 struct lease_settings
 {
   milliseconds mDuration{ 9000 };
-  /** Within this a byte sent before a lease's end has arrived or is lost. A
-   * successor waits it out on top of the duration. */
+  /** Longest time in transit: a byte sent before the lease expired has arrived
+   * or is lost after this. A successor waits this long after the duration. */
   milliseconds mLateBytes{ 3000 };
-  /** How far the rates of two processes' clocks may differ: one part in this
-   * many. */
-  std::int64_t mDriftPart = 64;
-  /** How long after a failed call the next one is made. */
-  milliseconds mRetryEvery{ 300 };
-  /** How much longer each less preferred candidate waits. */
+  /** Largest difference between the rates of two processes' clocks: one part in
+   * this many. */
+  std::int64_t mDriftDivisor = 64;
+  /** Delay between a failed call and the next one. */
+  milliseconds mRetryInterval{ 300 };
+  /** Additional delay of a candidate for each candidate preferred to it. */
   milliseconds mHandicap{ 1500 };
 };
 
-/** What the Object API holds of a lease, kind "Lease". */
+/** State of a lease as stored in the Object API under the kind "Lease". */
 struct lease_record
 {
   std::string mHolder;
-  /** New with each write, so that a lost answer can be settled. */
+  /** Unique for each write. After a lost response, a read compares the nonce to
+   * find out whether the write took effect. */
   std::string mNonce;
   std::int64_t mFencing = 0;
   milliseconds mDuration{ 0 };
@@ -49,31 +51,34 @@
 lease_record
 ParseRecord(const json::value& aValue);
 
-/** A write whose outcome isn't known yet. */
+/** A write whose outcome is still unknown. */
 struct pending_write
 {
   lease_record mRecord;
-  /** Before the request left. */
+  /** Taken just before the request was sent. */
   time_point mSentAt;
 };
 
-/** What one process knows of one lease. */
+/** What one process knows about one lease. */
 struct lease_state
 {
   std::string mName;
-  /** Revision last seen; none before the first answer, 0 for absent. */
+  /** Last observed revision; none before the first response, 0 when the object
+   * doesn't exist. */
   std::optional<std::int64_t> mRevision;
   lease_record mRecord;
-  /** When an answer first showed that revision. */
-  time_point mSeenAt;
-  /** When an answer last showed it. */
-  time_point mCheckedAt;
+  /** When a response first contained that revision. */
+  time_point mFirstSeenAt;
+  /** When a response last contained that revision. */
+  time_point mLastSeenAt;
   std::optional<pending_write> mPending;
   std::optional<held_lease> mHeld;
-  time_point mNextAt;
+  /** No step is taken before this. */
+  time_point mNextStepAt;
 };
 
-/** The process that asks, and how many others are preferred to it. */
+/** A process that competes for a lease, and how many others are preferred to
+ * it. */
 struct candidate
 {
   std::string mIncarnation;
@@ -90,13 +95,14 @@
 struct lease_step
 {
   lease_action mAction = lease_action::Wait;
-  /** For Write: the condition and the value. */
+  /** Write only: the revision that the stored object must have. */
   std::int64_t mExpected = 0;
+  /** Write only: the value to store. */
   lease_record mRecord;
 };
 
-/** Next step at that time.
- * @param aNonce fresh nonce, used when the step is a write */
+/** Decides the next step.
+ * @param aNonce unused nonce for the case that the step is a write */
 lease_step
 Decide(const lease_state& aState,
        const candidate& aSelf,
@@ -104,11 +110,11 @@
        const std::string& aNonce,
        time_point aNow);
 
-/** Notes a write that is about to leave. */
+/** Records a write that is about to be sent. */
 void
 BeginWrite(lease_state& aState, const lease_record& aRecord, time_point aNow);
 
-/** Takes the answer to the pending write, or its loss. */
+/** Processes the response to the pending write, or its absence. */
 void
 TakeWrite(lease_state& aState,
           const platform::write_result& aWritten,
@@ -116,7 +122,7 @@
           const lease_settings& aSettings,
           time_point aNow);
 
-/** Takes the answer to a read, or its loss. */
+/** Processes the response to a read, or its absence. */
 void
 TakeRead(lease_state& aState,
          const platform::read_result& aRead,
@@ -124,21 +130,23 @@
          const lease_settings& aSettings,
          time_point aNow);
 
-/** The lease, while this process may act under it. */
+/** Returns the lease while this process may act under it. */
 std::optional<held_lease>
 HeldAt(const lease_state& aState, time_point aNow);
 
-/** Ends the belief and gives the write that lets a successor in at once; none
- * when the lease isn't held. */
+/** Stops holding the lease. Returns the write that lets a successor acquire the
+ * lease without waiting; none when the lease isn't held or a write is pending.
+ */
 std::optional<lease_step>
 Release(lease_state& aState, const std::string& aNonce, time_point aNow);
 
-/** How long a successor sees one revision unchanged before it takes over. */
+/** How long a revision must be unchanged before a successor may take over. */
 milliseconds
 TakeoverWait(const lease_record& aRecord, const lease_settings& aSettings);
 
-/** How often a candidate of that rank reads a lease that another holds. */
+/** Interval at which a candidate of that rank reads a lease that another
+ * process holds. */
 milliseconds
-ReadEvery(std::size_t aRank, const lease_settings& aSettings);
+ReadInterval(std::size_t aRank, const lease_settings& aSettings);
 
 } // namespace lavender::leases
--- a/Duties/Leases/LeaseKeeper.cpp
+++ b/Duties/Leases/LeaseKeeper.cpp
@@ -12,14 +12,14 @@
 using namespace std::chrono_literals;
 
 constexpr char kKind[] = "Lease";
-/** Longest sleep between two looks at the clock. */
-constexpr milliseconds kLongestSleep = 200ms;
+/** Upper limit of one sleep, so that changes are noticed soon. */
+constexpr milliseconds kMaximumSleep = 200ms;
 
 } // namespace
 
 lease_keeper::lease_keeper(keeper_options aOptions)
   : mOptions([&] {
-    // A call that outlasts a part of the lease leaves no time for a retry.
+    // A longer call would leave no time to retry before the lease expires.
     aOptions.mPlatform.mTimeout =
       std::min(aOptions.mPlatform.mTimeout, aOptions.mSettings.mDuration / 4);
     return std::move(aOptions);
@@ -39,18 +39,18 @@
   if (mIsStopping) {
     return;
   }
-  auto& kept = mLeases[aName];
-  if (!kept) {
-    kept = std::make_unique<kept_lease>();
-    kept->mState.mName = aName;
-    kept->mThread = std::thread([this, &lease = *kept] { Run(lease); });
+  auto& managed = mLeases[aName];
+  if (!managed) {
+    managed = std::make_unique<managed_lease>();
+    managed->mState.mName = aName;
+    managed->mThread = std::thread([this, &lease = *managed] { Run(lease); });
   }
-  kept->mIsWanted = true;
+  managed->mIsWanted = true;
   mChanged.notify_all();
 }
 
 void
-lease_keeper::Unwant(const std::string& aName)
+lease_keeper::StopAcquiring(const std::string& aName)
 {
   std::lock_guard lock(mMutex);
   if (const auto found = mLeases.find(aName); found != mLeases.end()) {
@@ -64,7 +64,7 @@
 {
   std::lock_guard lock(mMutex);
   if (const auto found = mLeases.find(aName); found != mLeases.end()) {
-    found->second->mMayRelease = false;
+    found->second->mReleasesOnStop = false;
   }
 }
 
@@ -104,7 +104,7 @@
 }
 
 candidate
-lease_keeper::Self(const std::string& aLease) const
+lease_keeper::MakeCandidate(const std::string& aLease) const
 {
   const auto entries =
     mOptions.mEntries ? mOptions.mEntries() : std::vector<std::string>();
@@ -112,37 +112,38 @@
 }
 
 void
-lease_keeper::Run(kept_lease& aLease)
+lease_keeper::Run(managed_lease& aLease)
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
     if (aLease.mIsWanted) {
-      Step(aLease, lock);
+      RunStep(aLease, lock);
     } else {
-      GiveUp(aLease, lock);
+      ReleaseIfHeld(aLease, lock);
     }
-    ShowState(aLease);
+    UpdateMetrics(aLease);
     const auto now = boot_clock::now();
-    const auto sleep = aLease.mIsWanted
-                         ? std::clamp<boot_clock::duration>(
-                             aLease.mState.mNextAt - now, 1ms, kLongestSleep)
-                         : boot_clock::duration(kLongestSleep);
+    const auto sleep =
+      aLease.mIsWanted ? std::clamp<boot_clock::duration>(
+                           aLease.mState.mNextStepAt - now, 1ms, kMaximumSleep)
+                       : boot_clock::duration(kMaximumSleep);
     mChanged.wait_for(lock, sleep, [this] { return mIsStopping; });
   }
-  GiveUp(aLease, lock);
+  ReleaseIfHeld(aLease, lock);
 }
 
 void
-lease_keeper::Step(kept_lease& aLease, std::unique_lock<std::mutex>& aLock)
+lease_keeper::RunStep(managed_lease& aLease,
+                      std::unique_lock<std::mutex>& aLock)
 {
   auto& state = aLease.mState;
   aLock.unlock();
-  const auto self = Self(state.mName);
+  const auto self = MakeCandidate(state.mName);
   aLock.lock();
   const auto step = Decide(
     state, self, mOptions.mSettings, MakeRandomName(), boot_clock::now());
   if (step.mAction == lease_action::Write) {
-    WriteOut(aLease, step, aLock);
+    SendWrite(aLease, step, aLock);
   } else if (step.mAction == lease_action::Read) {
     aLock.unlock();
     const auto read = platform::Read(mOptions.mPlatform, kKind, state.mName);
@@ -152,9 +153,9 @@
 }
 
 void
-lease_keeper::WriteOut(kept_lease& aLease,
-                       const lease_step& aStep,
-                       std::unique_lock<std::mutex>& aLock)
+lease_keeper::SendWrite(managed_lease& aLease,
+                        const lease_step& aStep,
+                        std::unique_lock<std::mutex>& aLock)
 {
   auto& state = aLease.mState;
   const auto wasHeld = HeldAt(state, boot_clock::now());
@@ -175,27 +176,28 @@
   if (isHeld && (!wasHeld || wasHeld->mFencing != isHeld->mFencing)) {
     Log(log_level::Info,
         "leases",
-        "Holds lease=" + state.mName +
+        "Acquired lease=" + state.mName +
           " fencing=" + std::to_string(isHeld->mFencing));
   }
 }
 
 void
-lease_keeper::GiveUp(kept_lease& aLease, std::unique_lock<std::mutex>& aLock)
+lease_keeper::ReleaseIfHeld(managed_lease& aLease,
+                            std::unique_lock<std::mutex>& aLock)
 {
-  if (!aLease.mMayRelease) {
+  if (!aLease.mReleasesOnStop) {
     aLease.mState.mHeld.reset();
     return;
   }
   if (const auto step =
         Release(aLease.mState, MakeRandomName(), boot_clock::now())) {
-    WriteOut(aLease, *step, aLock);
+    SendWrite(aLease, *step, aLock);
     Log(log_level::Info, "leases", "Released lease=" + aLease.mState.mName);
   }
 }
 
 void
-lease_keeper::ShowState(const kept_lease& aLease) const
+lease_keeper::UpdateMetrics(const managed_lease& aLease) const
 {
   if (mOptions.mMetrics) {
     const auto held = HeldAt(aLease.mState, boot_clock::now());
--- a/Duties/Leases/LeaseKeeper.h
+++ b/Duties/Leases/LeaseKeeper.h
@@ -17,17 +17,17 @@
 struct keeper_options
 {
   platform::client mPlatform;
-  /** Name of this entry in the platform's list. */
+  /** Name of this entry in the platform's instance list. */
   std::string mName;
   std::string mIncarnation;
   lease_settings mSettings;
-  /** Names of live entries. */
+  /** Returns the names of live entries. */
   std::function<std::vector<std::string>()> mEntries;
   metrics::registry* mMetrics = nullptr;
 };
 
-/** Wins and renews the leases that this process asks for, with a thread for
- * each, so that a slow answer about one delays no other. */
+/** Acquires and renews the leases that this process requests. Each lease has a
+ * thread, so that a slow response for one lease doesn't delay another. */
 class lease_keeper
 {
 public:
@@ -36,44 +36,47 @@
   lease_keeper(const lease_keeper&) = delete;
   lease_keeper& operator=(const lease_keeper&) = delete;
 
-  /** From now on tries to hold that lease. */
+  /** Starts to acquire that lease and to renew it once held. */
   void Want(const std::string& aName);
-  /** Gives the lease up, when held, and no longer tries. */
-  void Unwant(const std::string& aName);
-  /** At Stop, doesn't release that lease: something sent under it may still be
-   * on its way, which a successor has to wait out. */
+  /** Stops acquiring that lease, and releases it when it is held. */
+  void StopAcquiring(const std::string& aName);
+  /** Makes Stop leave that lease to expire instead of releasing it, because a
+   * request sent under the lease may still be in transit and a successor has to
+   * wait for it. */
   void LetExpire(const std::string& aName);
-  /** The lease, while this process holds it. Never waits for the store. */
+  /** Returns the lease while this process holds it. Never blocks on the object
+   * store. */
   std::optional<held_lease> Held(const std::string& aName) const;
-  /** The same for duties that take a lease_source: asks on first use. */
+  /** Returns a lease_source that starts to acquire a lease on its first use. */
   lease_source Source();
-  /** Releases all leases, so that successors need not wait, and ends. Call it
-   * after the duties have stopped acting. */
+  /** Releases all leases, so that successors needn't wait, and joins the
+   * threads. Must be called after all work under the leases has stopped. */
   void Stop();
 
 private:
-  struct kept_lease
+  struct managed_lease
   {
     lease_state mState;
     bool mIsWanted = true;
-    bool mMayRelease = true;
+    bool mReleasesOnStop = true;
     std::thread mThread;
   };
 
-  void Run(kept_lease& aLease);
-  void Step(kept_lease& aLease, std::unique_lock<std::mutex>& aLock);
-  void WriteOut(kept_lease& aLease,
-                const lease_step& aStep,
-                std::unique_lock<std::mutex>& aLock);
-  void GiveUp(kept_lease& aLease, std::unique_lock<std::mutex>& aLock);
-  candidate Self(const std::string& aLease) const;
-  void ShowState(const kept_lease& aLease) const;
+  void Run(managed_lease& aLease);
+  void RunStep(managed_lease& aLease, std::unique_lock<std::mutex>& aLock);
+  void SendWrite(managed_lease& aLease,
+                 const lease_step& aStep,
+                 std::unique_lock<std::mutex>& aLock);
+  void ReleaseIfHeld(managed_lease& aLease,
+                     std::unique_lock<std::mutex>& aLock);
+  candidate MakeCandidate(const std::string& aLease) const;
+  void UpdateMetrics(const managed_lease& aLease) const;
 
   const keeper_options mOptions;
   mutable std::mutex mMutex;
   std::condition_variable mChanged;
   bool mIsStopping = false;
-  std::map<std::string, std::unique_ptr<kept_lease>> mLeases;
+  std::map<std::string, std::unique_ptr<managed_lease>> mLeases;
 };
 
 } // namespace lavender::leases
--- a/Duties/Leases/Preference.h
+++ b/Duties/Leases/Preference.h
@@ -6,9 +6,10 @@
 
 namespace lavender::leases {
 
-/** How many entries are preferred to this one for a lease, by rendezvous
- * hashing: each lease prefers another entry, all entries agree without talking,
- * and an entry that goes moves only its own leases.
+/** Returns how many entries are preferred to this one for a lease, by
+ * rendezvous hashing: leases are spread over the entries, all entries agree
+ * without communicating, and the departure of an entry moves only its own
+ * leases.
  * @param aEntries names of live entries; may lack aSelf */
 std::size_t
 RankOf(const std::string& aLease,
--- a/Duties/Leases/TestGuardedConnection.cpp
+++ b/Duties/Leases/TestGuardedConnection.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr auto kLease = 40ms;
+constexpr auto kLeaseDuration = 40ms;
 constexpr int kPauses = 120;
 
-/** A listener that reads only when asked, so that a sender's socket fills. */
+/** Listener whose small receive buffer fills up, so that a sender blocks. */
 struct slow_listener
 {
   int mSocket = -1;
@@ -43,7 +43,8 @@
   ~slow_listener() { close(mSocket); }
 };
 
-/** Reads until nothing comes for a while or the connection ends. */
+/** Reads until the connection ends or is silent for that long; returns the
+ * number of bytes. */
 std::size_t
 ReadAll(int aSocket, std::chrono::milliseconds aSilence)
 {
@@ -51,16 +52,16 @@
   char buffer[65536];
   pollfd waiting{ aSocket, POLLIN, 0 };
   while (poll(&waiting, 1, static_cast<int>(aSilence.count())) > 0) {
-    const auto got = read(aSocket, buffer, sizeof(buffer));
-    if (got <= 0) {
+    const auto received = read(aSocket, buffer, sizeof(buffer));
+    if (received <= 0) {
       break;
     }
-    total += static_cast<std::size_t>(got);
+    total += static_cast<std::size_t>(received);
   }
   return total;
 }
 
-/** The process that is paused: checks its lease and sends, on and on. */
+/** Runs in the process that is paused: checks the lease and sends in a loop. */
 [[noreturn]] void
 SendUnderLease(const http::endpoint& aTo, time_point aEnd, std::size_t aBytes)
 {
@@ -69,19 +70,19 @@
     const std::string bytes(aBytes, 'x');
     while (boot_clock::now() < aEnd && (*connection)->Send(bytes)) {
     }
-    // Stays open, so that only the guard can have ended it.
+    // Keeps the connection open, so that only the signal handler can end it.
     std::this_thread::sleep_for(50ms);
   }
   _exit(0);
 }
 
-/** Pauses a sender at that moment past the lease's end; the bytes that came
- * after the resume, which a successor could see. */
+/** Pauses a sender from that moment until after the lease has expired. Returns
+ * the number of bytes that arrived after it was resumed. */
 std::size_t
 BytesAfterResume(std::chrono::microseconds aPauseAt, std::size_t aBytes)
 {
   slow_listener listener;
-  const auto end = boot_clock::now() + kLease;
+  const auto end = boot_clock::now() + kLeaseDuration;
   const pid_t sender = fork();
   if (sender == 0) {
     SendUnderLease(listener.mEndpoint, end, aBytes);
@@ -92,8 +93,8 @@
   waitpid(sender, nullptr, WUNTRACED);
   std::this_thread::sleep_until(std::chrono::steady_clock::now() +
                                 (end - boot_clock::now()) + 10ms);
-  // Bytes that the kernel took before the pause aren't what this test counts;
-  // on a loaded machine they come with gaps of tens of milliseconds.
+  // Bytes that the kernel accepted before the pause don't count. On a loaded
+  // machine they arrive with gaps of tens of milliseconds.
   ReadAll(accepted, 100ms);
   kill(sender, SIGCONT);
   const auto after = ReadAll(accepted, 30ms);
@@ -120,18 +121,18 @@
 
 BOOST_AUTO_TEST_SUITE(TestGuardedConnection)
 
-// A platform would see an order of a process whose lease a successor has. The
-// process is paused between its check and its send, or while its send is
-// blocked in a full socket, past the lease's end, and goes on. 240 real
-// pauses at seeded moments; the bytes are counted after the resume.
+// Guards against a request that is sent after another process took the lease
+// over. The sender is paused between its check and its send, or while its send
+// blocks on a full socket, and resumes after the lease has expired. 240 pauses
+// at seeded moments; bytes that arrive after the resume are counted.
 BOOST_AUTO_TEST_CASE(PausedSenderLetsNoByteOut)
 {
   BOOST_TEST(CountLeaks(1 << 20) == 0);
   BOOST_TEST(CountLeaks(200) == 0);
 }
 
-// The same without a signal that interrupts anything: the lease ends while
-// this thread holds an open connection and only then sends.
+// The same failure without an interrupted call: the lease expires while this
+// thread is idle with an open connection, and the thread sends afterwards.
 BOOST_AUTO_TEST_CASE(SendAfterTheEndFails)
 {
   slow_listener listener;
--- a/Duties/Leases/TestLease.cpp
+++ b/Duties/Leases/TestLease.cpp
@@ -16,12 +16,12 @@
 using nanoseconds = std::chrono::nanoseconds;
 
 constexpr std::size_t kEvents = 250;
-/** Clocks run apart far more than real ones, so that a missing allowance shows
- * within few histories: one in 32 faster and one in 32 slower. */
+/** Clocks run one part in 32 faster or slower. That is far more than real
+ * clocks do, so that a missing drift allowance fails within few histories. */
 constexpr int kRateParts = 32;
-constexpr std::int64_t kDriftPart = 15;
+constexpr std::int64_t kDriftDivisor = 15;
 
-/** A request on its way to the store. */
+/** A request in transit to the store. */
 struct message
 {
   std::size_t mHolder = 0;
@@ -29,7 +29,7 @@
   lease_step mStep;
 };
 
-/** Bytes sent under a lease that haven't arrived yet. */
+/** Bytes sent under a lease and still in transit. */
 struct sent_bytes
 {
   std::int64_t mFencing = 0;
@@ -41,7 +41,7 @@
   candidate mSelf;
   lease_state mState;
   nanoseconds mClockOffset{ 0 };
-  /** This clock runs faster by that many parts in kRateParts. */
+  /** Clock rate error, in parts of kRateParts. */
   int mRate = 0;
   bool mIsPaused = false;
   std::int64_t mCall = 0;
@@ -61,10 +61,10 @@
   LateBytes
 };
 
-/** Three candidates, a store and a network in which everything may be late,
- * lost or doubled. True time drives everything; each candidate sees it through
- * its own clock. */
-struct world
+/** Simulates three candidates, a store and a network that delays, loses and
+ * duplicates messages. Each candidate derives its own clock from the simulated
+ * true time. */
+struct simulation
 {
   lease_settings mSettings;
   std::vector<holder> mHolders = std::vector<holder>(3);
@@ -75,18 +75,19 @@
   std::int64_t mRevision = 0;
   std::optional<lease_record> mStored;
   std::int64_t mStoredRevision = 0;
-  std::int64_t mNames = 0;
+  std::int64_t mNextId = 0;
   std::int64_t mHighestArrived = 0;
   std::string mViolation;
   std::set<fault> mFaults;
 
-  world()
+  simulation()
   {
-    mSettings.mDriftPart = kDriftPart;
+    mSettings.mDriftDivisor = kDriftDivisor;
     for (std::size_t i = 0; i < mHolders.size(); ++i) {
-      mHolders[i].mSelf = { "holder" + std::to_string(mNames++), i };
+      mHolders[i].mSelf = { "holder" + std::to_string(mNextId++), i };
       mHolders[i].mClockOffset = std::chrono::hours(i * 1000);
-      // The most preferred one, which waits least, has the fastest clock.
+      // The most preferred candidate, which waits least, has the fastest
+      // clock.
       mHolders[i].mRate = 1 - static_cast<int>(i);
     }
   }
@@ -103,29 +104,30 @@
            (kRateParts + aHolder.mRate);
   }
 
-  /** Goes to a moment at which something is about to change: just before a
-   * belief ends, when a candidate's next step is due, or when bytes can last
-   * arrive. Random times alone hardly ever meet these edges. */
-  void GoToEdge(std::size_t aIndex)
+  /** Advances to a boundary: just before a lease expires, when a candidate's
+   * next step is due, or when bytes can last arrive. Random times alone rarely
+   * hit these boundaries. */
+  void AdvanceToBoundary(std::size_t aIndex)
   {
-    std::set<nanoseconds> edges;
+    std::set<nanoseconds> boundaries;
     for (const auto& each : mHolders) {
       if (each.mState.mHeld) {
-        edges.insert(TrueTime(each, each.mState.mHeld->mExpiresAt) - 1ms);
+        boundaries.insert(TrueTime(each, each.mState.mHeld->mExpiresAt) - 1ms);
       }
-      edges.insert(TrueTime(each, each.mState.mNextAt) + 1us);
+      boundaries.insert(TrueTime(each, each.mState.mNextStepAt) + 1us);
     }
     for (const auto& bytes : mBytes) {
-      edges.insert(bytes.mSentAt + mSettings.mLateBytes);
+      boundaries.insert(bytes.mSentAt + mSettings.mLateBytes);
     }
-    edges.erase(edges.begin(), edges.upper_bound(mNow));
-    if (!edges.empty()) {
-      mNow = *std::next(edges.begin(),
-                        static_cast<std::ptrdiff_t>(aIndex % edges.size()));
+    boundaries.erase(boundaries.begin(), boundaries.upper_bound(mNow));
+    if (!boundaries.empty()) {
+      mNow =
+        *std::next(boundaries.begin(),
+                   static_cast<std::ptrdiff_t>(aIndex % boundaries.size()));
     }
   }
 
-  void GoToLastMoment()
+  void ActBeforeExpiry()
   {
     for (std::size_t i = 0; i < mHolders.size(); ++i) {
       const auto& each = mHolders[i];
@@ -146,8 +148,8 @@
     }
   }
 
-  /** The others go on while the holder may be paused, until one takes over.
-   * Bytes of before arrive as late as they can. */
+  /** Steps all candidates until one takes the lease over, possibly from a
+   * paused holder. Bytes sent before the takeover arrive after newer ones. */
   void TakeOver(int aValue)
   {
     mIsDown = false;
@@ -156,7 +158,7 @@
     }
     const auto before = mStored ? mStored->mFencing : 0;
     for (int round = 0; round < 40; ++round) {
-      GoToEdge(0);
+      AdvanceToBoundary(0);
       StepAll();
       if (mStored && mStored->mFencing > before) {
         break;
@@ -179,14 +181,14 @@
 
   void Check()
   {
-    std::set<std::string> believers;
+    std::set<std::string> holders;
     for (const auto& each : mHolders) {
       if (HeldAt(each.mState, Clock(each))) {
-        believers.insert(each.mSelf.mIncarnation);
+        holders.insert(each.mSelf.mIncarnation);
       }
     }
-    if (believers.size() > 1) {
-      mViolation = "two believe";
+    if (holders.size() > 1) {
+      mViolation = "two processes hold the lease at the same time";
     }
   }
 
@@ -199,7 +201,7 @@
     const auto step = Decide(each.mState,
                              each.mSelf,
                              mSettings,
-                             "nonce" + std::to_string(mNames++),
+                             "nonce" + std::to_string(mNextId++),
                              Clock(each));
     if (step.mAction == lease_action::Wait) {
       return;
@@ -210,7 +212,7 @@
   void Send(std::size_t aIndex, const lease_step& aStep)
   {
     auto& each = mHolders[aIndex];
-    each.mCall = ++mNames;
+    each.mCall = ++mNextId;
     each.mIsCallWrite = aStep.mAction == lease_action::Write;
     each.mWritten.reset();
     each.mRead.reset();
@@ -225,15 +227,15 @@
     return { "Lease", "L", mStoredRevision, Describe(*mStored) };
   }
 
-  /** The store carries a request out; the answer may get lost. */
-  void Execute(std::size_t aIndex, bool aKeeps, bool aLosesAnswer)
+  /** The store executes a request; the response may be lost. */
+  void Execute(std::size_t aIndex, bool aDuplicates, bool aLosesAnswer)
   {
     if (mNetwork.empty()) {
       return;
     }
     aIndex %= mNetwork.size();
     const auto sent = mNetwork[aIndex];
-    if (!aKeeps) {
+    if (!aDuplicates) {
       mNetwork.erase(mNetwork.begin() + static_cast<std::ptrdiff_t>(aIndex));
     }
     platform::write_result written;
@@ -259,7 +261,7 @@
     }
     auto& each = mHolders[sent.mHolder];
     if (each.mCall != sent.mCall) {
-      mFaults.insert(aKeeps ? fault::DoubledRequest : fault::LateRequest);
+      mFaults.insert(aDuplicates ? fault::DoubledRequest : fault::LateRequest);
     } else if (aLosesAnswer) {
       mFaults.insert(fault::LostAnswer);
     } else {
@@ -271,17 +273,17 @@
   void Apply(const lease_record& aRecord)
   {
     if (mStored && aRecord.mFencing < mStored->mFencing) {
-      mViolation = "fencing fell";
+      mViolation = "the fencing number decreased";
     }
     if (mStored && aRecord.mHolder != mStored->mHolder &&
         aRecord.mFencing <= mStored->mFencing) {
-      mViolation = "fencing didn't grow with the holder";
+      mViolation = "a new holder has no higher fencing number";
     }
     mStored = aRecord;
     mStoredRevision = ++mRevision;
   }
 
-  /** The caller takes the answer, or gives up waiting for it. */
+  /** The caller processes the response, or stops waiting for it. */
   void Finish(std::size_t aIndex, bool aGivesUp)
   {
     auto& each = mHolders[aIndex];
@@ -333,7 +335,8 @@
     mBytes.erase(mBytes.begin() + static_cast<std::ptrdiff_t>(aIndex));
     mFaults.insert(fault::LateBytes);
     if (bytes.mFencing < mHighestArrived) {
-      mViolation = "orders of two holders interleave";
+      mViolation =
+        "bytes of an older holder arrived after bytes of a newer one";
     }
     mHighestArrived = std::max(mHighestArrived, bytes.mFencing);
   }
@@ -342,7 +345,7 @@
   {
     auto& each = mHolders[aIndex];
     mFaults.insert(fault::Restart);
-    each.mSelf.mIncarnation = "holder" + std::to_string(mNames++);
+    each.mSelf.mIncarnation = "holder" + std::to_string(mNextId++);
     each.mState = {};
     each.mCall = 0;
     each.mIsPaused = false;
@@ -351,7 +354,8 @@
   void ReleaseOne(std::size_t aIndex)
   {
     auto& each = mHolders[aIndex];
-    // A duty stops acting, and its bytes are answered, before the release.
+    // A process releases a lease only after it has stopped acting and all its
+    // requests have been answered.
     if (each.mIsPaused || each.mCall != 0 || !mBytes.empty()) {
       return;
     }
@@ -360,11 +364,11 @@
     }
   }
 
-  void Do(int aWhat, int aValue)
+  void RunEvent(int aEvent, int aValue)
   {
     const auto index = static_cast<std::size_t>(aValue);
     const auto which = index % mHolders.size();
-    switch (aWhat) {
+    switch (aEvent) {
       case 0:
         mNow += milliseconds(aValue * 7);
         break;
@@ -409,19 +413,19 @@
       case 10:
       case 11:
       case 12:
-        GoToEdge(index);
+        AdvanceToBoundary(index);
         break;
       case 13:
       case 14:
-        // The holder acts at the last moment, while nobody can renew.
-        GoToLastMoment();
+        // The holder acts just before its lease expires and is then paused.
+        ActBeforeExpiry();
         break;
       case 15:
-        // Its successors go on as soon as they may.
+        // A successor takes over as early as possible.
         TakeOver(aValue);
         break;
       default:
-        // What a healthy process does all the time.
+        // Normal operation of a healthy process.
         Step(which);
         Execute(mNetwork.size() - 1, false, false);
         Finish(which, false);
@@ -431,7 +435,8 @@
     Check();
   }
 
-  /** Faults end; the time goes on in small steps until somebody holds. */
+  /** Ends all faults and advances in small steps. Returns whether a candidate
+   * acquires the lease. */
   bool Recovers()
   {
     mIsDown = false;
@@ -459,20 +464,21 @@
 
 BOOST_AUTO_TEST_SUITE(TestLease)
 
-// A user would see a zone started and stopped by two processes at once. Three
-// candidates; pauses, store outages, lost, late and doubled requests, restarts,
-// clocks that run apart, and bytes still on their way when a lease ends.
+// Guards against two processes that act under the same lease at once. Random
+// histories of three candidates with pauses, store outages, lost, late and
+// duplicated requests, restarts, clock drift, and bytes in transit when a lease
+// expires.
 BOOST_AUTO_TEST_CASE(OneHolderActsAtAnyTime)
 {
-  std::map<fault, int> provoked;
+  std::map<fault, int> faultCounts;
   std::int64_t holders = 0;
-  BOOST_TEST(rc::check("at most one holder believes and acts", [&] {
-    world all;
+  BOOST_TEST(rc::check("at most one process holds the lease and acts", [&] {
+    simulation all;
     const auto events = *rc::gen::container<std::vector<std::pair<int, int>>>(
       kEvents,
       rc::gen::pair(rc::gen::inRange(0, 20), rc::gen::inRange(0, 120)));
     for (const auto& [what, value] : events) {
-      all.Do(what, value);
+      all.RunEvent(what, value);
       if (!all.mViolation.empty()) {
         RC_FAIL(all.mViolation);
       }
@@ -481,7 +487,7 @@
     RC_ASSERT(all.mViolation.empty());
     holders += all.mStored->mFencing;
     for (const auto each : all.mFaults) {
-      ++provoked[each];
+      ++faultCounts[each];
     }
   }));
   for (const auto each : { fault::Pause,
@@ -493,14 +499,15 @@
                            fault::LateBytes }) {
     BOOST_TEST_CONTEXT("fault " << static_cast<int>(each))
     {
-      BOOST_TEST(provoked[each] > 100);
+      BOOST_TEST(faultCounts[each] > 100);
     }
   }
   BOOST_TEST_MESSAGE("holders over all histories: " << holders);
 }
 
-// The store carries a write out and its answer is lost. The holder must neither
-// think the lease another's nor count its time from the read that settled it.
+// The store executes a write and its response is lost. The holder must not
+// treat the lease as another process's, and must count the duration from the
+// write, not from the read that confirmed it.
 BOOST_AUTO_TEST_CASE(LostAnswerIsSettledByTheNonce)
 {
   lease_settings settings;
@@ -508,7 +515,7 @@
   lease_state state;
   state.mRevision = 0;
   const auto start = time_point(1000s);
-  state.mCheckedAt = start;
+  state.mLastSeenAt = start;
   const auto step = Decide(state, self, settings, "n1", start);
   BOOST_REQUIRE((step.mAction == lease_action::Write));
   BeginWrite(state, step.mRecord, start);
@@ -526,8 +533,8 @@
   BOOST_TEST((HeldAt(state, start + 3s)->mExpiresAt == start + 9s));
 }
 
-// A renewal that leaves in time and is answered after the lease's end goes on
-// under the same number; one that starts after the end is a new lease.
+// A renewal that is sent in time and answered after the expiry keeps the
+// fencing number; a write sent after the expiry gets a new one.
 BOOST_AUTO_TEST_CASE(LateRenewalAfterTheEndGetsANewNumber)
 {
   lease_settings settings;
@@ -535,7 +542,7 @@
   lease_state state;
   state.mRevision = 0;
   const auto start = time_point(1000s);
-  state.mCheckedAt = start;
+  state.mLastSeenAt = start;
   BeginWrite(state, Decide(state, self, settings, "n1", start).mRecord, start);
   platform::write_result done;
   done.mState = platform::write_state::Done;
@@ -551,12 +558,12 @@
   BOOST_TEST((HeldAt(state, start + 10s)->mExpiresAt == start + 17s));
   BOOST_TEST((Decide(state, self, settings, "n3", start + 18s).mAction ==
               lease_action::Wait));
-  const auto afresh = Decide(state, self, settings, "n3", start + 21s);
-  BOOST_TEST(afresh.mRecord.mFencing == 2);
+  const auto afterExpiry = Decide(state, self, settings, "n3", start + 21s);
+  BOOST_TEST(afterExpiry.mRecord.mFencing == 2);
 }
 
-// Sixteen zones and seventeen runs over a few entries: no entry holds all, and
-// an entry that goes moves only its own leases.
+// With 33 leases over three entries, no entry holds all of them, and the
+// departure of an entry moves only its own leases.
 BOOST_AUTO_TEST_CASE(PreferenceSpreadsLeases)
 {
   const std::vector<std::string> all = { "entry-1", "entry-2", "entry-3" };
