--- a/Duties/Weights/RollOut.cpp
+++ b/Duties/Weights/RollOut.cpp
@@ -5,17 +5,19 @@
 namespace lavender::weights {
 namespace {
 
-/** The order stands: same target, same agent, and not yet due again. */
+/** Whether an order for the same target and agent was issued and isn't due
+ * again. */
 bool
 IsPending(const roll_out_state& aState,
           const weight_version& aTarget,
           const server_weights& aServer,
           time_point aNow)
 {
-  const auto given = aState.mGiven.find(aServer.mName);
-  return given != aState.mGiven.end() && given->second.mTarget == aTarget &&
-         given->second.mAgentIncarnation == aServer.mAgentIncarnation &&
-         aNow - given->second.mGivenAt < aState.mLimits.mRepeatAfter;
+  const auto issued = aState.mIssuedOrders.find(aServer.mName);
+  return issued != aState.mIssuedOrders.end() &&
+         issued->second.mTarget == aTarget &&
+         issued->second.mAgentIncarnation == aServer.mAgentIncarnation &&
+         aNow - issued->second.mIssuedAt < aState.mLimits.mRepeatInterval;
 }
 
 bool
@@ -45,15 +47,15 @@
       due.push_back(server);
     }
   }
-  // First those that weren't tried: a server whose swaps fail must not take
-  // the place of one whose swap would succeed.
+  // Servers that weren't tried come first, so that a server whose swaps fail
+  // doesn't displace one whose swap would succeed.
   std::stable_sort(
     due.begin(), due.end(), [&](const auto& aOne, const auto& aOther) {
       const auto triedAt = [&](const auto& aServer) {
-        const auto given = aState.mGiven.find(aServer.mName);
-        const bool isTried =
-          given != aState.mGiven.end() && given->second.mTarget == aTarget;
-        return isTried ? given->second.mGivenAt : time_point();
+        const auto issued = aState.mIssuedOrders.find(aServer.mName);
+        const bool isTried = issued != aState.mIssuedOrders.end() &&
+                             issued->second.mTarget == aTarget;
+        return isTried ? issued->second.mIssuedAt : time_point();
       };
       return triedAt(aOne) < triedAt(aOther);
     });
@@ -62,7 +64,9 @@
     due.resize(std::min(due.size(), limit - std::min(limit, swapping)));
   }
   for (const auto& server : due) {
-    aState.mGiven[server.mName] = { aTarget, server.mAgentIncarnation, aNow };
+    aState.mIssuedOrders[server.mName] = { aTarget,
+                                           server.mAgentIncarnation,
+                                           aNow };
   }
   return due;
 }
--- a/Duties/Weights/RollOut.h
+++ b/Duties/Weights/RollOut.h
@@ -6,11 +6,12 @@
 
 namespace lavender::weights {
 
-/** What the holder of a pool's roll-out knows of one server. */
+/** State of one backend server, as known to the process that runs the roll-out
+ * of its pool. */
 struct server_weights
 {
   std::string mName;
-  /** Of its agent; an order names it. */
+  /** Incarnation of the server's agent; every swap order names it. */
   std::string mAgentIncarnation;
   weight_version mHeld;
   bool mIsReachable = false;
@@ -19,36 +20,37 @@
 
 struct roll_out_limits
 {
-  /** Servers that swap side by side; 0 for all at once. */
+  /** Largest number of servers that swap at the same time; 0 for no limit. */
   std::size_t mSideBySide = 0;
-  /** An order without effect is given again after this. */
-  milliseconds mRepeatAfter{ 3000 };
+  /** An order that has had no effect is sent again after this. */
+  milliseconds mRepeatInterval{ 3000 };
 };
 
-struct given_order
+struct issued_order
 {
   weight_version mTarget;
   std::string mAgentIncarnation;
-  time_point mGivenAt;
+  time_point mIssuedAt;
 };
 
-/** What the holder has ordered, by server name. */
+/** Orders issued so far, by server name. */
 struct roll_out_state
 {
   roll_out_limits mLimits;
-  std::map<std::string, given_order> mGiven;
+  std::map<std::string, issued_order> mIssuedOrders;
 };
 
-/** Servers to be ordered to the target now; notes the orders as given. A
- * server that doesn't answer its order keeps its place among those swapping
- * only until the order is repeated, so that it can't hold up the rest. */
+/** Selects the servers that are to be ordered to load the target now, and
+ * records the orders as issued. A server that doesn't respond to its order
+ * counts towards the limit only until the order is due again, so that it can't
+ * block the others. */
 std::vector<server_weights>
 ChooseOrders(roll_out_state& aState,
              const weight_version& aTarget,
              const std::vector<server_weights>& aServers,
              time_point aNow);
 
-/** How many reachable servers hold the target. */
+/** Returns how many reachable servers hold the target. */
 std::size_t
 CountHolding(const weight_version& aTarget,
              const std::vector<server_weights>& aServers);
--- a/Duties/Weights/RollOutDuty.cpp
+++ b/Duties/Weights/RollOutDuty.cpp
@@ -39,7 +39,7 @@
 void
 roll_out_duty::Start()
 {
-  mLooker = std::thread([this] { LookLoop(); });
+  mPollThread = std::thread([this] { PollLoop(); });
   for (int i = 0; i < mOptions.mSenders; ++i) {
     mSenders.emplace_back([this] { SendLoop(); });
   }
@@ -49,10 +49,10 @@
 roll_out_duty::Stop()
 {
   mIsStopping = true;
-  mStopSign.Close();
+  mStopSignal.Close();
   mOrders.Close();
-  if (mLooker.joinable()) {
-    mLooker.join();
+  if (mPollThread.joinable()) {
+    mPollThread.join();
   }
   for (auto& sender : mSenders) {
     if (sender.joinable()) {
@@ -62,53 +62,56 @@
 }
 
 void
-roll_out_duty::LookLoop()
+roll_out_duty::PollLoop()
 {
   while (!mIsStopping) {
     const auto targets = mTargets();
     if (!targets.empty()) {
       const auto servers = mDirectory.Servers();
       for (const auto& target : targets) {
-        LookAt(target, servers);
+        UpdatePool(target, servers);
       }
     }
-    mStopSign.Pop(mOptions.mLookEvery);
+    mStopSignal.Pop(mOptions.mLookEvery);
   }
 }
 
 void
-roll_out_duty::LookAt(const pool_target& aTarget,
-                      const std::vector<membership::server_view>& aServers)
+roll_out_duty::UpdatePool(const pool_target& aTarget,
+                          const std::vector<membership::server_view>& aServers)
 {
   if (!mLeases(LeaseName(aTarget.mPool))) {
     mStates.erase(aTarget.mPool);
     return;
   }
-  std::vector<server_weights> known;
+  std::vector<server_weights> poolServers;
   std::map<std::string, std::shared_ptr<membership::agent_pool>> connections;
   for (const auto& server : aServers) {
     if (server.mInstance.mPool == aTarget.mPool) {
-      known.push_back({ server.mInstance.mName,
-                        server.mIncarnation,
-                        { server.mModel, server.mWeightVersion },
-                        server.mIsServerReachable,
-                        server.mIsLeaving });
+      poolServers.push_back({ server.mInstance.mName,
+                              server.mIncarnation,
+                              { server.mModel, server.mWeightVersion },
+                              server.mIsServerReachable,
+                              server.mIsLeaving });
       connections[server.mInstance.mName] = server.mConnections;
     }
   }
   auto& state = mStates[aTarget.mPool];
   state.mLimits = mOptions.mLimits;
   for (auto& server :
-       ChooseOrders(state, aTarget.mTarget, known, boot_clock::now())) {
-    ordered_swap order{
+       ChooseOrders(state, aTarget.mTarget, poolServers, boot_clock::now())) {
+    outgoing_order order{
       server, aTarget.mPool, aTarget.mTarget, connections[server.mName]
     };
-    // A full ring loses the order; it is due again after a while.
+    // When the ring is full the order is dropped; ChooseOrders selects the
+    // server again after mRepeatInterval.
     if (!mOrders.TryPush(order)) {
       mMetrics.Count("lavender_swap_orders_total", { { "result", "full" } });
     }
   }
-  mObserver({ aTarget, CountHolding(aTarget.mTarget, known), known.size() });
+  mObserver({ aTarget,
+              CountHolding(aTarget.mTarget, poolServers),
+              poolServers.size() });
 }
 
 void
@@ -122,11 +125,11 @@
 }
 
 void
-roll_out_duty::Send(const ordered_swap& aOrder)
+roll_out_duty::Send(const outgoing_order& aOrder)
 {
-  // Asked again just before the bytes leave. A holder paused between this
-  // check and its send is refused by the agent, whose highest number is its
-  // successor's by then.
+  // The lease is checked again just before sending. If this process is paused
+  // between the check and the send, the agent refuses the order, because it has
+  // seen the higher fencing number of the next holder by then.
   const auto lease = mLeases(LeaseName(aOrder.mPool));
   if (!lease) {
     mMetrics.Count("lavender_swap_orders_total",
@@ -153,7 +156,7 @@
   if (result != "done" && result != "taken") {
     Log(log_level::Warning,
         "weights",
-        "Swap order not carried out server=" + aOrder.mServer.mName +
+        "Swap order not confirmed server=" + aOrder.mServer.mName +
           " reason=" + result);
   }
 }
--- a/Duties/Weights/RollOutDuty.h
+++ b/Duties/Weights/RollOutDuty.h
@@ -13,14 +13,14 @@
 
 namespace lavender::weights {
 
-/** A pool and the weights that it is to hold. */
+/** A pool and the weight version that its servers are to hold. */
 struct pool_target
 {
   std::string mPool;
   weight_version mTarget;
 };
 
-/** Tells how far a version's roll-out is. */
+/** Progress of a pool's roll-out. */
 struct roll_out_progress
 {
   pool_target mTarget;
@@ -33,15 +33,15 @@
   roll_out_limits mLimits;
   std::string mHolder;
   milliseconds mLookEvery{ 200 };
-  /** Orders that are on the wire side by side. */
+  /** Number of threads that send orders, one order at a time each. */
   int mSenders = 8;
   milliseconds mOrderTimeout{ 3000 };
 };
 
-/** Brings accepted versions to the servers of each pool, while this process
- * holds the pool's lease. One lease for each pool and not for each run: two
- * runs on one pool would otherwise give their orders under two unrelated
- * rows of fencing numbers, which an agent can't compare. */
+/** Rolls accepted versions out to the servers of each pool while this process
+ * holds the pool's lease. There is one lease per pool and not one per training
+ * run: two runs on one pool would otherwise use two unrelated sequences of
+ * fencing numbers, which an agent can't compare. */
 class roll_out_duty
 {
 public:
@@ -62,7 +62,7 @@
   void Stop();
 
 private:
-  struct ordered_swap
+  struct outgoing_order
   {
     server_weights mServer;
     std::string mPool;
@@ -70,11 +70,11 @@
     std::shared_ptr<membership::agent_pool> mConnections;
   };
 
-  void LookLoop();
+  void PollLoop();
   void SendLoop();
-  void LookAt(const pool_target& aTarget,
-              const std::vector<membership::server_view>& aServers);
-  void Send(const ordered_swap& aOrder);
+  void UpdatePool(const pool_target& aTarget,
+                  const std::vector<membership::server_view>& aServers);
+  void Send(const outgoing_order& aOrder);
 
   const roll_out_options mOptions;
   membership::server_directory& mDirectory;
@@ -83,10 +83,10 @@
   const progress_observer mObserver;
   metrics::registry& mMetrics;
   std::map<std::string, roll_out_state> mStates;
-  bounded_ring<ordered_swap> mOrders{ 4096 };
-  bounded_ring<int> mStopSign{ 1 };
+  bounded_ring<outgoing_order> mOrders{ 4096 };
+  bounded_ring<int> mStopSignal{ 1 };
   std::atomic<bool> mIsStopping{ false };
-  std::thread mLooker;
+  std::thread mPollThread;
   std::vector<std::thread> mSenders;
 };
 
--- a/Duties/Weights/TestRollOut.cpp
+++ b/Duties/Weights/TestRollOut.cpp
@@ -33,8 +33,8 @@
 
 BOOST_AUTO_TEST_SUITE(TestRollOut)
 
-// Some servers' swaps fail for good while orders and reports get lost. The
-// rest must come to the new version, with never more at once than allowed.
+// Some servers' swaps always fail, and some orders get lost. All other servers
+// must reach the new version, and the concurrency limit must hold.
 BOOST_AUTO_TEST_CASE(BringsEveryServerThatCanSwapToTheTarget)
 {
   std::int64_t failing = 0;
@@ -89,8 +89,8 @@
   BOOST_TEST(restarts > 0);
 }
 
-// A leaving server, one that can't be reached and one whose agent hasn't
-// spoken get no order.
+// No order goes to a server that is leaving, that is unreachable, or whose
+// agent hasn't reported.
 BOOST_AUTO_TEST_CASE(LeavesOutServersThatCannotSwap)
 {
   roll_out_state state;
--- a/Duties/Weights/TestVersionTracker.cpp
+++ b/Duties/Weights/TestVersionTracker.cpp
@@ -12,36 +12,36 @@
 
 constexpr auto kSettle = 10000ms;
 
-enum class account_kind
+enum class report_kind
 {
   Truthful,
   None,
-  /** Names the version last ordered, whatever the server holds. */
-  NamesOrdered
+  /** Reports the version last ordered instead of the one held. */
+  OrderedVersion
 };
 
-/** The server as it truly is: it knows which version made each token. */
-struct true_server
+/** Simulated server, which knows the version that produced each token. */
+struct simulated_server
 {
-  account_kind mAccount = account_kind::Truthful;
+  report_kind mReported = report_kind::Truthful;
   std::int64_t mHeld = 1;
   std::int64_t mOrdered = 1;
-  /** Orders that take effect later, with the time by which they do. */
+  /** Orders that take effect later, each with its latest time. */
   std::deque<std::pair<std::int64_t, time_point>> mLate;
 };
 
-struct true_run
+struct simulated_run
 {
   std::uint64_t mId = 0;
-  bool mHasGeneration = false;
-  std::vector<version_part> mTruth;
-  std::vector<version_part> mAccount;
+  bool mHasTokens = false;
+  std::vector<version_part> mActual;
+  std::vector<version_part> mReported;
   std::int64_t mTokens = 0;
-  /** A swap, crash or restart came near it. */
+  /** A swap, crash or restart happened during the run or shortly before. */
   bool mIsDisturbed = false;
 };
 
-/** RapidCheck shrinks ranges early in a run; histories want the whole one. */
+/** Draws from the full range; RapidCheck narrows ranges early in a run. */
 int
 Draw(int aFrom, int aTo)
 {
@@ -57,17 +57,17 @@
   ++aParts.back().mTokens;
 }
 
-/** What a naive agent would say, for the failing-first runs. */
-enum class labelling
+/** How a run is labelled. The naive ways check that the test can fail. */
+enum class labelling_method
 {
   Tracker,
-  BelievesAccount,
-  BelievesReads
+  ReportedVersions,
+  VersionReads
 };
 
-struct tally
+struct history_counts
 {
-  std::int64_t mNamed = 0;
+  std::int64_t mLabelled = 0;
   std::int64_t mSpans = 0;
   std::int64_t mUnknown = 0;
   std::int64_t mUndisturbed = 0;
@@ -75,18 +75,18 @@
   std::int64_t mFailed = 0;
   std::int64_t mCrashes = 0;
   std::int64_t mAgentRestarts = 0;
-  std::int64_t mWrongAccounts = 0;
+  std::int64_t mWrongReports = 0;
 };
 
-struct world
+struct simulation
 {
-  true_server mServer;
+  simulated_server mServer;
   version_tracker mTracker;
-  std::vector<true_run> mRuns;
+  std::vector<simulated_run> mRuns;
   time_point mNow{ 1000s };
   std::int64_t mFencing = 1;
-  tally* mTally = nullptr;
-  labelling mLabelling = labelling::Tracker;
+  history_counts* mCounts = nullptr;
+  labelling_method mLabelling = labelling_method::Tracker;
   time_point mDisturbedUntil;
 
   void Disturb()
@@ -101,22 +101,23 @@
 
   void Start()
   {
-    true_run run;
+    simulated_run run;
     run.mId = StartRun(mTracker, mNow);
     run.mIsDisturbed = mNow <= mDisturbedUntil;
-    TakeBefore(mTracker, run.mId, Read(), mTracker.mEvents, mNow);
+    RecordVersionBefore(mTracker, run.mId, Read(), mTracker.mEvents, mNow);
     mRuns.push_back(run);
   }
 
   void Generate()
   {
     for (auto& run : mRuns) {
-      run.mHasGeneration = true;
+      run.mHasTokens = true;
       ++run.mTokens;
-      AddToken(run.mTruth, mServer.mHeld);
-      AddToken(run.mAccount,
-               mServer.mAccount == account_kind::NamesOrdered ? mServer.mOrdered
-                                                              : mServer.mHeld);
+      AddToken(run.mActual, mServer.mHeld);
+      AddToken(run.mReported,
+               mServer.mReported == report_kind::OrderedVersion
+                 ? mServer.mOrdered
+                 : mServer.mHeld);
     }
   }
 
@@ -128,36 +129,36 @@
       DropRun(mTracker, run.mId);
       return;
     }
-    const auto account = mServer.mAccount == account_kind::None
-                           ? std::vector<version_part>{}
-                           : run.mAccount;
-    mTally->mWrongAccounts += !account.empty() && account != run.mTruth;
+    const auto reported = mServer.mReported == report_kind::None
+                            ? std::vector<version_part>{}
+                            : run.mReported;
+    mCounts->mWrongReports += !reported.empty() && reported != run.mActual;
     const auto before = *mTracker.mRuns.at(run.mId).mBefore;
-    auto label = EndRun(mTracker, run.mId, Read(), account, run.mTokens, mNow);
+    auto label = EndRun(mTracker, run.mId, Read(), reported, run.mTokens, mNow);
     TakeRead(mTracker, Read(), mTracker.mEvents, mNow);
-    if (mLabelling == labelling::BelievesAccount) {
-      label.mParts = account;
-    } else if (mLabelling == labelling::BelievesReads) {
+    if (mLabelling == labelling_method::ReportedVersions) {
+      label.mParts = reported;
+    } else if (mLabelling == labelling_method::VersionReads) {
       label.mParts.clear();
       if (before == Read()) {
         label.mParts = { { before.mVersion, run.mTokens } };
       }
     }
     if (!run.mIsDisturbed) {
-      ++mTally->mUndisturbed;
+      ++mCounts->mUndisturbed;
       RC_ASSERT(!label.mParts.empty());
     }
     if (label.mParts.empty()) {
-      ++mTally->mUnknown;
+      ++mCounts->mUnknown;
       return;
     }
-    ++mTally->mNamed;
-    mTally->mSpans += label.mParts.size() > 1;
-    RC_ASSERT(label.mParts == run.mTruth);
+    ++mCounts->mLabelled;
+    mCounts->mSpans += label.mParts.size() > 1;
+    RC_ASSERT(label.mParts == run.mActual);
   }
 
-  /** One order, with tokens made between its steps. */
-  void Swap(std::int64_t aVersion, swap_answer aAnswer, bool aIsLate)
+  /** Executes one order, with tokens generated while it is open. */
+  void Swap(std::int64_t aVersion, swap_result aResult, bool aIsLate)
   {
     TakeRead(mTracker, Read(), mTracker.mEvents, mNow);
     const weight_version target{ "protokoll", aVersion };
@@ -167,15 +168,15 @@
     Disturb();
     mServer.mOrdered = aVersion;
     if (aIsLate) {
-      ++mTally->mLate;
+      ++mCounts->mLate;
       mServer.mLate.emplace_back(aVersion, mNow + kSettle);
-    } else if (aAnswer == swap_answer::Failed) {
-      ++mTally->mFailed;
+    } else if (aResult == swap_result::Failed) {
+      ++mCounts->mFailed;
     } else {
       mServer.mHeld = aVersion;
     }
     Generate();
-    CloseSwap(mTracker, aAnswer, Read(), mNow);
+    CloseSwap(mTracker, aResult, Read(), mNow);
   }
 
   void ApplyLate()
@@ -195,10 +196,10 @@
     mNow += aTime;
   }
 
-  /** Runs under way get no answer, and what was ordered is forgotten. */
+  /** Runs in progress get no response, and pending orders are lost. */
   void CrashServer()
   {
-    ++mTally->mCrashes;
+    ++mCounts->mCrashes;
     Disturb();
     mServer.mHeld = 1;
     mServer.mOrdered = 1;
@@ -206,7 +207,7 @@
     auto kept = mRuns;
     mRuns.clear();
     for (const auto& run : kept) {
-      if (run.mHasGeneration) {
+      if (run.mHasTokens) {
         DropRun(mTracker, run.mId);
       } else {
         mRuns.push_back(run);
@@ -214,10 +215,10 @@
     }
   }
 
-  /** A successor refuses what it didn't start itself. */
+  /** The new agent process doesn't know the runs of its predecessor. */
   void RestartAgent()
   {
-    ++mTally->mAgentRestarts;
+    ++mCounts->mAgentRestarts;
     mRuns.clear();
     Disturb();
     mTracker = {};
@@ -227,13 +228,13 @@
 };
 
 void
-RunHistory(tally& aTally, labelling aLabelling)
+RunHistory(history_counts& aCounts, labelling_method aLabelling)
 {
-  world run;
-  run.mTally = &aTally;
+  simulation run;
+  run.mCounts = &aCounts;
   run.mLabelling = aLabelling;
-  run.mServer.mAccount = *rc::gen::element(
-    account_kind::Truthful, account_kind::None, account_kind::NamesOrdered);
+  run.mServer.mReported = *rc::gen::element(
+    report_kind::Truthful, report_kind::None, report_kind::OrderedVersion);
   run.RestartAgent();
   if (*rc::gen::arbitrary<bool>()) {
     run.Pass(kSettle + 1ms);
@@ -259,13 +260,13 @@
         break;
       case 7:
       case 8:
-        run.Swap(Draw(1, 4), swap_answer::Done, false);
+        run.Swap(Draw(1, 4), swap_result::Done, false);
         break;
       case 9:
         run.Swap(Draw(1, 4),
-                 *rc::gen::element(swap_answer::Done,
-                                   swap_answer::Failed,
-                                   swap_answer::NoAnswer),
+                 *rc::gen::element(swap_result::Done,
+                                   swap_result::Failed,
+                                   swap_result::NoResponse),
                  *rc::gen::arbitrary<bool>());
         break;
       case 10:
@@ -292,38 +293,37 @@
 
 BOOST_AUTO_TEST_SUITE(TestVersionTracker)
 
-// A trainer gets a sample that names the new version, though the server had
-// failed its swap, swapped late or crashed back to its base version while the
-// sample was made. The cause: an answer's own account, or a read at one end,
-// taken for proof.
+// Guards against samples labelled with the wrong version. The server fails a
+// swap, swaps late, or crashes and returns to its base version during a run; a
+// label based on the server's report alone or on one read would be wrong.
 BOOST_AUTO_TEST_CASE(NamedVersionsAreTrueInEveryHistory)
 {
-  tally seen;
-  BOOST_TEST(rc::check("each named part is the version that produced it",
-                       [&] { RunHistory(seen, labelling::Tracker); }));
+  history_counts seen;
+  BOOST_TEST(rc::check("each part names the version that produced it",
+                       [&] { RunHistory(seen, labelling_method::Tracker); }));
   BOOST_TEST_MESSAGE(
-    "named=" << seen.mNamed << " spans=" << seen.mSpans
+    "named=" << seen.mLabelled << " spans=" << seen.mSpans
              << " unknown=" << seen.mUnknown << " late=" << seen.mLate
              << " failed=" << seen.mFailed << " crashes=" << seen.mCrashes
              << " agent_restarts=" << seen.mAgentRestarts << " undisturbed="
-             << seen.mUndisturbed << " wrong_accounts=" << seen.mWrongAccounts);
-  // Each fault happened, and the answers weren't all thrown away.
+             << seen.mUndisturbed << " wrong_accounts=" << seen.mWrongReports);
+  // Each fault occurred, and some responses were labelled.
   BOOST_TEST(seen.mLate > 0);
   BOOST_TEST(seen.mFailed > 0);
   BOOST_TEST(seen.mCrashes > 0);
   BOOST_TEST(seen.mAgentRestarts > 0);
-  BOOST_TEST(seen.mWrongAccounts > 0);
+  BOOST_TEST(seen.mWrongReports > 0);
   BOOST_TEST(seen.mSpans > 0);
   BOOST_TEST(seen.mUndisturbed > 0);
 }
 
-// The histories must be able to convict: both naive ways of labelling name a
-// version that didn't produce the tokens.
+// Checks that the histories detect wrong labels: both naive ways of labelling
+// must fail.
 BOOST_AUTO_TEST_CASE(NaiveLabelsAreConvicted)
 {
   for (const auto naive :
-       { labelling::BelievesAccount, labelling::BelievesReads }) {
-    tally seen;
+       { labelling_method::ReportedVersions, labelling_method::VersionReads }) {
+    history_counts seen;
     const auto result =
       rc::detail::checkTestable([&] { RunHistory(seen, naive); },
                                 rc::detail::TestMetadata(),
@@ -333,7 +333,8 @@
   }
 }
 
-// An order of a holder that lost its lease arrives after its successor's.
+// Guards against an order of a former lease holder that arrives after an order
+// of the current one, and against two open orders.
 BOOST_AUTO_TEST_CASE(RefusesOldFencingNumbersAndASecondOpenOrder)
 {
   version_tracker tracker;
@@ -344,10 +345,10 @@
   BOOST_TEST(OpenSwap(tracker, two, one, 7, now) == "");
   BOOST_TEST(OpenSwap(tracker, one, one, 6, now) == "old_fencing_number");
   BOOST_TEST(OpenSwap(tracker, three, one, 8, now) == "swap_unsettled");
-  CloseSwap(tracker, swap_answer::Done, two, now);
+  CloseSwap(tracker, swap_result::Done, two, now);
   BOOST_TEST(OpenSwap(tracker, two, two, 8, now) == "already_held");
   BOOST_TEST(OpenSwap(tracker, three, two, 8, now) == "");
-  CloseSwap(tracker, swap_answer::NoAnswer, {}, now);
+  CloseSwap(tracker, swap_result::NoResponse, {}, now);
   BOOST_TEST(OpenSwap(tracker, two, one, 9, now) == "swap_unsettled");
   BOOST_TEST(OpenSwap(tracker, two, one, 9, now + 11s) == "");
 }
--- a/Duties/Weights/VersionTracker.cpp
+++ b/Duties/Weights/VersionTracker.cpp
@@ -15,9 +15,9 @@
   }
 }
 
-/** Versions that the server held one after the other during a run. */
+/** Versions that the server held during a run, in order. */
 std::vector<std::int64_t>
-HeldDuring(const tracked_run& aRun)
+VersionsHeldDuring(const tracked_run& aRun)
 {
   std::vector<std::int64_t> held = { aRun.mBefore->mVersion };
   for (const auto& change : aRun.mChanges) {
@@ -29,7 +29,7 @@
 }
 
 bool
-IsOneModel(const tracked_run& aRun, const weight_version& aAfter)
+HasOneModel(const tracked_run& aRun, const weight_version& aAfter)
 {
   return std::all_of(
     aRun.mChanges.begin(), aRun.mChanges.end(), [&](const auto& aChange) {
@@ -37,16 +37,16 @@
     });
 }
 
-/** The account covers each token once and names versions in the order in
- * which the server held them. */
+/** Whether the reported parts cover each token once and list versions in the
+ * order in which the server held them. */
 bool
-IsClaimPossible(const std::vector<version_part>& aClaim,
-                const std::vector<std::int64_t>& aHeld,
-                std::int64_t aTokens)
+IsReportPlausible(const std::vector<version_part>& aReported,
+                  const std::vector<std::int64_t>& aHeld,
+                  std::int64_t aTokens)
 {
   std::int64_t tokens = 0;
   std::vector<std::int64_t> named;
-  for (const auto& part : aClaim) {
+  for (const auto& part : aReported) {
     if (part.mTokens <= 0) {
       return false;
     }
@@ -67,22 +67,22 @@
 }
 
 version_label
-LabelUndisturbed(version_tracker& aTracker,
+LabelWithoutSwap(version_tracker& aTracker,
                  const tracked_run& aRun,
-                 const std::vector<version_part>& aClaim,
+                 const std::vector<version_part>& aReported,
                  std::int64_t aTokens)
 {
   version_label label;
   label.mModel = aRun.mBefore->mModel;
   label.mParts = { { aRun.mBefore->mVersion, aTokens } };
-  if (!aClaim.empty() && aClaim != label.mParts) {
-    // No swap could have happened, so the server's account is wrong here and
-    // can't be relied on anywhere.
-    label.mIsClaimWrong = true;
-    aTracker.mIsClaimTrusted = false;
-  } else if (!aClaim.empty() && aRun.mIsAccountDoubtful) {
-    // It named the version held and not the one ordered.
-    aTracker.mIsAccountDoubtful = false;
+  if (!aReported.empty() && aReported != label.mParts) {
+    // No swap can have happened, so the server's report is wrong, and none of
+    // its reports can be trusted.
+    label.mIsReportWrong = true;
+    aTracker.mIsReportTrusted = false;
+  } else if (!aReported.empty() && aRun.mIsReportDoubtful) {
+    // The server reported the version that it held, not the ordered one.
+    aTracker.mIsReportDoubtful = false;
   }
   return label;
 }
@@ -99,27 +99,29 @@
     run.mOpenOrders = 1;
   }
   run.mUnorderedChanges = aTracker.mUnorderedChanges;
-  run.mIsAccountDoubtful = aTracker.mIsAccountDoubtful;
-  run.mHasUnknownOrder = aNow - aTracker.mStartedAt <= aTracker.mLimits.mSettle;
-  const auto id = aTracker.mNextRun++;
+  run.mIsReportDoubtful = aTracker.mIsReportDoubtful;
+  run.mMayHaveInheritedOrder =
+    aNow - aTracker.mStartedAt <= aTracker.mLimits.mSettle;
+  const auto id = aTracker.mNextRunId++;
   aTracker.mRuns.emplace(id, std::move(run));
   return id;
 }
 
 void
-TakeBefore(version_tracker& aTracker,
-           std::uint64_t aRun,
-           const weight_version& aHeld,
-           std::uint64_t aEvents,
-           time_point aNow)
+RecordVersionBefore(version_tracker& aTracker,
+                    std::uint64_t aRun,
+                    const weight_version& aHeld,
+                    std::uint64_t aEvents,
+                    time_point aNow)
 {
   auto& run = aTracker.mRuns.at(aRun);
-  // A change that another read showed since the window was opened may lie on
-  // either side of this read.
-  run.mIsBroken |= run.mUnorderedChanges != aTracker.mUnorderedChanges;
+  // A change that another read revealed since StartRun may have happened before
+  // or after this read.
+  run.mHasUnexplainedChange |=
+    run.mUnorderedChanges != aTracker.mUnorderedChanges;
   TakeRead(aTracker, aHeld, aEvents, aNow);
   run.mBefore = aHeld;
-  run.mIsAccountDoubtful |= aTracker.mIsAccountDoubtful;
+  run.mIsReportDoubtful |= aTracker.mIsReportDoubtful;
 }
 
 void
@@ -132,7 +134,7 @@
 EndRun(version_tracker& aTracker,
        std::uint64_t aRun,
        const weight_version& aAfter,
-       const std::vector<version_part>& aClaim,
+       const std::vector<version_part>& aReported,
        std::int64_t aTokens,
        time_point aNow)
 {
@@ -142,39 +144,40 @@
   if (!run.mBefore || !run.mBefore->IsKnown() || !aAfter.IsKnown()) {
     return Unknown("version_not_read");
   }
-  if (run.mIsBroken) {
+  if (run.mHasUnexplainedChange) {
     return Unknown("version_changed_unordered");
   }
-  if (run.mHasUnknownOrder) {
-    // Each predecessor may have left one order; with two of them before and
-    // after can be equal though another version was held in between.
+  if (run.mMayHaveInheritedOrder) {
+    // Each earlier process may have left one order open. After two such orders
+    // the versions before and after can be equal although another version was
+    // held in between.
     return Unknown("agent_just_started");
   }
   const bool isOpen = run.mOpenTarget.has_value();
   if (!isOpen && run.mChanges.empty()) {
     return *run.mBefore == aAfter
-             ? LabelUndisturbed(aTracker, run, aClaim, aTokens)
+             ? LabelWithoutSwap(aTracker, run, aReported, aTokens)
              : Unknown("version_changed_unordered");
   }
   if (isOpen && !run.mChanges.empty()) {
     return Unknown("swap_unsettled");
   }
-  const auto held = HeldDuring(run);
+  const auto held = VersionsHeldDuring(run);
   if (held.back() != aAfter.mVersion || run.mBefore->mModel != aAfter.mModel ||
-      !IsOneModel(run, aAfter)) {
+      !HasOneModel(run, aAfter)) {
     return Unknown(isOpen ? "swap_unsettled" : "version_changed_unordered");
   }
-  if (aClaim.empty()) {
+  if (aReported.empty()) {
     return Unknown("no_account_of_swap");
   }
-  if (!aTracker.mIsClaimTrusted ||
-      (run.mIsAccountDoubtful && !run.mChanges.empty()) ||
-      !IsClaimPossible(aClaim, held, aTokens)) {
+  if (!aTracker.mIsReportTrusted ||
+      (run.mIsReportDoubtful && !run.mChanges.empty()) ||
+      !IsReportPlausible(aReported, held, aTokens)) {
     return Unknown("account_not_believed");
   }
   version_label label;
   label.mModel = aAfter.mModel;
-  label.mParts = aClaim;
+  label.mParts = aReported;
   return label;
 }
 
@@ -186,27 +189,30 @@
          time_point aNow)
 {
   ExpireOpenOrder(aTracker, aNow);
-  // A holder that was paused past its lease sends its order on resume; its
-  // number is lower than the one its successor has already used here.
+  // A holder that was paused until after its lease expired may send its order
+  // on resume. Its fencing number is lower than the one that the next holder
+  // has already used.
   if (aFencing < aTracker.mHighestFencing) {
     return "old_fencing_number";
   }
   if (aTracker.mOpen && aTracker.mOpen->mTarget != aTarget) {
-    // Two open orders could take effect in either order and bring a version
-    // back unseen. One at a time keeps "before equals after" a proof.
+    // Two open orders could take effect in either order and restore a version
+    // unnoticed. With one open order, equal versions before and after a run
+    // prove that it didn't change in between.
     return "swap_unsettled";
   }
   aTracker.mHighestFencing = aFencing;
   if (aHeld == aTarget && !aTracker.mOpen) {
-    // Sent all the same, a late server could carry it out after the next.
+    // If the order were sent, a slow server could execute it after the next
+    // one.
     return "already_held";
   }
   ++aTracker.mEvents;
   aTracker.mOpen = open_order{ aTarget, aNow, aTracker.mOpen.has_value() };
   for (auto& [id, run] : aTracker.mRuns) {
-    // A second unseen swap within one run could bring the first version back:
-    // then the same read before and after proves nothing.
-    run.mIsBroken |= run.mOpenTarget && *run.mOpenTarget != aTarget;
+    // A second unnoticed swap during a run could restore the first version, so
+    // that equal reads before and after would prove nothing.
+    run.mHasUnexplainedChange |= run.mOpenTarget && *run.mOpenTarget != aTarget;
     run.mOpenTarget = aTarget;
     ++run.mOpenOrders;
   }
@@ -215,17 +221,17 @@
 
 void
 CloseSwap(version_tracker& aTracker,
-          swap_answer aAnswer,
+          swap_result aResult,
           const weight_version& aHeld,
           time_point aNow)
 {
   const auto events = aTracker.mEvents;
-  const bool isClean = aTracker.mOpen && aAnswer == swap_answer::Done &&
-                       aHeld == aTracker.mOpen->mTarget;
-  if (!isClean) {
-    // Failed, unanswered or late: it may still take effect, so it stays open
-    // until a read shows its version or it has expired.
-    aTracker.mIsAccountDoubtful = true;
+  const bool isConfirmed = aTracker.mOpen && aResult == swap_result::Done &&
+                           aHeld == aTracker.mOpen->mTarget;
+  if (!isConfirmed) {
+    // A failed, unanswered or late order may still take effect, so it stays
+    // open until a read returns its version or it expires.
+    aTracker.mIsReportDoubtful = true;
     TakeRead(aTracker, aHeld, events, aNow);
     ++aTracker.mEvents;
     return;
@@ -233,8 +239,8 @@
   const bool isRepeated = aTracker.mOpen->mIsRepeated;
   if (!isRepeated) {
     for (auto& [id, run] : aTracker.mRuns) {
-      // Only a run that saw no other open order: an earlier one may have
-      // taken effect unseen.
+      // Only runs without another open order: an earlier one may have taken
+      // effect unnoticed.
       if (run.mOpenOrders == 1) {
         run.mOpenTarget.reset();
         run.mOpenOrders = 0;
@@ -242,7 +248,7 @@
       }
     }
     aTracker.mOpen.reset();
-    aTracker.mIsAccountDoubtful = false;
+    aTracker.mIsReportDoubtful = false;
   }
   aTracker.mHeld = aHeld;
   ++aTracker.mEvents;
@@ -261,18 +267,19 @@
   const bool isChanged = aTracker.mHeld.IsKnown() && aHeld != aTracker.mHeld;
   const bool isOrdered = aTracker.mOpen && aHeld == aTracker.mOpen->mTarget;
   if (isChanged && !isOrdered) {
-    // A restart, or another process's order: what ran meanwhile can't be
-    // told, also when the old version is back at the run's end.
+    // The server restarted or executed another process's order. Runs in
+    // progress can't be labelled, even if the old version is back when they
+    // end.
     ++aTracker.mUnorderedChanges;
-    aTracker.mIsAccountDoubtful = true;
+    aTracker.mIsReportDoubtful = true;
     ++aTracker.mEvents;
     for (auto& [id, run] : aTracker.mRuns) {
-      run.mIsBroken |= run.mBefore.has_value();
+      run.mHasUnexplainedChange |= run.mBefore.has_value();
     }
   }
   if (isOrdered && !aTracker.mOpen->mIsRepeated) {
-    // A late order has taken effect and can't do so again. Runs under way
-    // keep it in their windows.
+    // A late order has taken effect and can't do so again. Runs in progress
+    // keep it as their open target.
     aTracker.mOpen.reset();
   }
   aTracker.mHeld = aHeld;
--- a/Duties/Weights/VersionTracker.h
+++ b/Duties/Weights/VersionTracker.h
@@ -8,10 +8,11 @@
 #include <string>
 #include <vector>
 
-/** Which weights a backend server holds, and which of them produced what. */
+/** Tracks which weight version a backend server holds and which versions
+ * produced a sample. */
 namespace lavender::weights {
 
-/** One version of one model's weights; version 0 means "not known". */
+/** One version of one model's weights; version 0 means unknown. */
 struct weight_version
 {
   std::string mModel;
@@ -28,7 +29,7 @@
   }
 };
 
-/** Tokens of an answer that one version produced. */
+/** Number of a response's tokens that one version produced. */
 struct version_part
 {
   std::int64_t mVersion = 0;
@@ -40,34 +41,36 @@
   }
 };
 
-/** How the server answered a swap order. */
-enum class swap_answer
+/** Result of a swap order at the server. */
+enum class swap_result
 {
   Done,
   Failed,
-  /** It may have been carried out, or may be later. */
-  NoAnswer
+  /** The order may have been executed or may be executed later. */
+  NoResponse
 };
 
-/** A run between the read before it and the read after it. */
+/** A run in progress: everything seen between the version read before it and
+ * the one after it. */
 struct tracked_run
 {
   std::optional<weight_version> mBefore;
-  /** The tracker's count when the run's window was opened. */
+  /** Value of version_tracker::mUnorderedChanges at StartRun. */
   std::uint64_t mUnorderedChanges = 0;
-  /** Swaps that were answered and read back at once, in order. */
+  /** Swaps during the run that the server acknowledged and a read confirmed at
+   * once, in order. */
   std::vector<weight_version> mChanges;
-  /** Target of a swap that could take effect unseen during the run. */
+  /** Target of a swap that may take effect unnoticed during the run. */
   std::optional<weight_version> mOpenTarget;
-  /** Orders that were open during the run, one after the other. */
+  /** Number of orders that were open at some time during the run. */
   int mOpenOrders = 0;
-  /** A predecessor of this process may have left a swap open. */
-  bool mHasUnknownOrder = false;
-  /** At its start the server had been ordered to a version that it doesn't
-   * hold; an account that names ordered versions would be wrong. */
-  bool mIsAccountDoubtful = false;
-  /** The server changed its version without an order of this process. */
-  bool mIsBroken = false;
+  /** An earlier process of this agent may have left a swap open. */
+  bool mMayHaveInheritedOrder = false;
+  /** At its start the server had been ordered to load a version that it doesn't
+   * hold. A server that reports the ordered version would then be wrong. */
+  bool mIsReportDoubtful = false;
+  /** The server's version changed without an order of this process. */
+  bool mHasUnexplainedChange = false;
 };
 
 /** A swap order that may still take effect. */
@@ -75,17 +78,17 @@
 {
   weight_version mTarget;
   time_point mOrderedAt;
-  /** Sent more than once: it may take effect more than once. */
+  /** It was sent more than once and may take effect more than once. */
   bool mIsRepeated = false;
 };
 
 struct tracker_limits
 {
-  /** An order that isn't carried out after this long counts as dropped. */
+  /** An order that hasn't taken effect after this counts as dropped. */
   milliseconds mSettle{ 10000 };
 };
 
-/** What one agent process knows of its server's weights. */
+/** What an agent process knows about its server's weights. */
 struct version_tracker
 {
   tracker_limits mLimits;
@@ -93,64 +96,68 @@
   weight_version mHeld;
   std::optional<open_order> mOpen;
   std::int64_t mHighestFencing = 0;
-  /** Grows with each event; a read that began before an event is stale. */
+  /** Counts events; a read that began before the latest event is stale. */
   std::uint64_t mEvents = 0;
-  /** Changes seen that no order of this process explains. */
+  /** Counts observed changes that no order of this process explains. */
   std::uint64_t mUnorderedChanges = 0;
-  std::uint64_t mNextRun = 1;
+  std::uint64_t mNextRunId = 1;
   std::map<std::uint64_t, tracked_run> mRuns;
-  /** The last order wasn't carried out at once, or a predecessor's may not
-   * have been, and no account has been proved right since. */
-  bool mIsAccountDoubtful = true;
-  /** False once the server's own account of a run was proved wrong. */
-  bool mIsClaimTrusted = true;
+  /** The last order didn't take effect at once, or an order of an earlier
+   * process may not have, and the reads have confirmed no reported version
+   * since. */
+  bool mIsReportDoubtful = true;
+  /** False once the reads have contradicted the versions that the server
+   * reported for a run. */
+  bool mIsReportTrusted = true;
 };
 
-/** The versions that produced an answer; without parts they aren't known. */
+/** The versions that produced a response; unknown when there are no parts. */
 struct version_label
 {
   std::string mModel;
   std::vector<version_part> mParts;
-  /** Stable reason why they aren't known; empty when they are. */
+  /** Stable reason why the versions are unknown; empty when they are known. */
   std::string mReason;
-  /** The server's own account was proved wrong by the two reads. */
-  bool mIsClaimWrong = false;
+  /** The reads before and after the run contradict the server's report. */
+  bool mIsReportWrong = false;
 };
 
-/** Opens a run's window, before its first read. */
+/** Starts to track a run. Must precede the version read before the run.
+ * @return id of the run */
 std::uint64_t
 StartRun(version_tracker& aTracker, time_point aNow);
 
-/** Takes the read made between StartRun and the run itself.
+/** Records the version read between StartRun and the run itself.
  * @param aEvents value of mEvents when the read began */
 void
-TakeBefore(version_tracker& aTracker,
-           std::uint64_t aRun,
-           const weight_version& aHeld,
-           std::uint64_t aEvents,
-           time_point aNow);
+RecordVersionBefore(version_tracker& aTracker,
+                    std::uint64_t aRun,
+                    const weight_version& aHeld,
+                    std::uint64_t aEvents,
+                    time_point aNow);
 
-/** Closes a run that has no answer to label. */
+/** Stops tracking a run that has no response to label. */
 void
 DropRun(version_tracker& aTracker, std::uint64_t aRun);
 
-/** Closes a run and names the versions that produced its answer.
+/** Stops tracking a run and determines the versions that produced its response.
  *
- * The server's own account (aClaim) is never enough: a server that swaps late
- * or fails a swap may name the version that it was ordered to hold. Proved
- * are only the versions read before and after. The account counts for what
- * lies between them, and only where it fits each swap that was read back. */
+ * The versions that the server reports (aReported) aren't sufficient: a server
+ * that swaps late or fails a swap may report the version that it was ordered to
+ * load. Only the versions read before and after the run are certain. The report
+ * is used for the time between them, and only if it matches every swap that a
+ * read confirmed. */
 version_label
 EndRun(version_tracker& aTracker,
        std::uint64_t aRun,
        const weight_version& aAfter,
-       const std::vector<version_part>& aClaim,
+       const std::vector<version_part>& aReported,
        std::int64_t aTokens,
        time_point aNow);
 
-/** Refuses an order, or opens it.
- * @param aHeld what the server was just read to hold
- * @return stable reason why it isn't sent; empty when it may be */
+/** Accepts an order as the open one, or refuses it.
+ * @param aHeld version just read from the server
+ * @return stable reason why the order must not be sent; empty when it may be */
 std::string
 OpenSwap(version_tracker& aTracker,
          const weight_version& aTarget,
@@ -158,14 +165,15 @@
          std::int64_t aFencing,
          time_point aNow);
 
-/** Takes the server's answer to the open order and the read that follows. */
+/** Records the server's response to the open order and the version read after
+ * it. */
 void
 CloseSwap(version_tracker& aTracker,
-          swap_answer aAnswer,
+          swap_result aResult,
           const weight_version& aHeld,
           time_point aNow);
 
-/** Takes a read made at any other time.
+/** Records a version read at any other time.
  * @param aEvents value of mEvents when the read began */
 void
 TakeRead(version_tracker& aTracker,
--- a/Duties/Weights/WeightGate.cpp
+++ b/Duties/Weights/WeightGate.cpp
@@ -8,13 +8,13 @@
 using wire::run_state;
 
 std::vector<version_part>
-ToClaim(const std::vector<wire::weight_part>& aParts)
+ToVersionParts(const std::vector<wire::weight_part>& aParts)
 {
-  std::vector<version_part> claim;
+  std::vector<version_part> reported;
   for (const auto& part : aParts) {
-    claim.push_back({ part.version, part.tokens });
+    reported.push_back({ part.version, part.tokens });
   }
-  return claim;
+  return reported;
 }
 
 dispatch::backend_run
@@ -38,7 +38,7 @@
 {
   mTracker.mLimits = aLimits;
   mTracker.mStartedAt = boot_clock::now();
-  mSwapper = std::thread([this] { SwapLoop(); });
+  mSwapThread = std::thread([this] { SwapLoop(); });
 }
 
 weight_gate::~weight_gate()
@@ -50,8 +50,8 @@
 weight_gate::Stop()
 {
   mOrders.Close();
-  if (mSwapper.joinable()) {
-    mSwapper.join();
+  if (mSwapThread.joinable()) {
+    mSwapThread.join();
   }
 }
 
@@ -108,7 +108,7 @@
   const auto before = Read(events);
   {
     std::lock_guard lock(mMutex);
-    TakeBefore(mTracker, run, before, events, boot_clock::now());
+    RecordVersionBefore(mTracker, run, before, events, boot_clock::now());
   }
   const bool isKnown = before.IsKnown();
   if (!isKnown || before.mVersion < aOrder.oldest_weight_version) {
@@ -116,11 +116,12 @@
     DropRun(mTracker, run);
     return RefuseRun(isKnown ? "weights_too_old" : "weights_not_known");
   }
-  auto ended = dispatch::RunOnServer(mServer, aOrder, aTimeout);
-  if (ended.mState != run_state::FINISHED || ended.mResult.http_status != 200) {
+  auto backendRun = dispatch::RunOnServer(mServer, aOrder, aTimeout);
+  if (backendRun.mState != run_state::FINISHED ||
+      backendRun.mResult.http_status != 200) {
     std::lock_guard lock(mMutex);
     DropRun(mTracker, run);
-    return ended;
+    return backendRun;
   }
   const auto after = Read(events);
   version_label label;
@@ -130,17 +131,17 @@
     label = EndRun(mTracker,
                    run,
                    after,
-                   ToClaim(ended.mResult.versions),
-                   ended.mResult.completion_tokens,
+                   ToVersionParts(backendRun.mResult.versions),
+                   backendRun.mResult.completion_tokens,
                    now);
     TakeRead(mTracker, after, events, now);
   }
-  TakeLabel(label, ended.mResult);
-  return ended;
+  ApplyLabel(label, backendRun.mResult);
+  return backendRun;
 }
 
 void
-weight_gate::TakeLabel(const version_label& aLabel, wire::run_result& aResult)
+weight_gate::ApplyLabel(const version_label& aLabel, wire::run_result& aResult)
 {
   aResult.versions.clear();
   aResult.model = aLabel.mModel;
@@ -155,17 +156,18 @@
     mMetrics.Count("lavender_agent_versions_unknown_total",
                    { { "reason", aLabel.mReason } });
   }
-  if (aLabel.mIsClaimWrong) {
+  if (aLabel.mIsReportWrong) {
     mMetrics.Count("lavender_agent_wrong_accounts_total", {});
     if (!mHasWarned.exchange(true)) {
       Log(log_level::Warning,
           "weights",
-          "The server names versions that it doesn't hold.");
+          "The server reported weight versions that it doesn't hold.");
     }
   }
 }
 
-/** What keeps an order from being taken; the order itself isn't opened. */
+/** Returns the reason to refuse an order, or an empty string. Doesn't open the
+ * order. */
 std::string
 weight_gate::FindRefusal(const wire::swap_order& aOrder)
 {
@@ -207,7 +209,7 @@
   wire::swap_reply reply;
   reply.echo = aOrder.echo;
   const weight_version target{ aOrder.model, aOrder.version };
-  std::lock_guard oneByOne(mSwapMutex);
+  std::lock_guard swapLock(mSwapMutex);
   const auto held = Refresh();
   reply.holds_version = held.mVersion;
   {
@@ -230,15 +232,15 @@
   }
   const auto failure = dispatch::OrderWeights(
     mServer, aOrder.model, aOrder.version, aOrder.fencing);
-  const auto answer = failure.empty()          ? swap_answer::Done
-                      : failure == "no_answer" ? swap_answer::NoAnswer
-                                               : swap_answer::Failed;
-  // Whatever the answer says: only the server knows what it holds now.
+  const auto result = failure.empty()          ? swap_result::Done
+                      : failure == "no_answer" ? swap_result::NoResponse
+                                               : swap_result::Failed;
+  // The response isn't proof; only a read shows which version the server holds.
   std::uint64_t events = 0;
   const auto now = Read(events);
   {
     std::lock_guard lock(mMutex);
-    CloseSwap(mTracker, answer, now, boot_clock::now());
+    CloseSwap(mTracker, result, now, boot_clock::now());
   }
   reply.holds_version = now.mModel == aOrder.model ? now.mVersion : 0;
   reply.done = now == target;
--- a/Duties/Weights/WeightGate.h
+++ b/Duties/Weights/WeightGate.h
@@ -11,13 +11,12 @@
 
 namespace lavender::weights {
 
-/** Operation name of an order that makes a sample. */
+/** Operation name of a dispatch order that generates a sample. */
 constexpr const char* kSampleOperation = "sample";
 
-/** Stands between the agent and its server: brackets each sample's run with
- * reads of the version that the server holds, and lets one swap order through
- * at a time. Safe to use from any thread; no read or run is made under the
- * lock. */
+/** Access of the agent to its backend server. Reads the server's weight version
+ * before and after each sample's run, and executes one swap order at a time.
+ * Thread-safe; the mutex is never held during a call to the server. */
 class weight_gate
 {
 public:
@@ -29,22 +28,23 @@
   weight_gate(const weight_gate&) = delete;
   weight_gate& operator=(const weight_gate&) = delete;
 
-  /** Runs an order on the server. A sample's result names the versions that
-   * truly produced it, or why they aren't known. A server whose weights are
-   * older than the order allows doesn't run it. */
+  /** Runs an order on the server. The result of a sample names the versions
+   * that produced it, or why they are unknown. A sample isn't run when the
+   * server's weights are unknown or older than the order allows. */
   dispatch::backend_run Run(const wire::dispatch_order& aOrder,
                             milliseconds aTimeout);
 
-  /** Takes a swap order, or refuses it, at once. A thread of the gate carries
-   * it out, so that whoever gives 1,200 orders waits for none of the loads;
-   * what became of it shows in the agent's report. */
+  /** Queues a swap order or refuses it, without waiting. A background thread
+   * executes the order, so that a process that sends 1,200 orders waits for
+   * none of the loads; the agent's report contains the result. */
   wire::swap_reply Order(const wire::swap_order& aOrder);
-  /** Carries an order out and says what the server truly holds then. */
+  /** Executes a swap order and returns the version that the server holds after
+   * it. */
   wire::swap_reply Swap(const wire::swap_order& aOrder);
-  /** Ends the thread after the order under way. */
+  /** Joins the background thread after the order in progress. */
   void Stop();
 
-  /** Asks the server what it holds. */
+  /** Reads the server's version and records it. */
   weight_version Refresh();
 
 private:
@@ -53,19 +53,20 @@
   dispatch::backend_run RunSample(const wire::dispatch_order& aOrder,
                                   milliseconds aTimeout);
   weight_version Read(std::uint64_t& aEvents);
-  void TakeLabel(const version_label& aLabel, wire::run_result& aResult);
+  void ApplyLabel(const version_label& aLabel, wire::run_result& aResult);
 
   const dispatch::backend_server mServer;
   const std::string mIncarnation;
   metrics::registry& mMetrics;
-  /** A server that lies does so often: one line is enough. */
+  /** Limits the warning about wrong reports to one line per process, since such
+   * a server repeats the error. */
   std::atomic<bool> mHasWarned{ false };
   std::mutex mMutex;
   version_tracker mTracker;
-  /** Held while an order is under way, so that orders go one by one. */
+  /** Held while an order is executed, so that orders run one at a time. */
   std::mutex mSwapMutex;
   bounded_ring<wire::swap_order> mOrders{ 1 };
-  std::thread mSwapper;
+  std::thread mSwapThread;
 };
 
 } // namespace lavender::weights
