--- a/Duties/Orders/OrderChannel.cpp
+++ b/Duties/Orders/OrderChannel.cpp
@@ -8,11 +8,12 @@
 using namespace std::chrono_literals;
 
 constexpr char kKind[] = "ZoneOrder";
-/** An order that starts with less left of the lease would be cut by its end. */
-constexpr milliseconds kShortestRest = 100ms;
+/** Remaining lease time needed to send an order. With less, the connection
+ * would probably be aborted when the lease expires. */
+constexpr milliseconds kMinimumLeaseTime = 100ms;
 
 std::string
-ToText(order_stage aStage)
+ToString(order_stage aStage)
 {
   switch (aStage) {
     case order_stage::Draining:
@@ -35,7 +36,7 @@
 }
 
 bool
-IsSame(const order_record& aOne, const order_record& aOther)
+AreEqual(const order_record& aOne, const order_record& aOther)
 {
   return json::Write(Describe(aOne)) == json::Write(Describe(aOther));
 }
@@ -57,7 +58,7 @@
   described.Set("pool", aRecord.mPool);
   described.Set("server", aRecord.mServer);
   described.Set("fencing", aRecord.mFencing);
-  described.Set("stage", ToText(aRecord.mStage));
+  described.Set("stage", ToString(aRecord.mStage));
   return described;
 }
 
@@ -91,11 +92,11 @@
   const bool isFound = read.mState == platform::read_state::Found;
   auto record = isFound ? ParseRecord(read.mObject.mValue) : order_record();
   if (record.mFencing > aLease.mFencing) {
-    // Another process holds a newer lease; this one's end is near.
+    // Another process holds a newer lease, so this lease is about to expire.
     return false;
   }
   mRevision = isFound ? read.mObject.mRevision : 0;
-  if (!Keep(std::move(record), aLease)) {
+  if (!WriteRecord(std::move(record), aLease)) {
     return false;
   }
   mFencing = aLease.mFencing;
@@ -105,7 +106,7 @@
 bool
 order_channel::Begin(order_record aRecord, const leases::held_lease& aLease)
 {
-  return TakeOver(aLease) && Keep(std::move(aRecord), aLease);
+  return TakeOver(aLease) && WriteRecord(std::move(aRecord), aLease);
 }
 
 bool
@@ -113,7 +114,7 @@
 {
   auto record = mRecord;
   record.mStage = order_stage::Settled;
-  return TakeOver(aLease) && Keep(std::move(record), aLease);
+  return TakeOver(aLease) && WriteRecord(std::move(record), aLease);
 }
 
 order_outcome
@@ -125,21 +126,21 @@
   if (mRecord.mStage != order_stage::Sent) {
     auto record = mRecord;
     record.mStage = order_stage::Sent;
-    if (!Keep(std::move(record), aLease)) {
+    if (!WriteRecord(std::move(record), aLease)) {
       return order_outcome::TryAgain;
     }
   }
-  if (boot_clock::now() + kShortestRest > aLease.mExpiresAt) {
+  if (boot_clock::now() + kMinimumLeaseTime > aLease.mExpiresAt) {
     Count("lease_too_short");
     return order_outcome::TryAgain;
   }
   auto body = Describe(mRecord);
   body.Set("holder", mPlatform.mCaller);
-  const auto answer = leases::PostUnderLease(
+  const auto response = leases::PostUnderLease(
     mPlatform, "/v1/zones/" + http::EncodeUrl(mZone) + "/orders", body, aLease);
-  const int status = answer.mResponse.mStatus;
-  if (answer.mState != http::call_state::Answered || status >= 500) {
-    // It may have been carried out: sent again under the same id.
+  const int status = response.mResponse.mStatus;
+  if (response.mState != http::call_state::Answered || status >= 500) {
+    // The platform may have executed the order; it is resent with the same id.
     Count("unknown");
     mUnansweredAt = boot_clock::now();
     return order_outcome::TryAgain;
@@ -147,12 +148,13 @@
   Count(status == 200 ? "done" : "refused");
   auto record = mRecord;
   record.mStage = order_stage::Settled;
-  Keep(std::move(record), aLease);
+  WriteRecord(std::move(record), aLease);
   return status == 200 ? order_outcome::Done : order_outcome::Refused;
 }
 
 bool
-order_channel::Keep(order_record aRecord, const leases::held_lease& aLease)
+order_channel::WriteRecord(order_record aRecord,
+                           const leases::held_lease& aLease)
 {
   aRecord.mFencing = aLease.mFencing;
   const auto written =
@@ -165,13 +167,14 @@
   if (written.mState == platform::write_state::Unknown) {
     const auto read = platform::Read(mPlatform, kKind, mZone);
     if (read.mState == platform::read_state::Found &&
-        IsSame(ParseRecord(read.mObject.mValue), aRecord)) {
+        AreEqual(ParseRecord(read.mObject.mValue), aRecord)) {
       mRevision = read.mObject.mRevision;
       mRecord = std::move(aRecord);
       return true;
     }
   }
-  // What stands there isn't known: it is read again before anything is sent.
+  // The stored record is unknown, so TakeOver has to read it again before
+  // anything is sent.
   mFencing = 0;
   return false;
 }
--- a/Duties/Orders/OrderChannel.h
+++ b/Duties/Orders/OrderChannel.h
@@ -9,28 +9,29 @@
 
 namespace lavender::orders {
 
-/** How far an order got. */
+/** Progress of an order. */
 enum class order_stage
 {
-  /** Nothing is under way. */
+  /** No order is in progress. */
   Settled,
-  /** A stop whose server drains first; nothing was sent. */
+  /** A stop order whose server is draining; nothing was sent to the platform.
+   */
   Draining,
-  /** It may have been sent. */
+  /** The order may have been sent. */
   Sent
 };
 
-/** An order to the platform and how far it got: what the Object API holds for
- * a zone, kind "ZoneOrder". It is written before the next step is taken, so
- * that a successor finishes what a holder left. */
+/** An order to the platform and its progress, as stored in the Object API per
+ * zone under the kind "ZoneOrder". It is written before each step, so that the
+ * next holder of the zone's lease can finish the order. */
 struct order_record
 {
-  /** The platform carries out one order of an id. */
+  /** Unique id; the platform executes an id at most once. */
   std::string mId;
   /** "start" or "stop". */
   std::string mAction;
   std::string mPool;
-  /** For a stop. */
+  /** Stop only: name of the server. */
   std::string mServer;
   std::int64_t mFencing = 0;
   order_stage mStage = order_stage::Settled;
@@ -43,40 +44,42 @@
 
 enum class order_outcome
 {
-  /** The platform has it. */
+  /** The platform accepted the order. */
   Done,
-  /** The platform refused it for good. */
+  /** The platform refused the order permanently. */
   Refused,
-  /** Not known or not possible now: the same step is to be tried again. */
+  /** The outcome is unknown, or sending isn't possible now; Send must be called
+   * again. */
   TryAgain
 };
 
-/** Sends orders for one zone, one at a time. All calls are for the holder of
- * the zone's lease, from one thread. */
+/** Sends orders for one zone to the platform, one at a time. Only the holder of
+ * the zone's lease may use it, from one thread. */
 class order_channel
 {
 public:
   order_channel(std::string aZone, platform::client aPlatform);
 
   /** Takes the zone's record over under a lease that is new to this channel.
-   * The write makes a predecessor's later writes fail. False while the store
-   * doesn't answer; nothing may be sent then. */
+   * This rewrites the record, so that later conditional writes of the previous
+   * holder fail. Returns false when the object store doesn't respond or the
+   * lease is outdated; nothing may be sent then. */
   bool TakeOver(const leases::held_lease& aLease);
-  /** Order under way; Settled stage when there is none. */
+  /** The order in progress; its stage is Settled when there is none. */
   const order_record& Current() const { return mRecord; }
-  /** Writes the intent of a new order. */
+  /** Stores a new order before anything is sent. */
   bool Begin(order_record aRecord, const leases::held_lease& aLease);
-  /** Sends the order under way, or sends it again after an unknown outcome. */
+  /** Sends the order in progress, or resends it after an unknown outcome. */
   order_outcome Send(const leases::held_lease& aLease);
-  /** Drops an order that was never sent. */
+  /** Discards an order that was never sent. */
   bool Cancel(const leases::held_lease& aLease);
 
-  /** When an order was last sent without an answer: its bytes may still
-   * arrive for a while. */
+  /** When an order was last sent without a response. Its bytes may still be in
+   * transit for a while. */
   std::optional<time_point> UnansweredAt() const { return mUnansweredAt; }
 
 private:
-  bool Keep(order_record aRecord, const leases::held_lease& aLease);
+  bool WriteRecord(order_record aRecord, const leases::held_lease& aLease);
   void Count(const char* aResult) const;
 
   const std::string mZone;
--- a/Duties/Orders/Scale.cpp
+++ b/Duties/Orders/Scale.cpp
@@ -12,16 +12,16 @@
 struct zone_load
 {
   std::int64_t mServers = 0;
-  std::int64_t mHeard = 0;
-  double mWork = 0;
+  std::int64_t mReporting = 0;
+  double mRequests = 0;
   double mSlots = 0;
   milliseconds mQueueDelay{ 0 };
-  /** Least loaded server that may be stopped. */
-  const server_load* mIdlest = nullptr;
+  /** The least loaded server, which is the next one to stop. */
+  const server_load* mLeastLoaded = nullptr;
 };
 
 zone_load
-Sum(const std::vector<server_load>& aServers)
+SumLoads(const std::vector<server_load>& aServers)
 {
   zone_load load;
   for (const auto& server : aServers) {
@@ -29,17 +29,18 @@
       continue;
     }
     ++load.mServers;
-    if (!server.mIsHeard) {
+    if (!server.mIsReporting) {
       continue;
     }
-    ++load.mHeard;
-    load.mWork += server.mQueued + server.mRunning;
+    ++load.mReporting;
+    load.mRequests += server.mQueued + server.mRunning;
     load.mSlots += server.mSlots;
     load.mQueueDelay = std::max(load.mQueueDelay, server.mQueueDelay);
-    const bool isIdler =
-      !load.mIdlest || server.mQueued + server.mRunning <
-                         load.mIdlest->mQueued + load.mIdlest->mRunning;
-    load.mIdlest = isIdler ? &server : load.mIdlest;
+    const bool isLessLoaded =
+      !load.mLeastLoaded ||
+      server.mQueued + server.mRunning <
+        load.mLeastLoaded->mQueued + load.mLeastLoaded->mRunning;
+    load.mLeastLoaded = isLessLoaded ? &server : load.mLeastLoaded;
   }
   return load;
 }
@@ -47,23 +48,24 @@
 bool
 IsBusy(const zone_load& aLoad, const scale_policy& aPolicy)
 {
-  return aLoad.mWork > aPolicy.mHighUse * aLoad.mSlots ||
-         aLoad.mQueueDelay > aPolicy.mLongQueueDelay;
+  return aLoad.mRequests > aPolicy.mHighUtilisation * aLoad.mSlots ||
+         aLoad.mQueueDelay > aPolicy.mMaximumQueueDelay;
 }
 
 bool
 IsIdle(const zone_load& aLoad, const scale_policy& aPolicy)
 {
-  return aLoad.mIdlest && !IsBusy(aLoad, aPolicy) &&
-         aLoad.mWork < aPolicy.mLowUse * (aLoad.mSlots - aLoad.mIdlest->mSlots);
+  return aLoad.mLeastLoaded && !IsBusy(aLoad, aPolicy) &&
+         aLoad.mRequests <
+           aPolicy.mLowUse * (aLoad.mSlots - aLoad.mLeastLoaded->mSlots);
 }
 
 scale_decision
-Change(scale_state& aState,
-       time_point aNow,
-       scale_action aAction,
-       std::string aServer,
-       std::string aReason)
+RecordChange(scale_state& aState,
+             time_point aNow,
+             scale_action aAction,
+             std::string aServer,
+             std::string aReason)
 {
   aState.mChangedAt = aNow;
   aState.mBusySince.reset();
@@ -82,32 +84,35 @@
   if (aPolicy.mMaximum <= 0) {
     return {};
   }
-  const auto load = Sum(aServers);
-  const bool isBusyLong =
-    HasLasted(aState.mBusySince, IsBusy(load, aPolicy), aPolicy.mBusyFor, aNow);
-  const bool isIdleLong =
+  const auto load = SumLoads(aServers);
+  const bool isBusyLongEnough = HasLasted(
+    aState.mBusySince, IsBusy(load, aPolicy), aPolicy.mScaleUpDelay, aNow);
+  const bool isIdleLongEnough =
     HasLasted(aState.mIdleSince, IsIdle(load, aPolicy), aPolicy.mIdleFor, aNow);
   if (aState.mChangedAt && aNow - *aState.mChangedAt < aPolicy.mStartTime) {
     return {};
   }
   if (load.mServers < aPolicy.mMinimum) {
-    return Change(aState, aNow, scale_action::Start, "", "below_minimum");
+    return RecordChange(aState, aNow, scale_action::Start, "", "below_minimum");
   }
-  if (load.mHeard * 2 < load.mServers) {
-    // Most agents are silent: the load is unknown, not low.
+  if (load.mReporting * 2 < load.mServers) {
+    // Most agents don't report, so the load is unknown and may not be low.
     return {};
   }
-  if (load.mServers > aPolicy.mMaximum && load.mIdlest) {
-    return Change(
-      aState, aNow, scale_action::Stop, load.mIdlest->mName, "above_maximum");
+  if (load.mServers > aPolicy.mMaximum && load.mLeastLoaded) {
+    return RecordChange(aState,
+                        aNow,
+                        scale_action::Stop,
+                        load.mLeastLoaded->mName,
+                        "above_maximum");
   }
-  if (isBusyLong && load.mServers < aPolicy.mMaximum) {
-    return Change(aState, aNow, scale_action::Start, "", "busy");
+  if (isBusyLongEnough && load.mServers < aPolicy.mMaximum) {
+    return RecordChange(aState, aNow, scale_action::Start, "", "busy");
   }
-  if (isIdleLong &&
+  if (isIdleLongEnough &&
       load.mServers > std::max<std::int64_t>(1, aPolicy.mMinimum)) {
-    return Change(
-      aState, aNow, scale_action::Stop, load.mIdlest->mName, "idle");
+    return RecordChange(
+      aState, aNow, scale_action::Stop, load.mLeastLoaded->mName, "idle");
   }
   return {};
 }
--- a/Duties/Orders/Scale.h
+++ b/Duties/Orders/Scale.h
@@ -7,46 +7,48 @@
 #include <string>
 #include <vector>
 
-/** Starting and stopping backend servers, zone by zone, in one process. */
+/** Starts and stops backend servers by load, separately for each availability
+ * zone. */
 namespace lavender::orders {
 
-/** What is known of one backend server of a pool in a zone. */
+/** Load of one backend server of a pool in a zone. */
 struct server_load
 {
   std::string mName;
   int mQueued = 0;
   int mRunning = 0;
   int mSlots = 0;
-  /** How long a request waits in its queue. */
+  /** Time that a request waits in the server's queue. */
   milliseconds mQueueDelay{ 0 };
-  /** Takes no new work. */
+  /** The server accepts no new requests. */
   bool mIsLeaving = false;
-  /** Its agent reported lately and reaches the server. */
-  bool mIsHeard = false;
+  /** The server's agent has reported recently and reaches the server. */
+  bool mIsReporting = false;
 };
 
-/** When one pool in one zone gets more or fewer servers. */
+/** Scaling policy of one pool in one zone. */
 struct scale_policy
 {
   std::int64_t mMinimum = 0;
-  /** No scaling at all while 0. */
+  /** 0 disables scaling. */
   std::int64_t mMaximum = 0;
-  /** Share of slots in use above which a server is added. */
-  double mHighUse = 0.8;
-  /** A server goes only when the rest would stay below this. The gap between
-   * the two keeps a stop from causing the next start. */
+  /** A server is added when the fraction of slots in use exceeds this. */
+  double mHighUtilisation = 0.8;
+  /** A server is stopped only when the utilisation of the others would stay
+   * below this. The gap between the two thresholds prevents a stop from
+   * triggering the next start. */
   double mLowUse = 0.5;
-  milliseconds mLongQueueDelay{ 500 };
-  /** How long it must be busy, or idle, without a break. An idle server costs
-   * less than a queue, so stopping is the slower one. */
-  milliseconds mBusyFor{ 5000 };
+  milliseconds mMaximumQueueDelay{ 500 };
+  /** How long the zone must be busy, or idle, without interruption. Stopping
+   * takes longer, because an idle server costs less than a queue. */
+  milliseconds mScaleUpDelay{ 5000 };
   milliseconds mIdleFor{ 60000 };
-  /** From a start order to the first request; no change meanwhile, since the
-   * server that is on its way isn't seen in the load yet. */
+  /** Time from a start order to the server's first request. No other change is
+   * made in this time, since the load doesn't include the new server yet. */
   milliseconds mStartTime{ 60000 };
 };
 
-/** Memory of the decision between two looks. */
+/** State of DecideScale between calls. */
 struct scale_state
 {
   std::optional<time_point> mBusySince;
@@ -64,12 +66,12 @@
 struct scale_decision
 {
   scale_action mAction = scale_action::None;
-  /** For Stop. */
+  /** Stop only: name of the server. */
   std::string mServer;
   std::string mReason;
 };
 
-/** Decides for one pool in one zone and updates the memory. */
+/** Decides for one pool in one zone and updates the state. */
 scale_decision
 DecideScale(scale_state& aState,
             const scale_policy& aPolicy,
--- a/Duties/Orders/TestScale.cpp
+++ b/Duties/Orders/TestScale.cpp
@@ -36,8 +36,8 @@
   return policy;
 }
 
-/** A zone that does as ordered: a start counts after the start time, a stopped
- * server is gone at once. */
+/** Simulated zone: a started server appears after the startup time, a stopped
+ * one disappears at once. */
 struct zone
 {
   scale_state mState;
@@ -84,14 +84,14 @@
               scale_action::None));
 }
 
-// Every agent is cut off. The load looks like none, but stopping servers now
-// would take them from callers whom other entries still serve.
+// Guards against stopping servers while no agent reaches this entry. The load
+// seems to be zero, but other entries may still use the servers.
 BOOST_AUTO_TEST_CASE(SilenceIsNotIdleness)
 {
   scale_state state;
   auto servers = Servers(4, 0);
   for (auto& server : servers) {
-    server.mIsHeard = false;
+    server.mIsReporting = false;
   }
   for (int second = 0; second < 600; ++second) {
     const auto decision = DecideScale(
@@ -112,8 +112,9 @@
               scale_action::Start));
 }
 
-// Any load, step by step: the bounds hold, a busy zone loses no server, and two
-// changes are at least a start time apart.
+// Under any sequence of loads, the number of servers stays within its bounds, a
+// busy zone loses no server, and two changes are at least the startup time
+// apart.
 BOOST_AUTO_TEST_CASE(BoundsAndPausesHoldUnderAnyLoad)
 {
   BOOST_TEST(rc::check("bounds hold", [] {
@@ -132,7 +133,7 @@
                   zone.mNow - *changedAt >= zone.mPolicy.mStartTime);
         changedAt = zone.mNow;
         RC_ASSERT(decision.mAction != scale_action::Stop ||
-                  load <= zone.mPolicy.mHighUse * before * 16);
+                  load <= zone.mPolicy.mHighUtilisation * before * 16);
       }
       const auto all = zone.mServers + static_cast<int>(zone.mStarting.size());
       RC_ASSERT(all >= zone.mPolicy.mMinimum);
@@ -141,8 +142,8 @@
   }));
 }
 
-// A steady load settles: without the gap between the two limits a stop would
-// cause the next start, and servers would come and go for ever.
+// Guards against flapping under a constant load: without the gap between the
+// two thresholds each stop would trigger the next start.
 BOOST_AUTO_TEST_CASE(SteadyLoadSettles)
 {
   BOOST_TEST(rc::check("no flapping", [] {
--- a/Duties/Orders/ZoneKeeper.cpp
+++ b/Duties/Orders/ZoneKeeper.cpp
@@ -11,11 +11,11 @@
 
 using namespace std::chrono_literals;
 
-/** A report older than this says nothing about the load now. */
-constexpr milliseconds kOldestReport = 5000ms;
+/** An older load report is ignored. */
+constexpr milliseconds kMaximumReportAge = 5000ms;
 constexpr milliseconds kDrainTimeout = 1000ms;
-/** An empty server's last answers are still fetched within this. */
-constexpr milliseconds kFetchTime = 2500ms;
+/** Time for entries to fetch the last responses of a drained server. */
+constexpr milliseconds kResponseFetchTime = 2500ms;
 
 } // namespace
 
@@ -65,7 +65,7 @@
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
     lock.unlock();
-    LookAtAll();
+    UpdateZones();
     lock.lock();
     mStopped.wait_for(
       lock, mOptions.mLookEvery, [this] { return mIsStopping; });
@@ -73,14 +73,14 @@
 }
 
 void
-zone_keeper::LookAtAll()
+zone_keeper::UpdateZones()
 {
   const auto snapshot = mConfiguration.Current();
-  const bool isScaling = std::any_of(
+  const bool isScalingEnabled = std::any_of(
     snapshot->mPools.begin(), snapshot->mPools.end(), [](const auto& aPool) {
       return aPool.second.mMaximumPerZone > 0;
     });
-  if (!isScaling) {
+  if (!isScalingEnabled) {
     return;
   }
   std::set<std::string> names;
@@ -95,49 +95,51 @@
       auto& zone =
         mZones.try_emplace(name, order_channel(name, mOptions.mPlatform))
           .first->second;
-      LookAt(zone, name, *lease);
+      UpdateZone(zone, name, *lease);
     }
   }
 }
 
 void
-zone_keeper::LookAt(zone& aZone,
-                    const std::string& aName,
-                    const leases::held_lease& aLease)
+zone_keeper::UpdateZone(zone& aZone,
+                        const std::string& aName,
+                        const leases::held_lease& aLease)
 {
   if (!aZone.mChannel.TakeOver(aLease)) {
     return;
   }
   if (aZone.mFencing != aLease.mFencing) {
-    // What a predecessor started may be on its way, so each pool waits as
-    // after a change of its own; a pool below its minimum too.
+    // A server started by the previous holder may not report yet, so each pool
+    // waits as after a change, even one below its minimum.
     aZone.mFencing = aLease.mFencing;
-    aZone.mScale.clear();
+    aZone.mScaleStates.clear();
     for (const auto& [pool, spec] : mConfiguration.Current()->mPools) {
-      aZone.mScale[pool].mChangedAt = boot_clock::now();
+      aZone.mScaleStates[pool].mChangedAt = boot_clock::now();
     }
     aZone.mEmptySince.reset();
     aZone.mDrainingSince.reset();
   }
   if (aZone.mChannel.Current().mStage == order_stage::Settled) {
-    Decide(aZone, aName, aLease);
+    BeginOrderIfNeeded(aZone, aName, aLease);
   }
   if (aZone.mChannel.Current().mStage != order_stage::Settled) {
-    GoOn(aZone, aLease);
+    ContinueOrder(aZone, aLease);
   }
 }
 
 void
-zone_keeper::Decide(zone& aZone,
-                    const std::string& aName,
-                    const leases::held_lease& aLease)
+zone_keeper::BeginOrderIfNeeded(zone& aZone,
+                                const std::string& aName,
+                                const leases::held_lease& aLease)
 {
   for (const auto& [name, pool] : mConfiguration.Current()->mPools) {
     auto policy = mOptions.mPolicy;
     policy.mMinimum = pool.mMinimumPerZone;
     policy.mMaximum = pool.mMaximumPerZone;
-    const auto decision = DecideScale(
-      aZone.mScale[name], policy, Loads(aName, name), boot_clock::now());
+    const auto decision = DecideScale(aZone.mScaleStates[name],
+                                      policy,
+                                      CollectLoads(aName, name),
+                                      boot_clock::now());
     if (decision.mAction == scale_action::None) {
       continue;
     }
@@ -150,15 +152,16 @@
     record.mStage = isStart ? order_stage::Sent : order_stage::Draining;
     Log(log_level::Info,
         "orders",
-        "Decided action=" + record.mAction + " zone=" + aName + " pool=" +
-          name + " server=" + record.mServer + " reason=" + decision.mReason);
+        "Scaling decided action=" + record.mAction + " zone=" + aName +
+          " pool=" + name + " server=" + record.mServer +
+          " reason=" + decision.mReason);
     aZone.mChannel.Begin(std::move(record), aLease);
     return;
   }
 }
 
 void
-zone_keeper::GoOn(zone& aZone, const leases::held_lease& aLease)
+zone_keeper::ContinueOrder(zone& aZone, const leases::held_lease& aLease)
 {
   const auto& order = aZone.mChannel.Current();
   if (order.mStage == order_stage::Draining && !IsDrained(aZone, aLease)) {
@@ -167,7 +170,7 @@
   aZone.mChannel.Send(aLease);
   aZone.mEmptySince.reset();
   aZone.mDrainingSince.reset();
-  aZone.mIsStuckTold = false;
+  aZone.mIsDeferralLogged = false;
 }
 
 bool
@@ -186,22 +189,22 @@
   message.echo = order.mId;
   message.fencing = aLease.mFencing;
   message.reason = "planned stop";
-  const auto answer = server->mConnections->Run<wire::drain_reply>(
+  const auto response = server->mConnections->Run<wire::drain_reply>(
     kDrainTimeout, order.mId, [&](auto& aClient, auto& aReply) {
       aClient.Drain(aReply, message);
     });
-  const bool isEmpty = answer.mState == wire::wire_state::Answered &&
-                       answer.mReply.draining &&
-                       answer.mReply.requests_left == 0;
+  const bool isEmpty = response.mState == wire::wire_state::Answered &&
+                       response.mReply.draining &&
+                       response.mReply.requests_left == 0;
   if (!isEmpty) {
     aZone.mEmptySince.reset();
     if (now - *aZone.mDrainingSince > mOptions.mDrainDeadline &&
-        !aZone.mIsStuckTold) {
-      aZone.mIsStuckTold = true;
+        !aZone.mIsDeferralLogged) {
+      aZone.mIsDeferralLogged = true;
       Log(log_level::Warning,
           "orders",
-          "Stop deferred server=" + order.mServer +
-            " requests_left=" + std::to_string(answer.mReply.requests_left));
+          "Stop deferred, server still draining server=" + order.mServer +
+            " requests_left=" + std::to_string(response.mReply.requests_left));
       if (mOptions.mMetrics) {
         mOptions.mMetrics->Count("lavender_stops_deferred_total", {});
       }
@@ -211,11 +214,12 @@
   if (!aZone.mEmptySince) {
     aZone.mEmptySince = now;
   }
-  return now - *aZone.mEmptySince >= kFetchTime;
+  return now - *aZone.mEmptySince >= kResponseFetchTime;
 }
 
 std::vector<server_load>
-zone_keeper::Loads(const std::string& aZone, const std::string& aPool) const
+zone_keeper::CollectLoads(const std::string& aZone,
+                          const std::string& aPool) const
 {
   const auto now = boot_clock::now();
   std::vector<server_load> loads;
@@ -232,8 +236,8 @@
     load.mQueueDelay =
       milliseconds(static_cast<std::int64_t>(view.mLoad.queue_delay_ms));
     load.mIsLeaving = view.mIsLeaving;
-    load.mIsHeard = view.mIsServerReachable && view.mHeardAt &&
-                    now - *view.mHeardAt < kOldestReport;
+    load.mIsReporting = view.mIsServerReachable && view.mHeardAt &&
+                        now - *view.mHeardAt < kMaximumReportAge;
     loads.push_back(std::move(load));
   }
   return loads;
--- a/Duties/Orders/ZoneKeeper.h
+++ b/Duties/Orders/ZoneKeeper.h
@@ -19,22 +19,24 @@
 {
   platform::client mPlatform;
   leases::lease_source mLeases;
-  /** Told of leases that must not be released at the end, since an order under
-   * them may still be on its way. */
+  /** Called at Stop with the name of each lease that must expire instead of
+   * being released, because an order sent under it may still be in transit. */
   std::function<void(const std::string&)> mLetExpire;
-  /** Within this a sent order has arrived or is lost. */
+  /** Longest time in transit: a sent order has arrived or is lost after this.
+   */
   milliseconds mLateBytes{ 3000 };
-  /** Bounds come from each pool; the rest from here. */
+  /** Scaling policy; mMinimum and mMaximum are replaced by those of each pool.
+   */
   scale_policy mPolicy;
   milliseconds mLookEvery{ 300 };
-  /** A stop whose drain lasts longer is told in the log; it is deferred on,
-   * since a planned stop cuts no request. */
+  /** A stop whose server takes longer to drain is logged and deferred further,
+   * since a planned stop must not abort requests. */
   milliseconds mDrainDeadline{ 60000 };
   metrics::registry* mMetrics = nullptr;
 };
 
-/** Starts and stops backend servers in the zones whose lease this process
- * holds, with a thread of its own. */
+/** Starts and stops backend servers, from a background thread, in the zones
+ * whose lease this process holds. */
 class zone_keeper
 {
 public:
@@ -57,26 +59,26 @@
     }
     order_channel mChannel;
     /** By pool. */
-    std::map<std::string, scale_state> mScale;
+    std::map<std::string, scale_state> mScaleStates;
     std::int64_t mFencing = 0;
-    /** When the draining server was first seen empty. */
+    /** When the draining server was first seen without requests. */
     std::optional<time_point> mEmptySince;
     std::optional<time_point> mDrainingSince;
-    bool mIsStuckTold = false;
+    bool mIsDeferralLogged = false;
   };
 
   void Run();
-  void LookAtAll();
-  void LookAt(zone& aZone,
-              const std::string& aName,
-              const leases::held_lease& aLease);
-  void GoOn(zone& aZone, const leases::held_lease& aLease);
-  void Decide(zone& aZone,
-              const std::string& aName,
-              const leases::held_lease& aLease);
+  void UpdateZones();
+  void UpdateZone(zone& aZone,
+                  const std::string& aName,
+                  const leases::held_lease& aLease);
+  void ContinueOrder(zone& aZone, const leases::held_lease& aLease);
+  void BeginOrderIfNeeded(zone& aZone,
+                          const std::string& aName,
+                          const leases::held_lease& aLease);
   bool IsDrained(zone& aZone, const leases::held_lease& aLease);
-  std::vector<server_load> Loads(const std::string& aZone,
-                                 const std::string& aPool) const;
+  std::vector<server_load> CollectLoads(const std::string& aZone,
+                                        const std::string& aPool) const;
 
   const zone_keeper_options mOptions;
   configuration::configuration_store& mConfiguration;
