--- a/Duties/Samples/BatchStore.cpp
+++ b/Duties/Samples/BatchStore.cpp
@@ -9,13 +9,13 @@
 using platform::read_state;
 using platform::write_state;
 
-constexpr std::array<const char*, 4> kStateWords = { "making",
+constexpr std::array<const char*, 4> kStateNames = { "making",
                                                      "fixed",
                                                      "delivered",
                                                      "acknowledged" };
 
 bool
-HasTooOld(const sample_table& aTable, std::int64_t aOldestVersion)
+HasOutdatedSample(const sample_table& aTable, std::int64_t aOldestVersion)
 {
   return std::any_of(aTable.begin(), aTable.end(), [&](const auto& aGroup) {
     return std::any_of(aGroup.begin(), aGroup.end(), [&](const auto& aSample) {
@@ -24,14 +24,15 @@
   });
 }
 
-ask_outcome
+delivery_result
 Outcome(ask_state aState, batch_record aRecord = {})
 {
   return { aState, {}, std::move(aRecord) };
 }
 
-/** Removes the parts of an acknowledged batch and their names. A process that
- * dies in between leaves the names, and the next ask goes on. */
+/** Deletes the parts of an acknowledged batch, then their names in the record.
+ * If the process crashes in between, the next request finds the names and
+ * continues. */
 void
 RemoveParts(const batch_store& aStore,
             const std::string& aName,
@@ -52,7 +53,7 @@
 } // namespace
 
 batch_store
-MakeStore(const platform::client& aPlatform)
+MakePlatformStore(const platform::client& aPlatform)
 {
   const auto* client = &aPlatform;
   batch_store store;
@@ -79,39 +80,39 @@
   for (const auto& part : aRecord.mParts) {
     parts.emplace_back(part);
   }
-  json::value shown;
-  shown.Set("state", kStateWords[static_cast<std::size_t>(aRecord.mState)]);
-  shown.Set("nonce", aRecord.mNonce);
-  shown.Set("digest", aRecord.mDigest);
-  shown.Set("parts", std::move(parts));
-  shown.Set("done", aRecord.mDone);
-  shown.Set("wanted", aRecord.mWanted);
-  shown.Set("beat", aRecord.mBeat);
-  shown.Set("released", aRecord.mIsReleased);
-  return shown;
+  json::value described;
+  described.Set("state", kStateNames[static_cast<std::size_t>(aRecord.mState)]);
+  described.Set("nonce", aRecord.mNonce);
+  described.Set("digest", aRecord.mDigest);
+  described.Set("parts", std::move(parts));
+  described.Set("done", aRecord.mDone);
+  described.Set("wanted", aRecord.mWanted);
+  described.Set("beat", aRecord.mHeartbeat);
+  described.Set("released", aRecord.mIsReleased);
+  return described;
 }
 
 batch_record
 ToRecord(const platform::stored_object& aObject)
 {
-  const auto& kept = aObject.mValue;
+  const auto& stored = aObject.mValue;
   batch_record read;
-  const auto word = json::StringAt(kept, "state", "");
-  const auto found = std::find(kStateWords.begin(), kStateWords.end(), word);
-  if (found != kStateWords.end()) {
-    read.mState = static_cast<batch_state>(found - kStateWords.begin());
+  const auto word = json::StringAt(stored, "state", "");
+  const auto found = std::find(kStateNames.begin(), kStateNames.end(), word);
+  if (found != kStateNames.end()) {
+    read.mState = static_cast<batch_state>(found - kStateNames.begin());
   }
-  read.mNonce = json::StringAt(kept, "nonce", "");
-  read.mDigest = json::StringAt(kept, "digest", "");
-  if (const auto* parts = kept.Find("parts")) {
+  read.mNonce = json::StringAt(stored, "nonce", "");
+  read.mDigest = json::StringAt(stored, "digest", "");
+  if (const auto* parts = stored.Find("parts")) {
     for (const auto& part : parts->Elements()) {
       read.mParts.push_back(part.StringOr(""));
     }
   }
-  read.mDone = json::IntegerAt(kept, "done", 0);
-  read.mWanted = json::IntegerAt(kept, "wanted", 0);
-  read.mBeat = json::IntegerAt(kept, "beat", 0);
-  read.mIsReleased = json::BooleanAt(kept, "released", false);
+  read.mDone = json::IntegerAt(stored, "done", 0);
+  read.mWanted = json::IntegerAt(stored, "wanted", 0);
+  read.mHeartbeat = json::IntegerAt(stored, "beat", 0);
+  read.mIsReleased = json::BooleanAt(stored, "released", false);
   read.mRevision = aObject.mRevision;
   return read;
 }
@@ -177,15 +178,15 @@
   return batch;
 }
 
-ask_outcome
+delivery_result
 Deliver(const batch_store& aStore,
         const batch_shape& aShape,
         std::int64_t aOldestVersion)
 {
   const auto name = NameOf(aShape);
-  // A second round reads what another entry, or a write whose answer was
-  // lost, has left.
-  for (int round = 0; round < 2; ++round) {
+  // A second attempt reads the record again after a conflict with another entry
+  // or after a write whose response was lost.
+  for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState != read_state::Found) {
       return Outcome(read.mState == read_state::Absent
@@ -208,7 +209,7 @@
       continue;
     }
     if (record.mState == batch_state::Fixed) {
-      if (HasTooOld(table, aOldestVersion)) {
+      if (HasOutdatedSample(table, aOldestVersion)) {
         return Outcome(ask_state::TooOld, record);
       }
       record.mState = batch_state::Delivered;
@@ -223,13 +224,13 @@
   return Outcome(ask_state::Unavailable);
 }
 
-ask_outcome
+delivery_result
 Acknowledge(const batch_store& aStore,
             const std::string& aRun,
             std::int64_t aStep)
 {
   const auto name = NameOf(aRun, aStep);
-  for (int round = 0; round < 2; ++round) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState == read_state::Failed) {
       return Outcome(ask_state::Unavailable);
--- a/Duties/Samples/BatchStore.h
+++ b/Duties/Samples/BatchStore.h
@@ -7,7 +7,7 @@
 
 namespace lavender::samples {
 
-/** The calls on the Object API that batches need; tests put their own. */
+/** Object API calls that batches need. Tests replace them. */
 struct batch_store
 {
   std::function<platform::read_result(const std::string& aKind,
@@ -23,12 +23,13 @@
     mDelete;
 };
 
-/** The store that speaks to the platform; the client must outlive it. */
+/** Returns a batch_store that calls the platform; the client must outlive it.
+ */
 batch_store
-MakeStore(const platform::client& aPlatform);
+MakePlatformStore(const platform::client& aPlatform);
 
-/** Where a step's batch stands. It only moves forward, but for a fixed batch
- * that became too old before its first delivery: that is made anew. */
+/** State of a step's batch. States only advance, except that a fixed batch
+ * which becomes too old before its first delivery is generated again. */
 enum class batch_state
 {
   Making,
@@ -37,25 +38,29 @@
   Acknowledged
 };
 
-/** The one object that decides a step's batch. Every change is a conditional
- * write on its revision. */
+/** The stored object that determines a step's batch. Every change is a write
+ * conditional on its revision. */
 struct batch_record
 {
   batch_state mState = batch_state::Making;
-  /** Differs with each maker's claim. */
+  /** Unique for each claim, that is, for each entry that starts to generate the
+   * batch. */
   std::string mNonce;
-  /** Digest of the request that the batch is for. */
+  /** Digest of the request that the batch answers. */
   std::string mDigest;
-  /** Names of the parts that hold finished groups; where a group stands in
-   * several, the last one counts. */
+  /** Names of the part objects that hold finished groups. When several parts
+   * contain a group, the last one counts. */
   std::vector<std::string> mParts;
   std::int64_t mDone = 0;
   std::int64_t mWanted = 0;
-  /** Grows with each write of the maker, so that others see it alive. */
-  std::int64_t mBeat = 0;
-  /** The maker stopped as planned: another may go on at once. */
+  /** Heartbeat: grows with each write of the entry that holds the claim, so
+   * that other entries can tell that it is alive. */
+  std::int64_t mHeartbeat = 0;
+  /** The entry that held the claim has shut down; another one may take over at
+   * once. */
   bool mIsReleased = false;
-  /** Revision that the object was read or written at; 0 for none. */
+  /** Revision of the object when it was last read or written; 0 when there is
+   * no object. */
   std::int64_t mRevision = 0;
 };
 
@@ -67,64 +72,68 @@
 batch_record
 ToRecord(const platform::stored_object& aObject);
 
-/** Name of a maker's part. */
+/** Name of the part object with that number under a claim. */
 std::string
 PartName(const std::string& aBatch, const std::string& aNonce, int aNumber);
 
-/** Samples by group and index; none where one is missing. */
+/** Samples by group and index; missing samples are empty. */
 using sample_table = std::vector<std::vector<std::optional<sample>>>;
 
 sample_table
 MakeTable(std::size_t aGroups, int aSamplesPerGroup);
 
-/** Reads the parts of a record into a table. False when one can't be read. */
+/** Reads the parts of a record into a table. Returns false when a part can't be
+ * read. */
 bool
 LoadParts(const batch_store& aStore,
           const batch_record& aRecord,
           sample_table& aTable);
 
-/** The batch as the trainer gets it; the same each time for one record. */
+/** Returns the batch in the format for the trainer, always the same for the
+ * same record. */
 json::value
 Assemble(const batch_shape& aShape,
          const batch_record& aRecord,
          const sample_table& aTable);
 
-/** How an ask for a batch, or its acknowledgement, ends. */
+/** Outcome of a request for a batch or of its acknowledgement. */
 enum class ask_state
 {
-  /** The batch, fixed for good. */
+  /** The batch is complete and no longer changes. */
   Ready,
-  /** No entry has begun. */
+  /** No entry has started to generate the batch. */
   Absent,
-  /** An entry makes it. */
+  /** An entry is generating the batch. */
   InProgress,
-  /** Fixed, never delivered and too old by now: it has to be made anew. */
+  /** The batch was fixed, never delivered, and is too old now. It has to be
+   * generated again. */
   TooOld,
   Acknowledged,
-  /** The step's batch is for another request. */
+  /** The step already has a batch for a different request. */
   OtherRequest,
   NotDelivered,
   Unavailable
 };
 
-struct ask_outcome
+struct delivery_result
 {
   ask_state mState = ask_state::Unavailable;
   json::value mBatch;
   batch_record mRecord;
 };
 
-/** Gives the step's batch if it is fixed. The first delivery is decided by a
- * conditional write, made only while no sample is older than aOldestVersion;
- * every later one gives the same batch again. */
-ask_outcome
+/** Returns the step's batch if it is fixed. The first delivery is recorded by a
+ * conditional write, and only if no sample is older than aOldestVersion. Every
+ * later delivery returns the same batch. */
+delivery_result
 Deliver(const batch_store& aStore,
         const batch_shape& aShape,
         std::int64_t aOldestVersion);
 
-/** Marks a delivered batch as taken, then removes its parts. The record
- * stays, so that a late doubled ask is told so and never makes a new batch. */
-ask_outcome
+/** Marks a delivered batch as acknowledged, then deletes its parts. The record
+ * stays, so that a late duplicate request for the batch is refused instead of
+ * starting a new batch. */
+delivery_result
 Acknowledge(const batch_store& aStore,
             const std::string& aRun,
             std::int64_t aStep);
--- a/Duties/Samples/Pace.cpp
+++ b/Duties/Samples/Pace.cpp
@@ -6,23 +6,24 @@
 namespace lavender::samples {
 namespace {
 
-/** Above this much seen, old samples count half. */
-constexpr double kFadeTokens = 4000;
+/** Above this number of measured tokens, the previous measurements are halved.
+ */
+constexpr double kMaximumMeasuredTokens = 4000;
 
 double
-SecondsPerToken(const seen_pace& aPace)
+SecondsPerToken(const server_pace& aPace)
 {
   return aPace.mTokens > 0 ? aPace.mSeconds / aPace.mTokens : 0;
 }
 
-/** Lower median over servers. A mean would hide one slow server of two, and a
- * mean over samples one that finishes few. */
+/** Lower median over the servers. With a mean over servers, one slow server of
+ * two would go unnoticed; with a mean over samples, one that finishes few. */
 double
 MedianPace(const pace_table& aTable, const pace_limits& aLimits)
 {
   std::vector<double> paces;
   for (const auto& [name, pace] : aTable.mServers) {
-    if (pace.mTokens >= aLimits.mEnoughTokens) {
+    if (pace.mTokens >= aLimits.mMinimumTokens) {
       paces.push_back(SecondsPerToken(pace));
     }
   }
@@ -38,13 +39,13 @@
 } // namespace
 
 void
-NotePace(pace_table& aTable,
-         const std::string& aServer,
-         milliseconds aElapsed,
-         std::int64_t aTokens)
+RecordPace(pace_table& aTable,
+           const std::string& aServer,
+           milliseconds aElapsed,
+           std::int64_t aTokens)
 {
   auto& pace = aTable.mServers[aServer];
-  if (pace.mTokens > kFadeTokens) {
+  if (pace.mTokens > kMaximumMeasuredTokens) {
     pace.mSeconds /= 2;
     pace.mTokens /= 2;
   }
@@ -53,20 +54,20 @@
 }
 
 std::string
-FindReasonToMove(const pace_table& aTable,
-                 const pace_limits& aLimits,
-                 const running_sample& aSample)
+FindMoveReason(const pace_table& aTable,
+               const pace_limits& aLimits,
+               const running_sample& aSample)
 {
   const auto found = aTable.mServers.find(aSample.mServer);
   if (found == aTable.mServers.end() ||
-      found->second.mTokens < aLimits.mEnoughTokens) {
+      found->second.mTokens < aLimits.mMinimumTokens) {
     return {};
   }
   const double own = SecondsPerToken(found->second);
-  const double patience = std::max(
-    std::chrono::duration<double>(aLimits.mLeastPatience).count(),
+  const double overdueAfter = std::max(
+    std::chrono::duration<double>(aLimits.mMinimumOverdueTime).count(),
     aLimits.mOverdueFactor * own * static_cast<double>(aSample.mMaximumTokens));
-  if (std::chrono::duration<double>(aSample.mElapsed).count() > patience) {
+  if (std::chrono::duration<double>(aSample.mElapsed).count() > overdueAfter) {
     return "sample_overdue";
   }
   const bool isSlow = own > aLimits.mSlowFactor * MedianPace(aTable, aLimits);
--- a/Duties/Samples/Pace.h
+++ b/Duties/Samples/Pace.h
@@ -8,60 +8,62 @@
 
 namespace lavender::samples {
 
-/** Seconds that finished samples took, and their tokens. Old ones fade, so
- * that a server which recovers is believed again. */
-struct seen_pace
+/** Total duration and tokens of finished samples. Older samples lose weight, so
+ * that a server which recovers isn't considered slow any longer. */
+struct server_pace
 {
   double mSeconds = 0;
   double mTokens = 0;
 };
 
-/** How fast each server makes samples, as this entry has seen it. */
+/** Generation speed of each server as measured by this entry. */
 struct pace_table
 {
-  std::map<std::string, seen_pace> mServers;
+  std::map<std::string, server_pace> mServers;
 };
 
 struct pace_limits
 {
-  /** A server is slow when a token takes it this many times the
-   * median. */
+  /** A server is slow when its time per token exceeds the median by this
+   * factor. */
   double mSlowFactor = 2;
-  /** A sample is overdue when it takes longer than its largest number of
-   * tokens would at its server's pace, times this. */
+  /** A sample is overdue when it takes longer than its maximum number of tokens
+   * would take at its server's speed, multiplied by this. */
   double mOverdueFactor = 1.25;
-  /** Tokens seen of a server before it is judged. */
-  double mEnoughTokens = 50;
-  /** No sample is overdue before this. */
-  milliseconds mLeastPatience{ 5000 };
+  /** Number of tokens measured before a server is assessed. */
+  double mMinimumTokens = 50;
+  /** No sample counts as overdue before this. */
+  milliseconds mMinimumOverdueTime{ 5000 };
 };
 
-/** One sample under way. */
+/** A sample in progress. */
 struct running_sample
 {
   std::string mServer;
   milliseconds mElapsed{ 0 };
   std::int64_t mMaximumTokens = 0;
-  /** Every other sample of the step is made or under way. */
+  /** Every other sample of the step is finished or in progress. */
   bool mIsLastOfStep = false;
-  /** It was stopped for its server's pace before; that happens once. */
+  /** It was already moved once because of a slow server and won't be again for
+   * that reason. */
   bool mWasMoved = false;
 };
 
 void
-NotePace(pace_table& aTable,
-         const std::string& aServer,
-         milliseconds aElapsed,
-         std::int64_t aTokens);
+RecordPace(pace_table& aTable,
+           const std::string& aServer,
+           milliseconds aElapsed,
+           std::int64_t aTokens);
 
-/** Why a sample is to be started again elsewhere; empty when it isn't.
+/** Returns the reason to restart a sample on another server, or an empty
+ * string.
  *
- * Both reasons are blind to how long this answer is: stopping what takes
- * longest would throw away long answers and bias the batch towards short
- * ones. */
+ * Neither reason depends on the length of this sample's text: restarting
+ * whatever takes longest would discard long texts and bias the batch towards
+ * short ones. */
 std::string
-FindReasonToMove(const pace_table& aTable,
-                 const pace_limits& aLimits,
-                 const running_sample& aSample);
+FindMoveReason(const pace_table& aTable,
+               const pace_limits& aLimits,
+               const running_sample& aSample);
 
 } // namespace lavender::samples
--- a/Duties/Samples/Sample.cpp
+++ b/Duties/Samples/Sample.cpp
@@ -47,13 +47,13 @@
 json::value
 ToJson(const sample& aSample)
 {
-  json::value shown;
-  shown.Set("id", aSample.mId);
-  shown.Set("attempt", aSample.mAttempt);
-  shown.Set("group", aSample.mGroup);
-  shown.Set("index", aSample.mIndex);
-  shown.Set("text", aSample.mText);
-  shown.Set("model", aSample.mModel);
+  json::value described;
+  described.Set("id", aSample.mId);
+  described.Set("attempt", aSample.mAttempt);
+  described.Set("group", aSample.mGroup);
+  described.Set("index", aSample.mIndex);
+  described.Set("text", aSample.mText);
+  described.Set("model", aSample.mModel);
   json::array versions;
   for (const auto& part : aSample.mVersions) {
     json::value version;
@@ -61,8 +61,8 @@
     version.Set("tokens", part.tokens);
     versions.push_back(std::move(version));
   }
-  shown.Set("versions", std::move(versions));
-  return shown;
+  described.Set("versions", std::move(versions));
+  return described;
 }
 
 sample
--- a/Duties/Samples/Sample.h
+++ b/Duties/Samples/Sample.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-/** Batches of samples for trainers. */
+/** Generates batches of samples for trainers. */
 namespace lavender::samples {
 
-/** What a trainer asks for: one step's batch. */
+/** A trainer's request for the batch of one step. */
 struct batch_shape
 {
   std::string mRun;
@@ -25,21 +25,21 @@
   }
 };
 
-/** Name of the step's object, and prefix of its samples' ids. */
+/** Name of the step's stored object and prefix of its sample ids. */
 std::string
 NameOf(const batch_shape& aShape);
 std::string
 NameOf(const std::string& aRun, std::int64_t aStep);
 
-/** Digest of all that decides what the samples are. */
+/** Digest of everything that determines the samples. */
 std::string
 DigestOf(const batch_shape& aShape);
 
-/** One finished sample. Its id follows from run, step, group and index. */
+/** One finished sample. Its id consists of run, step, group and index. */
 struct sample
 {
   std::string mId;
-  /** Request id of the run that made it. */
+  /** Request id of the attempt that generated it. */
   std::string mAttempt;
   int mGroup = 0;
   int mIndex = 0;
@@ -48,7 +48,8 @@
   std::vector<wire::weight_part> mVersions;
 };
 
-/** Oldest version that produced a part of it; 0 when none is named. */
+/** Oldest weight version that produced a part of the sample; 0 when no version
+ * is known. */
 std::int64_t
 OldestVersion(const sample& aSample);
 
--- a/Duties/Samples/SampleDuty.cpp
+++ b/Duties/Samples/SampleDuty.cpp
@@ -10,16 +10,16 @@
 
 using namespace std::chrono_literals;
 
-constexpr milliseconds kAskAgainAfter = 1000ms;
+constexpr milliseconds kRequestRetryDelay = 1000ms;
 
 std::int64_t
-OldestFor(const std::optional<configuration::training_run>& aRun)
+OldestAllowedVersion(const std::optional<configuration::training_run>& aRun)
 {
   return aRun ? aRun->mAcceptedVersion - aRun->mStalenessBound : 0;
 }
 
 const char*
-ReasonFor(ask_state aState)
+ToReason(ask_state aState)
 {
   switch (aState) {
     case ask_state::Acknowledged:
@@ -43,7 +43,7 @@
                          run_observer aObserver,
                          metrics::registry& aMetrics)
   : mOptions(std::move(aOptions))
-  , mStore(MakeStore(mOptions.mPlatform))
+  , mStore(MakePlatformStore(mOptions.mPlatform))
   , mRunner(std::move(aRunner))
   , mRuns(std::move(aRuns))
   , mObserver(std::move(aObserver))
@@ -62,7 +62,7 @@
   for (int i = 0; i < mOptions.mSideBySide; ++i) {
     mWorkers.emplace_back([this] { WorkLoop(); });
   }
-  mSaver = std::thread([this] { SaveLoop(); });
+  mSaveThread = std::thread([this] { SaveLoop(); });
 }
 
 void
@@ -78,18 +78,18 @@
       worker.join();
     }
   }
-  mIsWorkOver = true;
+  mHaveWorkersStopped = true;
   mChanged.notify_all();
-  if (mSaver.joinable()) {
-    mSaver.join();
+  if (mSaveThread.joinable()) {
+    mSaveThread.join();
   }
 }
 
 std::optional<sample_duty::assignment>
 sample_duty::NextAssignment(time_point aNow)
 {
-  // The step with the least share done goes first, so that no step starves
-  // another on the bounded number of samples side by side.
+  // The step with the smallest finished share goes first, so that no step
+  // starves another under the limit on concurrent samples.
   step_pointer chosen;
   double least = 2;
   for (const auto& [name, step] : mSteps) {
@@ -123,7 +123,7 @@
     if (!made) {
       step.mPausedUntil = boot_clock::now() + mOptions.mRetryAfter;
     }
-    PutResult(step.mJob, work->mPlace, std::move(made));
+    RecordResult(step.mJob, work->mPlace, std::move(made));
     if (CountDone(step.mJob) == step.mJob.mShape.SampleCount()) {
       mChanged.notify_all();
     }
@@ -131,14 +131,14 @@
 }
 
 void
-sample_duty::Retry(const std::string& aReason)
+sample_duty::CountRetry(const std::string& aReason)
 {
   mMetrics.Count("lavender_sample_retries_total", { { "reason", aReason } });
 }
 
 std::string
-sample_duty::FindFault(const dispatch::call_outcome& aOutcome,
-                       const configuration::training_run& aRun) const
+sample_duty::FindRejectionReason(const dispatch::call_outcome& aOutcome,
+                                 const configuration::training_run& aRun) const
 {
   const auto& result = aOutcome.mResult;
   if (aOutcome.mRan != dispatch::ran::Ran) {
@@ -154,7 +154,7 @@
   if (result.model != aRun.mModel) {
     return "other_model";
   }
-  const auto oldest = OldestFor(aRun);
+  const auto oldest = OldestAllowedVersion(aRun);
   const bool isTooOld =
     std::any_of(result.versions.begin(),
                 result.versions.end(),
@@ -163,13 +163,14 @@
 }
 
 std::string
-sample_duty::FindStopReason(working_step& aStep,
+sample_duty::FindStopReason(active_step& aStep,
                             const sample_place& aPlace,
-                            const attempt_sight& aSight)
+                            const attempt_state& aAttempt)
 {
   if (mIsStopping) {
-    // A planned stop cuts no caller's request; a sample that has to be made
-    // again elsewhere is cheaper than an entry that can't leave.
+    // A planned stop aborts no caller's request, but it aborts samples:
+    // generating a sample again elsewhere costs less than an entry that can't
+    // stop.
     return "entry_stopping";
   }
   if (aStep.mRequest.mStopReason) {
@@ -179,13 +180,13 @@
   }
   std::lock_guard lock(mMutex);
   const std::pair place{ aPlace.mGroup, aPlace.mIndex };
-  const running_sample running{ aSight.mServer,
+  const running_sample running{ aAttempt.mServer,
                                 std::chrono::duration_cast<milliseconds>(
-                                  boot_clock::now() - aSight.mStartedAt),
+                                  boot_clock::now() - aAttempt.mStartedAt),
                                 aStep.mRequest.mShape.mMaximumTokens,
                                 !HasNext(aStep.mJob),
                                 aStep.mMoved.count(place) > 0 };
-  auto reason = FindReasonToMove(mPaces, mOptions.mPace, running);
+  auto reason = FindMoveReason(mPaces, mOptions.mPace, running);
   if (!reason.empty()) {
     aStep.mMoved.insert(place);
   }
@@ -193,13 +194,13 @@
 }
 
 std::optional<sample>
-sample_duty::MakeSample(working_step& aStep, const sample_place& aPlace)
+sample_duty::MakeSample(active_step& aStep, const sample_place& aPlace)
 {
   const auto& request = aStep.mRequest;
   const auto& shape = request.mShape;
   const auto run = mRuns(shape.mRun);
   if (!run) {
-    Retry("unknown_run");
+    CountRetry("unknown_run");
     return std::nullopt;
   }
   sample made;
@@ -221,29 +222,30 @@
   call.mOperation = "sample";
   call.mPayload = json::Write(payload);
   call.mCostTokens = shape.mMaximumTokens;
-  call.mOldestWeightVersion = OldestFor(run);
+  call.mOldestWeightVersion = OldestAllowedVersion(run);
   call.mDeadline = boot_clock::now() + mOptions.mSampleDeadline;
-  attempt_sight sight;
+  attempt_state attempt;
   call.mOnAttempt = [&](const std::string& aServer) {
-    sight = { aServer, boot_clock::now() };
+    attempt = { aServer, boot_clock::now() };
   };
-  call.mStopReason = [&] { return FindStopReason(aStep, aPlace, sight); };
+  call.mStopReason = [&] { return FindStopReason(aStep, aPlace, attempt); };
   const auto outcome = mRunner(call);
   if (outcome.mRan == dispatch::ran::Ran) {
     mObserver(call, outcome);
     std::lock_guard lock(mMutex);
-    NotePace(mPaces,
-             outcome.mServerName,
-             std::chrono::duration_cast<milliseconds>(boot_clock::now() -
-                                                      sight.mStartedAt),
-             outcome.mResult.completion_tokens);
+    RecordPace(mPaces,
+               outcome.mServerName,
+               std::chrono::duration_cast<milliseconds>(boot_clock::now() -
+                                                        attempt.mStartedAt),
+               outcome.mResult.completion_tokens);
   }
-  // The bound moves while a sample is made: it's checked against the version
-  // accepted now.
+  // The accepted version may have changed while the sample was generated, so
+  // the staleness bound is checked against the current one.
   const auto runNow = mRuns(shape.mRun);
-  if (auto fault = runNow ? FindFault(outcome, *runNow) : "unknown_run";
+  if (auto fault =
+        runNow ? FindRejectionReason(outcome, *runNow) : "unknown_run";
       !fault.empty()) {
-    Retry(fault);
+    CountRetry(fault);
     return std::nullopt;
   }
   const auto body = json::Parse(outcome.mResult.body);
@@ -259,11 +261,11 @@
   std::unique_lock lock(mMutex);
   bool isLastRound = false;
   while (!isLastRound) {
-    mChanged.wait_for(lock, mOptions.mSaveEvery);
-    isLastRound = mIsStopping && mIsWorkOver;
+    mChanged.wait_for(lock, mOptions.mSaveInterval);
+    isLastRound = mIsStopping && mHaveWorkersStopped;
     std::vector<step_pointer> steps;
     for (const auto& [name, step] : mSteps) {
-      step->mJob.mIsReleasing = isLastRound;
+      step->mJob.mReleasesClaim = isLastRound;
       steps.push_back(step);
     }
     lock.unlock();
@@ -274,8 +276,9 @@
   }
 }
 
-/** Works on a copy of the job, so that no sample waits for the store: results
- * that come meanwhile go into the original and are merged afterwards. */
+/** Saves a copy of the job, so that samples don't wait for the object store.
+ * Results that arrive meanwhile go into the original, and the two are merged
+ * afterwards. */
 void
 sample_duty::SaveStep(const step_pointer& aStep)
 {
@@ -284,7 +287,7 @@
   const auto stopReason =
     aStep->mRequest.mStopReason ? aStep->mRequest.mStopReason() : "";
   const bool isAbandoned =
-    boot_clock::now() - aStep->mAskedAt > mOptions.mAbandonAfter;
+    boot_clock::now() - aStep->mRequestedAt > mOptions.mAbandonAfter;
   if (!stopReason.empty() || isAbandoned) {
     mMetrics.Count("lavender_batches_dropped_total",
                    { { "reason", isAbandoned ? "abandoned" : stopReason } });
@@ -292,21 +295,22 @@
     mSteps.erase(name);
     return;
   }
-  const auto oldest = OldestFor(mRuns(aStep->mRequest.mShape.mRun));
-  // A few rounds bring a finished batch to its end in one go.
+  const auto oldest = OldestAllowedVersion(mRuns(aStep->mRequest.mShape.mRun));
+  // Several calls of Save fix a finished batch without waiting for the next
+  // interval.
   for (int round = 0; round < 8; ++round) {
     auto job = aStep->mJob;
     lock.unlock();
     const bool isAnswered = Save(job, mStore, oldest);
     lock.lock();
-    const auto dropped = TakeSaved(aStep->mJob, std::move(job));
+    const auto dropped = MergeSaved(aStep->mJob, std::move(job));
     if (dropped > 0) {
       mMetrics.Count(
         "lavender_samples_dropped_total", { { "reason", "too_old" } }, dropped);
     }
-    aStep->mIsStoreDown = !isAnswered;
+    aStep->mIsStoreUnreachable = !isAnswered;
     if (!isAnswered || aStep->mJob.mPhase != job_phase::Working ||
-        (!HasUnsaved(aStep->mJob) && !aStep->mJob.mIsReleasing)) {
+        (!HasUnsaved(aStep->mJob) && !aStep->mJob.mReleasesClaim)) {
       break;
     }
   }
@@ -320,15 +324,15 @@
 }
 
 batch_outcome
-sample_duty::Describe(const working_step& aStep)
+sample_duty::Describe(const active_step& aStep)
 {
   batch_outcome outcome;
   outcome.mState =
-    aStep.mIsStoreDown ? ask_state::Unavailable : ask_state::InProgress;
-  outcome.mReason = ReasonFor(outcome.mState);
+    aStep.mIsStoreUnreachable ? ask_state::Unavailable : ask_state::InProgress;
+  outcome.mReason = ToReason(outcome.mState);
   outcome.mDone = static_cast<std::int64_t>(CountDone(aStep.mJob));
   outcome.mWanted = static_cast<std::int64_t>(aStep.mJob.mShape.SampleCount());
-  outcome.mRetryAfter = kAskAgainAfter;
+  outcome.mRetryAfter = kRequestRetryDelay;
   return outcome;
 }
 
@@ -345,14 +349,14 @@
       mSteps.erase(name);
       batch_outcome refused;
       refused.mReason = "too_many_batches";
-      refused.mRetryAfter = kAskAgainAfter;
+      refused.mRetryAfter = kRequestRetryDelay;
       return refused;
     }
-    step = std::make_shared<working_step>();
+    step = std::make_shared<active_step>();
     step->mRequest = aRequest;
     step->mJob = StartJob(aRequest.mShape, MakeRandomName(), aTakeOverRevision);
-    step->mAskedAt = boot_clock::now();
-    step->mIsStoreDown = aState == ask_state::Unavailable;
+    step->mRequestedAt = boot_clock::now();
+    step->mIsStoreUnreachable = aState == ask_state::Unavailable;
   }
   mChanged.notify_all();
   return Describe(*step);
@@ -361,18 +365,19 @@
 std::int64_t
 sample_duty::MayTakeOver(const std::string& aName, const batch_record& aRecord)
 {
-  // A living maker writes its claim every second. Time is counted on this
-  // entry's own clock from its own first sight of the revision.
+  // A live entry writes its claim every second. The time is measured with this
+  // entry's own clock from when it first saw the revision.
   const auto now = boot_clock::now();
   std::lock_guard lock(mMutex);
-  auto& sight = mSights[aName];
-  if (sight.mRevision != aRecord.mRevision) {
-    sight = { aRecord.mRevision, now };
+  auto& observation = mClaimObservations[aName];
+  if (observation.mRevision != aRecord.mRevision) {
+    observation = { aRecord.mRevision, now };
   }
-  if (!aRecord.mIsReleased && now - sight.mSeenAt < mOptions.mTakeOverAfter) {
+  if (!aRecord.mIsReleased &&
+      now - observation.mSeenAt < mOptions.mTakeOverAfter) {
     return 0;
   }
-  mSights.erase(aName);
+  mClaimObservations.erase(aName);
   mMetrics.Count("lavender_batches_taken_over_total", {});
   return aRecord.mRevision;
 }
@@ -388,43 +393,44 @@
       if (DigestOf(step.mJob.mShape) != DigestOf(aRequest.mShape)) {
         batch_outcome refused;
         refused.mState = ask_state::OtherRequest;
-        refused.mReason = ReasonFor(refused.mState);
+        refused.mReason = ToReason(refused.mState);
         return refused;
       }
-      step.mAskedAt = boot_clock::now();
+      step.mRequestedAt = boot_clock::now();
       return Describe(step);
     }
   }
-  auto asked =
-    Deliver(mStore, aRequest.mShape, OldestFor(mRuns(aRequest.mShape.mRun)));
-  switch (asked.mState) {
+  auto delivery = Deliver(
+    mStore, aRequest.mShape, OldestAllowedVersion(mRuns(aRequest.mShape.mRun)));
+  switch (delivery.mState) {
     case ask_state::Absent:
-      return Begin(aRequest, 0, asked.mState);
+      return Begin(aRequest, 0, delivery.mState);
     case ask_state::Unavailable:
-      // The store may be down for long. The samples are made meanwhile and
-      // kept here; a step that turns out to be decided is dropped then.
-      return Begin(aRequest, 0, asked.mState);
+      // The object store may be down for long, so the samples are generated and
+      // kept in memory. If the store shows later that the step already has a
+      // batch, this work is dropped.
+      return Begin(aRequest, 0, delivery.mState);
     case ask_state::TooOld:
       mMetrics.Count("lavender_batches_remade_total", {});
-      return Begin(aRequest, asked.mRecord.mRevision, asked.mState);
+      return Begin(aRequest, delivery.mRecord.mRevision, delivery.mState);
     case ask_state::InProgress:
-      if (const auto revision = MayTakeOver(name, asked.mRecord)) {
-        return Begin(aRequest, revision, asked.mState);
+      if (const auto revision = MayTakeOver(name, delivery.mRecord)) {
+        return Begin(aRequest, revision, delivery.mState);
       }
       break;
     default: {
       std::lock_guard lock(mMutex);
-      mSights.erase(name);
+      mClaimObservations.erase(name);
     }
   }
   batch_outcome outcome;
-  outcome.mState = asked.mState;
-  outcome.mBatch = std::move(asked.mBatch);
-  outcome.mReason = ReasonFor(asked.mState);
-  outcome.mDone = asked.mRecord.mDone;
-  outcome.mWanted = asked.mRecord.mWanted;
-  if (asked.mState == ask_state::InProgress) {
-    outcome.mRetryAfter = kAskAgainAfter;
+  outcome.mState = delivery.mState;
+  outcome.mBatch = std::move(delivery.mBatch);
+  outcome.mReason = ToReason(delivery.mState);
+  outcome.mDone = delivery.mRecord.mDone;
+  outcome.mWanted = delivery.mRecord.mWanted;
+  if (delivery.mState == ask_state::InProgress) {
+    outcome.mRetryAfter = kRequestRetryDelay;
   }
   return outcome;
 }
@@ -434,9 +440,9 @@
 {
   batch_outcome outcome;
   outcome.mState = Acknowledge(mStore, aRun, aStep).mState;
-  outcome.mReason = ReasonFor(outcome.mState);
+  outcome.mReason = ToReason(outcome.mState);
   if (outcome.mState == ask_state::Unavailable) {
-    outcome.mRetryAfter = kAskAgainAfter;
+    outcome.mRetryAfter = kRequestRetryDelay;
   }
   return outcome;
 }
--- a/Duties/Samples/SampleDuty.h
+++ b/Duties/Samples/SampleDuty.h
@@ -16,37 +16,39 @@
 
 namespace lavender::samples {
 
-/** Who asks for a batch, and for what. */
+/** A batch and the customer that requests it. */
 struct batch_request
 {
   batch_shape mShape;
   std::string mCustomer;
   std::string mKeyId;
   double mWeight = 1;
-  /** Asked while the work goes on: a reason to stop it, or empty. */
+  /** Polled while the batch is generated; returns a reason to stop, or an empty
+   * string. */
   std::function<std::string()> mStopReason;
 };
 
 struct sample_duty_options
 {
   platform::client mPlatform;
-  /** Samples of all steps that this entry has under way. */
+  /** Largest number of samples that this entry generates at the same time, over
+   * all steps. */
   int mSideBySide = 64;
-  /** Steps that this entry works on; more are refused. */
+  /** Largest number of steps that this entry works on; more are refused. */
   std::size_t mMaximumJobs = 64;
-  /** How often finished groups are saved. */
-  milliseconds mSaveEvery{ 1000 };
-  /** A maker whose claim stands still for this long counts as dead. */
+  /** Interval at which finished groups are saved. */
+  milliseconds mSaveInterval{ 1000 };
+  /** An entry whose claim hasn't changed for this long counts as dead. */
   milliseconds mTakeOverAfter{ 10000 };
   milliseconds mSampleDeadline{ 120000 };
-  /** Pause of a step after a sample that couldn't be made. */
+  /** Delay of a step after a sample that couldn't be generated. */
   milliseconds mRetryAfter{ 200 };
   pace_limits mPace;
-  /** Work that no trainer has asked for is dropped after this. */
+  /** A step that no trainer has requested for this long is dropped. */
   milliseconds mAbandonAfter{ 600000 };
 };
 
-/** What the trainer is told. */
+/** Response to the trainer. */
 struct batch_outcome
 {
   ask_state mState = ask_state::Unavailable;
@@ -57,16 +59,16 @@
   milliseconds mRetryAfter{ 0 };
 };
 
-/** Makes batches. An ask never waits for samples: it gets the batch, or at
- * once how far the work is; the work goes on in this duty's threads and the
- * next ask, at any entry, finds it. */
+/** Generates batches in background threads. A request never waits for samples:
+ * it returns the batch or the progress so far, and a later request at any entry
+ * finds the result. */
 class sample_duty
 {
 public:
   using runner = std::function<dispatch::call_outcome(const dispatch::call&)>;
   using run_source = std::function<std::optional<configuration::training_run>(
     const std::string&)>;
-  /** Told after each run that a server answered, for billing. */
+  /** Called after each run that a server has answered, for billing. */
   using run_observer =
     std::function<void(const dispatch::call&, const dispatch::call_outcome&)>;
 
@@ -80,26 +82,27 @@
   sample_duty& operator=(const sample_duty&) = delete;
 
   void Start();
-  /** Lets samples under way end, saves what is finished, and stops. */
+  /** Stops the samples in progress, saves the finished ones, and joins the
+   * threads. */
   void Stop();
 
   batch_outcome Ask(const batch_request& aRequest);
   batch_outcome Take(const std::string& aRun, std::int64_t aStep);
 
 private:
-  struct working_step
+  struct active_step
   {
     batch_request mRequest;
     step_job mJob;
-    time_point mAskedAt;
+    time_point mRequestedAt;
     time_point mPausedUntil;
-    /** Places whose sample was stopped for its server's pace. */
+    /** Places whose sample was moved because of a slow server. */
     std::set<std::pair<std::size_t, std::size_t>> mMoved;
-    bool mIsStoreDown = false;
+    bool mIsStoreUnreachable = false;
   };
-  using step_pointer = std::shared_ptr<working_step>;
+  using step_pointer = std::shared_ptr<active_step>;
 
-  struct claim_sight
+  struct claim_observation
   {
     std::int64_t mRevision = 0;
     time_point mSeenAt;
@@ -111,8 +114,8 @@
     sample_place mPlace;
   };
 
-  /** Where a sample under way runs. Touched by its worker's thread only. */
-  struct attempt_sight
+  /** Where a sample in progress runs. Accessed only by its worker thread. */
+  struct attempt_state
   {
     std::string mServer;
     time_point mStartedAt;
@@ -122,18 +125,19 @@
   void SaveLoop();
   void SaveStep(const step_pointer& aStep);
   std::optional<assignment> NextAssignment(time_point aNow);
-  std::optional<sample> MakeSample(working_step& aStep,
+  std::optional<sample> MakeSample(active_step& aStep,
                                    const sample_place& aPlace);
-  std::string FindStopReason(working_step& aStep,
+  std::string FindStopReason(active_step& aStep,
                              const sample_place& aPlace,
-                             const attempt_sight& aSight);
-  std::string FindFault(const dispatch::call_outcome& aOutcome,
-                        const configuration::training_run& aRun) const;
-  void Retry(const std::string& aReason);
+                             const attempt_state& aAttempt);
+  std::string FindRejectionReason(
+    const dispatch::call_outcome& aOutcome,
+    const configuration::training_run& aRun) const;
+  void CountRetry(const std::string& aReason);
   batch_outcome Begin(const batch_request& aRequest,
                       std::int64_t aTakeOverRevision,
                       ask_state aState);
-  batch_outcome Describe(const working_step& aStep);
+  batch_outcome Describe(const active_step& aStep);
   std::int64_t MayTakeOver(const std::string& aName,
                            const batch_record& aRecord);
 
@@ -146,12 +150,12 @@
   std::mutex mMutex;
   std::condition_variable mChanged;
   std::atomic<bool> mIsStopping{ false };
-  std::atomic<bool> mIsWorkOver{ false };
+  std::atomic<bool> mHaveWorkersStopped{ false };
   std::map<std::string, step_pointer> mSteps;
-  std::map<std::string, claim_sight> mSights;
+  std::map<std::string, claim_observation> mClaimObservations;
   pace_table mPaces;
   std::vector<std::thread> mWorkers;
-  std::thread mSaver;
+  std::thread mSaveThread;
 };
 
 } // namespace lavender::samples
--- a/Duties/Samples/StepJob.cpp
+++ b/Duties/Samples/StepJob.cpp
@@ -9,7 +9,7 @@
 using platform::write_state;
 
 bool
-IsWhole(const std::vector<std::optional<sample>>& aGroup)
+IsComplete(const std::vector<std::optional<sample>>& aGroup)
 {
   return std::all_of(aGroup.begin(), aGroup.end(), [](const auto& aSample) {
     return aSample.has_value();
@@ -34,7 +34,7 @@
   return claim;
 }
 
-/** Writes the record on the revision that this job knows. */
+/** Writes the record, conditional on the revision that this job knows. */
 bool
 WriteRecord(step_job& aJob, const batch_store& aStore, batch_record aRecord)
 {
@@ -45,23 +45,23 @@
     aJob.mRecord = std::move(aRecord);
     return true;
   }
-  // After a conflict, too: an own write whose answer was lost may have come
-  // in late, and then the conflict is with oneself.
+  // This applies after a conflict as well, because the conflicting write may be
+  // an earlier one of this job whose response was lost.
   aJob.mMustReadBack = true;
   return written.mState == write_state::Conflict;
 }
 
-/** Takes the groups that the record names into an empty table. */
+/** Loads the complete groups in the record's parts into the job's table. */
 bool
-LoadSaved(step_job& aJob, const batch_store& aStore)
+LoadSavedGroups(step_job& aJob, const batch_store& aStore)
 {
-  auto kept = MakeTable(aJob.mTable.size(), aJob.mShape.mSamplesPerPrompt);
-  if (!LoadParts(aStore, aJob.mRecord, kept)) {
+  auto loaded = MakeTable(aJob.mTable.size(), aJob.mShape.mSamplesPerPrompt);
+  if (!LoadParts(aStore, aJob.mRecord, loaded)) {
     return false;
   }
-  for (std::size_t group = 0; group < kept.size(); ++group) {
-    if (IsWhole(kept[group])) {
-      aJob.mTable[group] = std::move(kept[group]);
+  for (std::size_t group = 0; group < loaded.size(); ++group) {
+    if (IsComplete(loaded[group])) {
+      aJob.mTable[group] = std::move(loaded[group]);
       aJob.mIsSaved[group] = true;
     }
   }
@@ -69,10 +69,10 @@
   return true;
 }
 
-/** Name of the part that a maker was writing when it stopped: the first that
- * the record doesn't name. */
+/** Name of the part that an entry may have been writing when it stopped: the
+ * first part of its claim that the record doesn't list. */
 std::string
-UnnamedPart(const std::string& aBatch, const batch_record& aRecord)
+UnlistedPartName(const std::string& aBatch, const batch_record& aRecord)
 {
   const auto isOwn = [&](const auto& aPart) {
     return aPart.find(aRecord.mNonce) != std::string::npos;
@@ -82,26 +82,26 @@
   return PartName(aBatch, aRecord.mNonce, static_cast<int>(count));
 }
 
-/** Claims the step in place of a maker that stopped, or whose batch became
- * too old. What it had saved is kept. */
+/** Takes the claim over from an entry that has stopped or whose batch became
+ * too old. The saved parts are kept. */
 bool
 TakeOver(step_job& aJob, const batch_store& aStore, const batch_record& aFound)
 {
   auto claim = MakeClaim(aJob);
   claim.mParts = aFound.mParts;
   claim.mDone = aFound.mDone;
-  claim.mBeat = aFound.mBeat + 1;
+  claim.mHeartbeat = aFound.mHeartbeat + 1;
   aJob.mRecord.mRevision = aFound.mRevision;
   if (!WriteRecord(aJob, aStore, claim)) {
     return false;
   }
   if (!aJob.mMustReadBack) {
-    aStore.mDelete(kPartKind, UnnamedPart(NameOf(aJob.mShape), aFound));
+    aStore.mDelete(kPartKind, UnlistedPartName(NameOf(aJob.mShape), aFound));
   }
   return true;
 }
 
-/** Finds out where the step stands, and claims it if it may. */
+/** Reads the step's record and claims the step when possible. */
 bool
 Claim(step_job& aJob, const batch_store& aStore)
 {
@@ -132,15 +132,16 @@
   return true;
 }
 
-/** Chooses whole groups that the store doesn't hold yet, up to the bound. */
+/** Collects complete unsaved groups into a pending part, up to the size limit.
+ */
 void
-ChoosePart(step_job& aJob)
+PreparePart(step_job& aJob)
 {
   pending_part part;
   json::array samples;
   std::size_t bytes = 0;
   for (std::size_t group = 0; group < aJob.mTable.size(); ++group) {
-    if (aJob.mIsSaved[group] || !IsWhole(aJob.mTable[group])) {
+    if (aJob.mIsSaved[group] || !IsComplete(aJob.mTable[group])) {
       continue;
     }
     json::array members;
@@ -163,14 +164,14 @@
   }
 }
 
-/** Writes the pending part and its name into the record. */
+/** Stores the pending part, then adds its name to the record. */
 bool
-SavePart(step_job& aJob, const batch_store& aStore)
+StorePendingPart(step_job& aJob, const batch_store& aStore)
 {
   const auto& part = *aJob.mPending;
   const auto written = aStore.mWrite(kPartKind, part.mName, 0, part.mValue);
-  // The name is this job's own and its content never changes, so a conflict
-  // is an earlier write of it whose answer was lost.
+  // Only this job uses the part's name, and the content never changes. A
+  // conflict is therefore an earlier write whose response was lost.
   if (written.mState != write_state::Done &&
       written.mState != write_state::Conflict) {
     return false;
@@ -178,14 +179,14 @@
   auto record = aJob.mRecord;
   record.mParts.push_back(part.mName);
   record.mDone = static_cast<std::int64_t>(CountDone(aJob));
-  ++record.mBeat;
+  ++record.mHeartbeat;
   return WriteRecord(aJob, aStore, std::move(record));
 }
 
-/** The pending part no longer stands for this group: a sample of it was
- * thrown away, and a later part will override it. */
+/** Removes a group from the pending part, because one of its samples was
+ * dropped. A later part will replace the group. */
 void
-ForgetPending(step_job& aJob, std::size_t aGroup)
+RemoveFromPendingPart(step_job& aJob, std::size_t aGroup)
 {
   if (aJob.mPending) {
     auto& groups = aJob.mPending->mGroups;
@@ -194,9 +195,9 @@
   }
 }
 
-/** Notes the pending part as saved once the record names it. */
+/** Marks the pending part's groups as saved once the record lists the part. */
 void
-SettlePart(step_job& aJob)
+MarkPartSaved(step_job& aJob)
 {
   if (!aJob.mPending ||
       std::find(aJob.mRecord.mParts.begin(),
@@ -218,7 +219,7 @@
   step_job job;
   const auto groups = aShape.mPrompts.size();
   job.mTable = MakeTable(groups, aShape.mSamplesPerPrompt);
-  job.mUnderWay.assign(
+  job.mInProgress.assign(
     groups,
     std::vector<int>(static_cast<std::size_t>(aShape.mSamplesPerPrompt), 0));
   job.mIsSaved.assign(groups, false);
@@ -238,7 +239,7 @@
   }
   for (std::size_t group = 0; group < aJob.mTable.size(); ++group) {
     for (std::size_t index = 0; index < aJob.mTable[group].size(); ++index) {
-      if (!aJob.mTable[group][index] && aJob.mUnderWay[group][index] == 0) {
+      if (!aJob.mTable[group][index] && aJob.mInProgress[group][index] == 0) {
         return sample_place{ group, index };
       }
     }
@@ -259,7 +260,7 @@
 {
   const auto next = FindNext(aJob);
   if (next) {
-    ++aJob.mUnderWay[next->mGroup][next->mIndex];
+    ++aJob.mInProgress[next->mGroup][next->mIndex];
   }
   return next;
 }
@@ -268,7 +269,7 @@
 HasUnsaved(const step_job& aJob)
 {
   for (std::size_t group = 0; group < aJob.mTable.size(); ++group) {
-    if (!aJob.mIsSaved[group] && IsWhole(aJob.mTable[group])) {
+    if (!aJob.mIsSaved[group] && IsComplete(aJob.mTable[group])) {
       return true;
     }
   }
@@ -277,17 +278,17 @@
 }
 
 std::size_t
-TakeSaved(step_job& aJob, step_job aSaved)
+MergeSaved(step_job& aJob, step_job aSaved)
 {
   std::size_t dropped = 0;
   for (std::size_t group = 0; group < aJob.mTable.size(); ++group) {
     for (std::size_t index = 0; index < aJob.mTable[group].size(); ++index) {
       auto& own = aJob.mTable[group][index];
       auto& saved = aSaved.mTable[group][index];
-      // A sample in the job and not in the copy either came while Save ran,
-      // or was thrown away by it. Only the latter was there before.
-      const bool wasThere = aSaved.mWasThere[group][index];
-      if (own && !saved && wasThere) {
+      // A sample that exists only in the job either arrived while Save ran or
+      // was dropped by it. Only in the latter case did it exist before.
+      const bool existed = aSaved.mExistedBeforeSave[group][index];
+      if (own && !saved && existed) {
         own.reset();
         ++dropped;
       } else if (saved) {
@@ -296,17 +297,17 @@
     }
   }
   aSaved.mTable = std::move(aJob.mTable);
-  aSaved.mUnderWay = std::move(aJob.mUnderWay);
+  aSaved.mInProgress = std::move(aJob.mInProgress);
   aJob = std::move(aSaved);
   return dropped;
 }
 
 bool
-PutResult(step_job& aJob,
-          const sample_place& aPlace,
-          std::optional<sample> aMade)
+RecordResult(step_job& aJob,
+             const sample_place& aPlace,
+             std::optional<sample> aMade)
 {
-  --aJob.mUnderWay[aPlace.mGroup][aPlace.mIndex];
+  --aJob.mInProgress[aPlace.mGroup][aPlace.mIndex];
   auto& place = aJob.mTable[aPlace.mGroup][aPlace.mIndex];
   if (!aMade || place) {
     return false;
@@ -316,7 +317,7 @@
 }
 
 std::size_t
-DropTooOld(step_job& aJob, std::int64_t aOldestVersion)
+DropOutdated(step_job& aJob, std::int64_t aOldestVersion)
 {
   std::size_t dropped = 0;
   for (std::size_t group = 0; group < aJob.mTable.size(); ++group) {
@@ -324,7 +325,7 @@
       if (place && OldestVersion(*place) < aOldestVersion) {
         place.reset();
         aJob.mIsSaved[group] = false;
-        ForgetPending(aJob, group);
+        RemoveFromPendingPart(aJob, group);
         ++dropped;
       }
     }
@@ -348,11 +349,11 @@
 namespace {
 
 void
-NoteWhatIsThere(step_job& aJob)
+RecordExistingSamples(step_job& aJob)
 {
-  aJob.mWasThere.clear();
+  aJob.mExistedBeforeSave.clear();
   for (const auto& group : aJob.mTable) {
-    auto& row = aJob.mWasThere.emplace_back();
+    auto& row = aJob.mExistedBeforeSave.emplace_back();
     for (const auto& one : group) {
       row.push_back(one.has_value());
     }
@@ -367,31 +368,31 @@
   if (aJob.mPhase != job_phase::Working) {
     return true;
   }
-  NoteWhatIsThere(aJob);
+  RecordExistingSamples(aJob);
   if (aJob.mRecord.mRevision == 0 || aJob.mMustReadBack) {
     if (!Claim(aJob, aStore) || aJob.mPhase != job_phase::Working ||
         aJob.mMustReadBack) {
       return !aJob.mMustReadBack;
     }
   }
-  if (!aJob.mIsLoaded && !LoadSaved(aJob, aStore)) {
+  if (!aJob.mIsLoaded && !LoadSavedGroups(aJob, aStore)) {
     return false;
   }
-  SettlePart(aJob);
-  DropTooOld(aJob, aOldestVersion);
+  MarkPartSaved(aJob);
+  DropOutdated(aJob, aOldestVersion);
   if (!aJob.mPending) {
-    ChoosePart(aJob);
+    PreparePart(aJob);
   }
   if (aJob.mPending) {
-    if (!SavePart(aJob, aStore) || aJob.mMustReadBack) {
+    if (!StorePendingPart(aJob, aStore) || aJob.mMustReadBack) {
       return false;
     }
-    SettlePart(aJob);
+    MarkPartSaved(aJob);
     return true;
   }
   auto record = aJob.mRecord;
-  ++record.mBeat;
-  record.mIsReleased = aJob.mIsReleasing;
+  ++record.mHeartbeat;
+  record.mIsReleased = aJob.mReleasesClaim;
   if (IsAllSaved(aJob)) {
     record.mState = batch_state::Fixed;
   }
--- a/Duties/Samples/StepJob.h
+++ b/Duties/Samples/StepJob.h
@@ -7,24 +7,25 @@
 
 namespace lavender::samples {
 
-/** How a step's work at one entry stands. */
+/** Phase of a step's work at one entry. */
 enum class job_phase
 {
   Working,
-  /** The batch is fixed in the store. */
+  /** The batch is fixed in the object store. */
   Fixed,
-  /** Another entry makes it, or it is past that: this work is dropped. */
+  /** Another entry generates the batch or has finished it; this work is
+   * dropped. */
   Lost
 };
 
-/** A sample to be made, or under way. */
+/** Position of a sample in the batch. */
 struct sample_place
 {
   std::size_t mGroup = 0;
   std::size_t mIndex = 0;
 };
 
-/** One part that is being written; kept until the store has it. */
+/** A part that is being written; kept until the object store has it. */
 struct pending_part
 {
   std::string mName;
@@ -32,35 +33,38 @@
   std::vector<std::size_t> mGroups;
 };
 
-/** One step's work at one entry, in memory. Finished groups go to the store
- * as parts while the rest is made, so that an entry's death costs only what
- * it hadn't saved. */
+/** In-memory state of one step's work at one entry. Finished groups are stored
+ * as parts while the others are generated, so that a crash of the entry loses
+ * only unsaved groups. */
 struct step_job
 {
   batch_shape mShape;
   std::string mNonce;
   job_phase mPhase = job_phase::Working;
-  /** Record as this job last wrote or read it; revision 0: no claim yet. */
+  /** Record as last written or read by this job; revision 0 before the claim.
+   */
   batch_record mRecord;
-  /** A write's answer was lost: read before the next. */
+  /** The response to a write was lost or was a conflict; the record must be
+   * read before the next write. */
   bool mMustReadBack = false;
-  /** The groups that the record names are in the table. */
+  /** The groups in the record's parts have been loaded into the table. */
   bool mIsLoaded = false;
-  /** A claim by another maker at this revision may be taken over: it has
-   * stopped, or its batch became too old. */
+  /** Another entry's record at this revision may be taken over, because that
+   * entry has stopped or the batch became too old. */
   std::int64_t mTakeOverRevision = 0;
   sample_table mTable;
-  std::vector<std::vector<int>> mUnderWay;
+  std::vector<std::vector<int>> mInProgress;
   std::vector<bool> mIsSaved;
-  /** Samples that were there when the last Save began. */
-  std::vector<std::vector<bool>> mWasThere;
+  /** Which samples existed when the last Save began. */
+  std::vector<std::vector<bool>> mExistedBeforeSave;
   std::optional<pending_part> mPending;
-  /** Set when this entry stops: the last write lets others go on at once. */
-  bool mIsReleasing = false;
+  /** Set when this entry stops. The last write then releases the claim, so that
+   * another entry can take over at once. */
+  bool mReleasesClaim = false;
   int mNextPart = 0;
 };
 
-/** Largest value written; the store takes a megabyte. */
+/** Size limit of a part. The object store accepts values up to 1 MB. */
 constexpr std::size_t kMaximumPartBytes = 700000;
 
 step_job
@@ -68,44 +72,47 @@
          std::string aNonce,
          std::int64_t aTakeOverRevision);
 
-/** Next sample that nobody makes; marks it as under way. */
+/** Returns the next sample that is neither finished nor in progress, and marks
+ * it as in progress. */
 std::optional<sample_place>
 TakeNext(step_job& aJob);
 
-/** True when TakeNext would give a sample. */
+/** Whether TakeNext would return a sample. */
 bool
 HasNext(const step_job& aJob);
 
-/** True when a whole group, or the end of the work, isn't in the store. */
+/** Whether a complete group, or the completion of the batch, isn't stored yet.
+ */
 bool
 HasUnsaved(const step_job& aJob);
 
-/** Takes over what Save made of a copy of the job, while results went on
- * coming into the job itself.
- * @return samples that Save threw away as too old */
+/** Merges the result of Save on a copy of the job into the job, which may have
+ * received results in the meantime.
+ * @return number of samples that Save dropped as too old */
 std::size_t
-TakeSaved(step_job& aJob, step_job aSaved);
+MergeSaved(step_job& aJob, step_job aSaved);
 
-/** Takes what became of a sample under way; none when it has to be made
- * again. The first result of a place counts.
- * @return false when the result wasn't needed any more */
+/** Records the result of a sample in progress; none when the sample has to be
+ * generated again. Only the first result of a place is kept.
+ * @return false when no result was recorded */
 bool
-PutResult(step_job& aJob,
-          const sample_place& aPlace,
-          std::optional<sample> aMade);
+RecordResult(step_job& aJob,
+             const sample_place& aPlace,
+             std::optional<sample> aMade);
 
-/** Throws away samples with a part older than that.
- * @return how many */
+/** Drops samples with a part older than that version.
+ * @return number of dropped samples */
 std::size_t
-DropTooOld(step_job& aJob, std::int64_t aOldestVersion);
+DropOutdated(step_job& aJob, std::int64_t aOldestVersion);
 
-/** Finished samples. */
+/** Returns the number of finished samples. */
 std::size_t
 CountDone(const step_job& aJob);
 
-/** Brings the job's work to the store: claim, finished groups, end. Makes at
- * most a few calls and is repeated until the phase changes.
- * @return false when the store gave no answer */
+/** Writes the job's next state to the object store: the claim, a part with
+ * finished groups, or the completion. Makes a few calls at most; it must be
+ * called again until the phase changes.
+ * @return false when the object store didn't respond */
 bool
 Save(step_job& aJob, const batch_store& aStore, std::int64_t aOldestVersion);
 
--- a/Duties/Samples/TestStepJob.cpp
+++ b/Duties/Samples/TestStepJob.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::int64_t kBound = 1;
+constexpr std::int64_t kStalenessBound = 1;
 constexpr std::size_t kEntries = 3;
 
 int
@@ -26,27 +26,27 @@
 {
   None,
   Down,
-  /** The write takes effect and its answer is lost. */
-  AnswerLost,
-  /** No answer, and the write comes in much later. */
+  /** The write takes effect and its response is lost. */
+  ResponseLost,
+  /** No response; the write takes effect much later. */
   Delayed
 };
 
-struct fault_tally
+struct fault_counts
 {
-  std::int64_t mDown = 0;
-  std::int64_t mLost = 0;
+  std::int64_t mOutages = 0;
+  std::int64_t mLostResponses = 0;
   std::int64_t mDelayed = 0;
   std::int64_t mCrashes = 0;
   std::int64_t mTakeOvers = 0;
-  std::int64_t mRemade = 0;
+  std::int64_t mRegenerated = 0;
   std::int64_t mDeliveries = 0;
-  std::int64_t mAgain = 0;
-  std::int64_t mLateAsks = 0;
-  std::int64_t mOrphans = 0;
+  std::int64_t mRepeatedDeliveries = 0;
+  std::int64_t mLateRequests = 0;
+  std::int64_t mOrphanedParts = 0;
 };
 
-/** The Object API with its faults. */
+/** In-memory Object API with injected faults. */
 struct fake_store
 {
   using key = std::pair<std::string, std::string>;
@@ -61,9 +61,9 @@
   std::vector<call> mDelayed;
   std::int64_t mRevision = 0;
   store_fault mNext = store_fault::None;
-  /** Calls that still go well before the fault. */
+  /** Number of calls that succeed before the fault. */
   int mCallsBeforeFault = 0;
-  fault_tally* mTally = nullptr;
+  fault_counts* mCounts = nullptr;
   std::function<void(const batch_record&)> mOnDeliveryWrite;
 
   store_fault TakeFault()
@@ -102,14 +102,14 @@
     }
     switch (TakeFault()) {
       case store_fault::Down:
-        ++mTally->mDown;
+        ++mCounts->mOutages;
         return unknown;
-      case store_fault::AnswerLost:
-        ++mTally->mLost;
+      case store_fault::ResponseLost:
+        ++mCounts->mLostResponses;
         Apply(aCall);
         return unknown;
       case store_fault::Delayed:
-        ++mTally->mDelayed;
+        ++mCounts->mDelayed;
         mDelayed.push_back(aCall);
         return unknown;
       case store_fault::None:
@@ -118,13 +118,13 @@
     return Apply(aCall);
   }
 
-  batch_store Interface()
+  batch_store MakeBatchStore()
   {
     batch_store store;
     store.mRead = [this](const auto& aKind, const auto& aName) {
       platform::read_result read;
       if (TakeFault() != store_fault::None) {
-        ++mTally->mDown;
+        ++mCounts->mOutages;
         return read;
       }
       const auto found = mObjects.find({ aKind, aName });
@@ -145,7 +145,7 @@
       platform::write_result removed;
       removed.mState = write_state::Unknown;
       if (TakeFault() != store_fault::None) {
-        ++mTally->mDown;
+        ++mCounts->mOutages;
         return removed;
       }
       mObjects.erase({ aKind, aName });
@@ -156,14 +156,15 @@
   }
 };
 
-/** Three entries, one store, one trainer, and what the trainer must see. */
-struct world
+/** Simulates three entries, one store and one trainer, and checks the trainer's
+ * responses. */
+struct simulation
 {
   fake_store mStore;
-  batch_store mCalls = mStore.Interface();
+  batch_store mCalls = mStore.MakeBatchStore();
   std::vector<std::optional<step_job>> mJobs{ kEntries };
-  std::vector<std::vector<sample_place>> mUnderWay{ kEntries };
-  fault_tally* mTally = nullptr;
+  std::vector<std::vector<sample_place>> mInProgress{ kEntries };
+  fault_counts* mCounts = nullptr;
   std::int64_t mAccepted = 1;
   int mNextName = 0;
   bool mIsAcknowledged = false;
@@ -180,10 +181,9 @@
     return shape;
   }
 
-  std::int64_t Oldest() const { return mAccepted - kBound; }
+  std::int64_t Oldest() const { return mAccepted - kStalenessBound; }
 
-  /** No step of the trainer's may use what was too old when its first
-   * delivery was decided. */
+  /** Checks that no sample is too old when the first delivery is recorded. */
   void CheckDeliveryWrite(const batch_record& aRecord)
   {
     auto table = MakeTable(3, 2);
@@ -203,7 +203,7 @@
   {
     mJobs[aEntry] =
       StartJob(Shape(), "n" + std::to_string(mNextName++), aTakeOver);
-    mUnderWay[aEntry].clear();
+    mInProgress[aEntry].clear();
   }
 
   void Ask(std::size_t aEntry, bool aIsMakerSilent)
@@ -223,16 +223,16 @@
         break;
       case ask_state::InProgress:
         if (aIsMakerSilent) {
-          ++mTally->mTakeOvers;
+          ++mCounts->mTakeOvers;
           Begin(aEntry, outcome.mRecord.mRevision);
         }
         break;
       case ask_state::TooOld:
-        ++mTally->mRemade;
+        ++mCounts->mRegenerated;
         Begin(aEntry, outcome.mRecord.mRevision);
         break;
       case ask_state::Acknowledged:
-        ++mTally->mLateAsks;
+        ++mCounts->mLateRequests;
         break;
       default:
         break;
@@ -249,31 +249,31 @@
     RC_ASSERT(ids.size() == 6u);
     const auto text = json::Write(aBatch);
     if (mDelivered.empty()) {
-      ++mTally->mDeliveries;
+      ++mCounts->mDeliveries;
       mDelivered = text;
     } else {
-      ++mTally->mAgain;
+      ++mCounts->mRepeatedDeliveries;
       RC_ASSERT(text == mDelivered);
     }
   }
 
-  void Give(std::size_t aEntry)
+  void StartSample(std::size_t aEntry)
   {
     if (!mJobs[aEntry]) {
       return;
     }
     if (const auto place = TakeNext(*mJobs[aEntry])) {
-      mUnderWay[aEntry].push_back(*place);
+      mInProgress[aEntry].push_back(*place);
     }
   }
 
   void Finish(std::size_t aEntry, std::int64_t aAge)
   {
-    if (!mJobs[aEntry] || mUnderWay[aEntry].empty()) {
+    if (!mJobs[aEntry] || mInProgress[aEntry].empty()) {
       return;
     }
-    const auto place = mUnderWay[aEntry].back();
-    mUnderWay[aEntry].pop_back();
+    const auto place = mInProgress[aEntry].back();
+    mInProgress[aEntry].pop_back();
     sample made;
     made.mGroup = static_cast<int>(place.mGroup);
     made.mIndex = static_cast<int>(place.mIndex);
@@ -284,7 +284,7 @@
     part.version = std::max<std::int64_t>(1, mAccepted - aAge);
     part.tokens = 1;
     made.mVersions = { part };
-    PutResult(*mJobs[aEntry], place, made);
+    RecordResult(*mJobs[aEntry], place, made);
   }
 
   void SaveAt(std::size_t aEntry)
@@ -294,11 +294,11 @@
     }
   }
 
-  /** Several samples are made and saved without much between them. */
-  void Rush(std::size_t aEntry, int aCount)
+  /** Generates and saves several samples in succession. */
+  void GenerateAndSave(std::size_t aEntry, int aCount)
   {
     for (int i = 0; i < aCount; ++i) {
-      Give(aEntry);
+      StartSample(aEntry);
       Finish(aEntry, 0);
       SaveAt(aEntry);
     }
@@ -306,7 +306,7 @@
 
   void AcknowledgeAt()
   {
-    // The trainer acknowledges only what it was given.
+    // The trainer acknowledges only a batch that it has received.
     if (!mDelivered.empty() &&
         Acknowledge(mCalls, "minutes", 7).mState == ask_state::Acknowledged) {
       mIsAcknowledged = true;
@@ -333,7 +333,7 @@
       case 2:
       case 3:
       case 4:
-        Give(entry);
+        StartSample(entry);
         break;
       case 5:
       case 6:
@@ -348,7 +348,7 @@
         break;
       case 12:
         if (Draw(0, 3) == 0) {
-          ++mTally->mCrashes;
+          ++mCounts->mCrashes;
           mJobs[entry].reset();
         }
         break;
@@ -359,12 +359,12 @@
         break;
       case 14:
         mStore.mNext = *rc::gen::element(
-          store_fault::Down, store_fault::AnswerLost, store_fault::Delayed);
+          store_fault::Down, store_fault::ResponseLost, store_fault::Delayed);
         mStore.mCallsBeforeFault = Draw(0, 10);
         break;
       case 16:
       case 17:
-        Rush(entry, Draw(1, 12));
+        GenerateAndSave(entry, Draw(1, 12));
         break;
       case 15:
         if (Draw(0, 2) == 0) {
@@ -376,7 +376,7 @@
     }
   }
 
-  /** With the faults over, the trainer gets its batch at the first entry. */
+  /** Ends all faults and checks that the trainer gets its batch. */
   void RunToTheEnd()
   {
     mStore.mNext = store_fault::None;
@@ -386,7 +386,7 @@
     mJobs.assign(kEntries, std::nullopt);
     for (int i = 0; i < 200 && mDelivered.empty(); ++i) {
       Ask(0, true);
-      Give(0);
+      StartSample(0);
       Finish(0, 0);
       SaveAt(0);
     }
@@ -396,7 +396,7 @@
     RC_ASSERT(mIsAcknowledged);
     Ask(2, false);
     for (const auto& [key, object] : mStore.mObjects) {
-      mTally->mOrphans += key.first == kPartKind;
+      mCounts->mOrphanedParts += key.first == kPartKind;
     }
   }
 };
@@ -405,54 +405,56 @@
 
 BOOST_AUTO_TEST_SUITE(TestStepJob)
 
-// A trainer crashes before its acknowledgement, asks two entries at once, and
-// the entry that makes its batch dies or loses an answer of the store. It
-// would train on a step twice, or on two different batches of one step.
+// Guards against a trainer that trains on a step twice or on two different
+// batches of one step. The trainer crashes before its acknowledgement or asks
+// two entries at once, and the entry that generates the batch crashes or loses
+// a response of the object store.
 BOOST_AUTO_TEST_CASE(EachStepIsDeliveredOnceInEveryHistory)
 {
-  fault_tally seen;
-  BOOST_TEST(rc::check("one batch a step, whole, fresh and unchanged", [&] {
-    world run;
-    run.mTally = &seen;
-    run.mStore.mTally = &seen;
-    run.mStore.mOnDeliveryWrite = [&](const batch_record& aRecord) {
-      run.CheckDeliveryWrite(aRecord);
-    };
-    const int steps = Draw(1, 300);
-    for (int i = 0; i < steps; ++i) {
-      run.Step();
-    }
-    run.RunToTheEnd();
-  }));
+  fault_counts seen;
+  BOOST_TEST(
+    rc::check("one complete, recent and unchanged batch per step", [&] {
+      simulation run;
+      run.mCounts = &seen;
+      run.mStore.mCounts = &seen;
+      run.mStore.mOnDeliveryWrite = [&](const batch_record& aRecord) {
+        run.CheckDeliveryWrite(aRecord);
+      };
+      const int steps = Draw(1, 300);
+      for (int i = 0; i < steps; ++i) {
+        run.Step();
+      }
+      run.RunToTheEnd();
+    }));
   BOOST_TEST_MESSAGE(
-    "down=" << seen.mDown << " lost=" << seen.mLost
+    "down=" << seen.mOutages << " lost=" << seen.mLostResponses
             << " delayed=" << seen.mDelayed << " crashes=" << seen.mCrashes
-            << " take_overs=" << seen.mTakeOvers << " remade=" << seen.mRemade
-            << " deliveries=" << seen.mDeliveries << " again=" << seen.mAgain
-            << " late_asks=" << seen.mLateAsks
-            << " orphaned_parts=" << seen.mOrphans);
-  for (const auto count : { seen.mDown,
-                            seen.mLost,
+            << " take_overs=" << seen.mTakeOvers << " remade="
+            << seen.mRegenerated << " deliveries=" << seen.mDeliveries
+            << " again=" << seen.mRepeatedDeliveries << " late_asks="
+            << seen.mLateRequests << " orphaned_parts=" << seen.mOrphanedParts);
+  for (const auto count : { seen.mOutages,
+                            seen.mLostResponses,
                             seen.mDelayed,
                             seen.mCrashes,
                             seen.mTakeOvers,
-                            seen.mRemade,
+                            seen.mRegenerated,
                             seen.mDeliveries,
-                            seen.mAgain,
-                            seen.mLateAsks }) {
+                            seen.mRepeatedDeliveries,
+                            seen.mLateRequests }) {
     BOOST_TEST(count > 0);
   }
 }
 
-// 1,024 samples of two kilobytes are over the megabyte that one value may
-// hold: the batch is kept in parts, and nothing of it remains at the end.
+// 1,024 samples of 2 KB exceed the 1 MB limit of one stored value, so the batch
+// is stored in parts. All parts are deleted after the acknowledgement.
 BOOST_AUTO_TEST_CASE(KeepsABatchOverAMegabyteInParts)
 {
-  fault_tally seen;
+  fault_counts seen;
   fake_store store;
-  store.mTally = &seen;
+  store.mCounts = &seen;
   store.mOnDeliveryWrite = [](const batch_record&) {};
-  const auto calls = store.Interface();
+  const auto calls = store.MakeBatchStore();
   batch_shape shape;
   shape.mRun = "minutes";
   shape.mPrompts.assign(128, "prompt");
@@ -463,7 +465,7 @@
     made.mGroup = static_cast<int>(place->mGroup);
     made.mIndex = static_cast<int>(place->mIndex);
     made.mText = std::string(2048, 'x');
-    PutResult(job, *place, made);
+    RecordResult(job, *place, made);
   }
   for (int i = 0; i < 20 && job.mPhase == job_phase::Working; ++i) {
     BOOST_TEST(Save(job, calls, 0));
