--- a/Duties/Leases/TestGuardedConnection.cpp
+++ b/Duties/Leases/TestGuardedConnection.cpp
@@ -133,7 +133,7 @@
 
 // The same failure without an interrupted call: the lease expires while this
 // thread is idle with an open connection, and the thread sends afterwards.
-BOOST_AUTO_TEST_CASE(SendAfterTheEndFails)
+BOOST_AUTO_TEST_CASE(SendAfterExpiryFails)
 {
   slow_listener listener;
   const auto end = boot_clock::now() + 30ms;
@@ -150,7 +150,7 @@
   close(accepted);
 }
 
-BOOST_AUTO_TEST_CASE(LeaseThatIsOverOpensNothing)
+BOOST_AUTO_TEST_CASE(ExpiredLeaseOpensNoConnection)
 {
   slow_listener listener;
   BOOST_TEST(
--- a/Duties/Orders/TestScale.cpp
+++ b/Duties/Orders/TestScale.cpp
@@ -76,7 +76,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestScale)
 
-BOOST_AUTO_TEST_CASE(PoolWithoutBoundsIsLeftAlone)
+BOOST_AUTO_TEST_CASE(PoolWithoutMaximumIsNotScaled)
 {
   scale_state state;
   scale_policy policy;
@@ -86,7 +86,7 @@
 
 // Guards against stopping servers while no agent reaches this entry. The load
 // seems to be zero, but other entries may still use the servers.
-BOOST_AUTO_TEST_CASE(SilenceIsNotIdleness)
+BOOST_AUTO_TEST_CASE(MissingReportsStopNoServer)
 {
   scale_state state;
   auto servers = Servers(4, 0);
@@ -100,7 +100,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LongQueueStartsAServerAfterAWhile)
+BOOST_AUTO_TEST_CASE(LongQueueStartsAServerAfterTheDelay)
 {
   scale_state state;
   auto servers = Servers(2, 1);
@@ -115,7 +115,7 @@
 // Under any sequence of loads, the number of servers stays within its bounds, a
 // busy zone loses no server, and two changes are at least the startup time
 // apart.
-BOOST_AUTO_TEST_CASE(BoundsAndPausesHoldUnderAnyLoad)
+BOOST_AUTO_TEST_CASE(BoundsAndIntervalsHoldUnderAnyLoad)
 {
   BOOST_TEST(rc::check("bounds hold", [] {
     zone zone;
@@ -144,7 +144,7 @@
 
 // Guards against flapping under a constant load: without the gap between the
 // two thresholds each stop would trigger the next start.
-BOOST_AUTO_TEST_CASE(SteadyLoadSettles)
+BOOST_AUTO_TEST_CASE(SteadyLoadCausesNoFlapping)
 {
   BOOST_TEST(rc::check("no flapping", [] {
     zone zone;
--- a/Duties/Samples/BatchStore.cpp
+++ b/Duties/Samples/BatchStore.cpp
@@ -201,7 +201,7 @@
     if (record.mDigest != DigestOf(aShape)) {
       return Outcome(ask_state::OtherRequest, record);
     }
-    if (record.mState == batch_state::Making) {
+    if (record.mState == batch_state::Generating) {
       return Outcome(ask_state::InProgress, record);
     }
     auto table = MakeTable(aShape.mPrompts.size(), aShape.mSamplesPerPrompt);
--- a/Duties/Samples/BatchStore.h
+++ b/Duties/Samples/BatchStore.h
@@ -32,7 +32,7 @@
  * which becomes too old before its first delivery is generated again. */
 enum class batch_state
 {
-  Making,
+  Generating,
   Fixed,
   Delivered,
   Acknowledged
@@ -42,7 +42,7 @@
  * conditional on its revision. */
 struct batch_record
 {
-  batch_state mState = batch_state::Making;
+  batch_state mState = batch_state::Generating;
   /** Unique for each claim, that is, for each entry that starts to generate the
    * batch. */
   std::string mNonce;
--- a/Duties/Samples/Pace.h
+++ b/Duties/Samples/Pace.h
@@ -44,8 +44,8 @@
   std::int64_t mMaximumTokens = 0;
   /** Every other sample of the step is finished or in progress. */
   bool mIsLastOfStep = false;
-  /** It was already moved once because of a slow server and won't be again for
-   * that reason. */
+  /** The sample was restarted on another server before. A slow server is then
+   * no reason to restart it again. */
   bool mWasMoved = false;
 };
 
--- a/Duties/Samples/SampleDuty.cpp
+++ b/Duties/Samples/SampleDuty.cpp
@@ -117,13 +117,13 @@
       continue;
     }
     lock.unlock();
-    auto made = MakeSample(*work->mStep, work->mPlace);
+    auto generated = GenerateSample(*work->mStep, work->mPosition);
     lock.lock();
     auto& step = *work->mStep;
-    if (!made) {
+    if (!generated) {
       step.mPausedUntil = boot_clock::now() + mOptions.mRetryAfter;
     }
-    RecordResult(step.mJob, work->mPlace, std::move(made));
+    RecordResult(step.mJob, work->mPosition, std::move(generated));
     if (CountDone(step.mJob) == step.mJob.mShape.SampleCount()) {
       mChanged.notify_all();
     }
@@ -164,7 +164,7 @@
 
 std::string
 sample_duty::FindStopReason(active_step& aStep,
-                            const sample_place& aPlace,
+                            const sample_position& aPosition,
                             const attempt_state& aAttempt)
 {
   if (mIsStopping) {
@@ -179,22 +179,23 @@
     }
   }
   std::lock_guard lock(mMutex);
-  const std::pair place{ aPlace.mGroup, aPlace.mIndex };
+  const std::pair position{ aPosition.mGroup, aPosition.mIndex };
   const running_sample running{ aAttempt.mServer,
                                 std::chrono::duration_cast<milliseconds>(
                                   boot_clock::now() - aAttempt.mStartedAt),
                                 aStep.mRequest.mShape.mMaximumTokens,
                                 !HasNext(aStep.mJob),
-                                aStep.mMoved.count(place) > 0 };
+                                aStep.mMoved.count(position) > 0 };
   auto reason = FindMoveReason(mPaces, mOptions.mPace, running);
   if (!reason.empty()) {
-    aStep.mMoved.insert(place);
+    aStep.mMoved.insert(position);
   }
   return reason;
 }
 
 std::optional<sample>
-sample_duty::MakeSample(active_step& aStep, const sample_place& aPlace)
+sample_duty::GenerateSample(active_step& aStep,
+                            const sample_position& aPosition)
 {
   const auto& request = aStep.mRequest;
   const auto& shape = request.mShape;
@@ -203,18 +204,18 @@
     CountRetry("unknown_run");
     return std::nullopt;
   }
-  sample made;
-  made.mGroup = static_cast<int>(aPlace.mGroup);
-  made.mIndex = static_cast<int>(aPlace.mIndex);
-  made.mId = NameOf(shape) + "." + std::to_string(made.mGroup) + "." +
-             std::to_string(made.mIndex);
-  made.mAttempt = made.mId + "." + MakeRandomName();
+  sample generated;
+  generated.mGroup = static_cast<int>(aPosition.mGroup);
+  generated.mIndex = static_cast<int>(aPosition.mIndex);
+  generated.mId = NameOf(shape) + "." + std::to_string(generated.mGroup) + "." +
+                  std::to_string(generated.mIndex);
+  generated.mAttempt = generated.mId + "." + MakeRandomName();
   json::value payload;
-  payload.Set("prompt", shape.mPrompts[aPlace.mGroup]);
+  payload.Set("prompt", shape.mPrompts[aPosition.mGroup]);
   payload.Set("max_tokens", shape.mMaximumTokens);
-  payload.Set("request", made.mId);
+  payload.Set("request", generated.mId);
   dispatch::call call;
-  call.mRequestId = made.mAttempt;
+  call.mRequestId = generated.mAttempt;
   call.mCustomer = request.mCustomer;
   call.mKeyId = request.mKeyId;
   call.mWeight = request.mWeight;
@@ -228,7 +229,7 @@
   call.mOnAttempt = [&](const std::string& aServer) {
     attempt = { aServer, boot_clock::now() };
   };
-  call.mStopReason = [&] { return FindStopReason(aStep, aPlace, attempt); };
+  call.mStopReason = [&] { return FindStopReason(aStep, aPosition, attempt); };
   const auto outcome = mRunner(call);
   if (outcome.mRan == dispatch::ran::Ran) {
     mObserver(call, outcome);
@@ -249,10 +250,10 @@
     return std::nullopt;
   }
   const auto body = json::Parse(outcome.mResult.body);
-  made.mText = body ? json::StringAt(*body, "text", "") : "";
-  made.mModel = outcome.mResult.model;
-  made.mVersions = outcome.mResult.versions;
-  return made;
+  generated.mText = body ? json::StringAt(*body, "text", "") : "";
+  generated.mModel = outcome.mResult.model;
+  generated.mVersions = outcome.mResult.versions;
+  return generated;
 }
 
 void
@@ -291,7 +292,7 @@
   if (!stopReason.empty() || isAbandoned) {
     mMetrics.Count("lavender_batches_dropped_total",
                    { { "reason", isAbandoned ? "abandoned" : stopReason } });
-    aStep->mJob.mPhase = job_phase::Lost;
+    aStep->mJob.mPhase = job_phase::Dropped;
     mSteps.erase(name);
     return;
   }
--- a/Duties/Samples/SampleDuty.h
+++ b/Duties/Samples/SampleDuty.h
@@ -96,7 +96,7 @@
     step_job mJob;
     time_point mRequestedAt;
     time_point mPausedUntil;
-    /** Places whose sample was moved because of a slow server. */
+    /** Positions of samples that were restarted on another server. */
     std::set<std::pair<std::size_t, std::size_t>> mMoved;
     bool mIsStoreUnreachable = false;
   };
@@ -111,7 +111,7 @@
   struct assignment
   {
     step_pointer mStep;
-    sample_place mPlace;
+    sample_position mPosition;
   };
 
   /** Where a sample in progress runs. Accessed only by its worker thread. */
@@ -125,10 +125,10 @@
   void SaveLoop();
   void SaveStep(const step_pointer& aStep);
   std::optional<assignment> NextAssignment(time_point aNow);
-  std::optional<sample> MakeSample(active_step& aStep,
-                                   const sample_place& aPlace);
+  std::optional<sample> GenerateSample(active_step& aStep,
+                                       const sample_position& aPosition);
   std::string FindStopReason(active_step& aStep,
-                             const sample_place& aPlace,
+                             const sample_position& aPosition,
                              const attempt_state& aAttempt);
   std::string FindRejectionReason(
     const dispatch::call_outcome& aOutcome,
--- a/Duties/Samples/StepJob.cpp
+++ b/Duties/Samples/StepJob.cpp
@@ -117,18 +117,18 @@
   const auto found = ToRecord(read.mObject);
   if (found.mNonce == aJob.mNonce) {
     aJob.mRecord = found;
-    if (found.mState != batch_state::Making) {
+    if (found.mState != batch_state::Generating) {
       aJob.mPhase = job_phase::Fixed;
     }
     return true;
   }
-  const bool mayTakeOver =
-    found.mRevision == aJob.mTakeOverRevision &&
-    (found.mState == batch_state::Making || found.mState == batch_state::Fixed);
+  const bool mayTakeOver = found.mRevision == aJob.mTakeOverRevision &&
+                           (found.mState == batch_state::Generating ||
+                            found.mState == batch_state::Fixed);
   if (mayTakeOver) {
     return TakeOver(aJob, aStore, found);
   }
-  aJob.mPhase = job_phase::Lost;
+  aJob.mPhase = job_phase::Dropped;
   return true;
 }
 
@@ -231,7 +231,7 @@
 
 namespace {
 
-std::optional<sample_place>
+std::optional<sample_position>
 FindNext(const step_job& aJob)
 {
   if (aJob.mPhase != job_phase::Working) {
@@ -240,7 +240,7 @@
   for (std::size_t group = 0; group < aJob.mTable.size(); ++group) {
     for (std::size_t index = 0; index < aJob.mTable[group].size(); ++index) {
       if (!aJob.mTable[group][index] && aJob.mInProgress[group][index] == 0) {
-        return sample_place{ group, index };
+        return sample_position{ group, index };
       }
     }
   }
@@ -255,7 +255,7 @@
   return FindNext(aJob).has_value();
 }
 
-std::optional<sample_place>
+std::optional<sample_position>
 TakeNext(step_job& aJob)
 {
   const auto next = FindNext(aJob);
@@ -304,15 +304,15 @@
 
 bool
 RecordResult(step_job& aJob,
-             const sample_place& aPlace,
-             std::optional<sample> aMade)
+             const sample_position& aPosition,
+             std::optional<sample> aGenerated)
 {
-  --aJob.mInProgress[aPlace.mGroup][aPlace.mIndex];
-  auto& place = aJob.mTable[aPlace.mGroup][aPlace.mIndex];
-  if (!aMade || place) {
+  --aJob.mInProgress[aPosition.mGroup][aPosition.mIndex];
+  auto& position = aJob.mTable[aPosition.mGroup][aPosition.mIndex];
+  if (!aGenerated || position) {
     return false;
   }
-  place = std::move(aMade);
+  position = std::move(aGenerated);
   return true;
 }
 
@@ -321,9 +321,9 @@
 {
   std::size_t dropped = 0;
   for (std::size_t group = 0; group < aJob.mTable.size(); ++group) {
-    for (auto& place : aJob.mTable[group]) {
-      if (place && OldestVersion(*place) < aOldestVersion) {
-        place.reset();
+    for (auto& position : aJob.mTable[group]) {
+      if (position && OldestVersion(*position) < aOldestVersion) {
+        position.reset();
         aJob.mIsSaved[group] = false;
         RemoveFromPendingPart(aJob, group);
         ++dropped;
@@ -404,7 +404,7 @@
   if (isFixed) {
     aJob.mPhase = job_phase::Fixed;
   } else if (isReleased) {
-    aJob.mPhase = job_phase::Lost;
+    aJob.mPhase = job_phase::Dropped;
   }
   return true;
 }
--- a/Duties/Samples/StepJob.h
+++ b/Duties/Samples/StepJob.h
@@ -15,11 +15,11 @@
   Fixed,
   /** Another entry generates the batch or has finished it; this work is
    * dropped. */
-  Lost
+  Dropped
 };
 
 /** Position of a sample in the batch. */
-struct sample_place
+struct sample_position
 {
   std::size_t mGroup = 0;
   std::size_t mIndex = 0;
@@ -74,7 +74,7 @@
 
 /** Returns the next sample that is neither finished nor in progress, and marks
  * it as in progress. */
-std::optional<sample_place>
+std::optional<sample_position>
 TakeNext(step_job& aJob);
 
 /** Whether TakeNext would return a sample. */
@@ -93,12 +93,12 @@
 MergeSaved(step_job& aJob, step_job aSaved);
 
 /** Records the result of a sample in progress; none when the sample has to be
- * generated again. Only the first result of a place is kept.
+ * generated again. Only the first result for a position is kept.
  * @return false when no result was recorded */
 bool
 RecordResult(step_job& aJob,
-             const sample_place& aPlace,
-             std::optional<sample> aMade);
+             const sample_position& aPosition,
+             std::optional<sample> aGenerated);
 
 /** Drops samples with a part older than that version.
  * @return number of dropped samples */
--- a/Duties/Samples/TestPace.cpp
+++ b/Duties/Samples/TestPace.cpp
@@ -47,7 +47,7 @@
 
 // The same with two servers, where the slow one would raise a mean so far that
 // it isn't detected.
-BOOST_AUTO_TEST_CASE(SeesTheSlowServerOfTwo)
+BOOST_AUTO_TEST_CASE(DetectsTheSlowServerOfTwo)
 {
   pace_table table;
   RecordPace(table, "engine-1", 500ms, 100);
@@ -62,7 +62,7 @@
 // Guards against an engine that hangs during one generation. The sample becomes
 // overdue when even the longest possible text would be finished, and not
 // before.
-BOOST_AUTO_TEST_CASE(NoAnswerThatKeepsItsServersPaceIsOverdue)
+BOOST_AUTO_TEST_CASE(NoSampleAtItsServersSpeedIsOverdue)
 {
   const auto table = MakeTable(2000ms);
   BOOST_TEST(
--- a/Duties/Samples/TestStepJob.cpp
+++ b/Duties/Samples/TestStepJob.cpp
@@ -163,7 +163,7 @@
   fake_store mStore;
   batch_store mCalls = mStore.MakeBatchStore();
   std::vector<std::optional<step_job>> mJobs{ kEntries };
-  std::vector<std::vector<sample_place>> mInProgress{ kEntries };
+  std::vector<std::vector<sample_position>> mInProgress{ kEntries };
   fault_counts* mCounts = nullptr;
   std::int64_t mAccepted = 1;
   int mNextName = 0;
@@ -262,8 +262,8 @@
     if (!mJobs[aEntry]) {
       return;
     }
-    if (const auto place = TakeNext(*mJobs[aEntry])) {
-      mInProgress[aEntry].push_back(*place);
+    if (const auto position = TakeNext(*mJobs[aEntry])) {
+      mInProgress[aEntry].push_back(*position);
     }
   }
 
@@ -272,19 +272,19 @@
     if (!mJobs[aEntry] || mInProgress[aEntry].empty()) {
       return;
     }
-    const auto place = mInProgress[aEntry].back();
+    const auto position = mInProgress[aEntry].back();
     mInProgress[aEntry].pop_back();
-    sample made;
-    made.mGroup = static_cast<int>(place.mGroup);
-    made.mIndex = static_cast<int>(place.mIndex);
-    made.mId = "minutes.7." + std::to_string(made.mGroup) + "." +
-               std::to_string(made.mIndex);
-    made.mText = "text " + std::to_string(mNextName++);
+    sample generated;
+    generated.mGroup = static_cast<int>(position.mGroup);
+    generated.mIndex = static_cast<int>(position.mIndex);
+    generated.mId = "minutes.7." + std::to_string(generated.mGroup) + "." +
+                    std::to_string(generated.mIndex);
+    generated.mText = "text " + std::to_string(mNextName++);
     wire::weight_part part;
     part.version = std::max<std::int64_t>(1, mAccepted - aAge);
     part.tokens = 1;
-    made.mVersions = { part };
-    RecordResult(*mJobs[aEntry], place, made);
+    generated.mVersions = { part };
+    RecordResult(*mJobs[aEntry], position, generated);
   }
 
   void SaveAt(std::size_t aEntry)
@@ -460,12 +460,12 @@
   shape.mPrompts.assign(128, "prompt");
   shape.mSamplesPerPrompt = 8;
   auto job = StartJob(shape, "n", 0);
-  while (const auto place = TakeNext(job)) {
-    sample made;
-    made.mGroup = static_cast<int>(place->mGroup);
-    made.mIndex = static_cast<int>(place->mIndex);
-    made.mText = std::string(2048, 'x');
-    RecordResult(job, *place, made);
+  while (const auto position = TakeNext(job)) {
+    sample generated;
+    generated.mGroup = static_cast<int>(position->mGroup);
+    generated.mIndex = static_cast<int>(position->mIndex);
+    generated.mText = std::string(2048, 'x');
+    RecordResult(job, *position, generated);
   }
   for (int i = 0; i < 20 && job.mPhase == job_phase::Working; ++i) {
     BOOST_TEST(Save(job, calls, 0));
--- a/Duties/Weights/TestRollOut.cpp
+++ b/Duties/Weights/TestRollOut.cpp
@@ -91,7 +91,7 @@
 
 // No order goes to a server that is leaving, that is unreachable, or whose
 // agent hasn't reported.
-BOOST_AUTO_TEST_CASE(LeavesOutServersThatCannotSwap)
+BOOST_AUTO_TEST_CASE(SendsNoOrderToServersThatCannotSwap)
 {
   roll_out_state state;
   auto servers = MakeServers(4);
--- a/Duties/Weights/VersionTracker.cpp
+++ b/Duties/Weights/VersionTracker.cpp
@@ -117,8 +117,7 @@
   auto& run = aTracker.mRuns.at(aRun);
   // A change that another read revealed since StartRun may have happened before
   // or after this read.
-  run.mHasUnexplainedChange |=
-    run.mUnorderedChanges != aTracker.mUnorderedChanges;
+  run.mIsUntraceable |= run.mUnorderedChanges != aTracker.mUnorderedChanges;
   TakeRead(aTracker, aHeld, aEvents, aNow);
   run.mBefore = aHeld;
   run.mIsReportDoubtful |= aTracker.mIsReportDoubtful;
@@ -144,7 +143,7 @@
   if (!run.mBefore || !run.mBefore->IsKnown() || !aAfter.IsKnown()) {
     return Unknown("version_not_read");
   }
-  if (run.mHasUnexplainedChange) {
+  if (run.mIsUntraceable) {
     return Unknown("version_changed_unordered");
   }
   if (run.mMayHaveInheritedOrder) {
@@ -212,7 +211,7 @@
   for (auto& [id, run] : aTracker.mRuns) {
     // A second unnoticed swap during a run could restore the first version, so
     // that equal reads before and after would prove nothing.
-    run.mHasUnexplainedChange |= run.mOpenTarget && *run.mOpenTarget != aTarget;
+    run.mIsUntraceable |= run.mOpenTarget && *run.mOpenTarget != aTarget;
     run.mOpenTarget = aTarget;
     ++run.mOpenOrders;
   }
@@ -274,7 +273,7 @@
     aTracker.mIsReportDoubtful = true;
     ++aTracker.mEvents;
     for (auto& [id, run] : aTracker.mRuns) {
-      run.mHasUnexplainedChange |= run.mBefore.has_value();
+      run.mIsUntraceable |= run.mBefore.has_value();
     }
   }
   if (isOrdered && !aTracker.mOpen->mIsRepeated) {
--- a/Duties/Weights/VersionTracker.h
+++ b/Duties/Weights/VersionTracker.h
@@ -69,8 +69,9 @@
   /** At its start the server had been ordered to load a version that it doesn't
    * hold. A server that reports the ordered version would then be wrong. */
   bool mIsReportDoubtful = false;
-  /** The server's version changed without an order of this process. */
-  bool mHasUnexplainedChange = false;
+  /** The version changed without an order of this process, or may have changed
+   * more than once, so that the reads don't reveal what produced the tokens. */
+  bool mIsUntraceable = false;
 };
 
 /** A swap order that may still take effect. */
