--- a/Duties/Leases/TestGuardedConnection.cpp
+++ b/Duties/Leases/TestGuardedConnection.cpp
@@ -123,8 +123,8 @@
 
 // Guards against a request that is sent after another process took the lease
 // over. The sender is paused between its check and its send, or while its send
-// blocks on a full socket, and resumes after the lease has expired. 240 pauses
-// at seeded moments; bytes that arrive after the resume are counted.
+// blocks on a full socket, and resumes after the lease has expired. 240 real
+// pauses at seeded moments; bytes that arrive after the resume are counted.
 BOOST_AUTO_TEST_CASE(PausedSenderLetsNoByteOut)
 {
   BOOST_TEST(CountLeaks(1 << 20) == 0);
--- a/Duties/Leases/TestLease.cpp
+++ b/Duties/Leases/TestLease.cpp
@@ -562,8 +562,8 @@
   BOOST_TEST(afterExpiry.mRecord.mFencing == 2);
 }
 
-// With 33 leases over three entries, no entry holds all of them, and the
-// departure of an entry moves only its own leases.
+// 33 leases, as for 16 zones and 17 training runs, over three entries: no entry
+// holds all of them, and the departure of an entry moves only its own leases.
 BOOST_AUTO_TEST_CASE(PreferenceSpreadsLeases)
 {
   const std::vector<std::string> all = { "entry-1", "entry-2", "entry-3" };
--- a/Duties/Samples/TestStepJob.cpp
+++ b/Duties/Samples/TestStepJob.cpp
@@ -287,7 +287,7 @@
     RecordResult(*mJobs[aEntry], position, generated);
   }
 
-  void SaveAt(std::size_t aEntry)
+  void SaveJob(std::size_t aEntry)
   {
     if (mJobs[aEntry]) {
       Save(*mJobs[aEntry], mCalls, Oldest());
@@ -300,11 +300,11 @@
     for (int i = 0; i < aCount; ++i) {
       StartSample(aEntry);
       Finish(aEntry, 0);
-      SaveAt(aEntry);
+      SaveJob(aEntry);
     }
   }
 
-  void AcknowledgeAt()
+  void AcknowledgeIfDelivered()
   {
     // The trainer acknowledges only a batch that it has received.
     if (!mDelivered.empty() &&
@@ -344,7 +344,7 @@
       case 9:
       case 10:
       case 11:
-        SaveAt(entry);
+        SaveJob(entry);
         break;
       case 12:
         if (Draw(0, 3) == 0) {
@@ -370,7 +370,7 @@
         if (Draw(0, 2) == 0) {
           ApplyDelayed();
         } else {
-          AcknowledgeAt();
+          AcknowledgeIfDelivered();
         }
         break;
     }
@@ -388,11 +388,11 @@
       Ask(0, true);
       StartSample(0);
       Finish(0, 0);
-      SaveAt(0);
+      SaveJob(0);
     }
     RC_ASSERT(!mDelivered.empty());
     Ask(1, false);
-    AcknowledgeAt();
+    AcknowledgeIfDelivered();
     RC_ASSERT(mIsAcknowledged);
     Ask(2, false);
     for (const auto& [key, object] : mStore.mObjects) {
@@ -411,12 +411,12 @@
 // a response of the object store.
 BOOST_AUTO_TEST_CASE(EachStepIsDeliveredOnceInEveryHistory)
 {
-  fault_counts seen;
+  fault_counts counts;
   BOOST_TEST(
     rc::check("one complete, recent and unchanged batch per step", [&] {
       simulation run;
-      run.mCounts = &seen;
-      run.mStore.mCounts = &seen;
+      run.mCounts = &counts;
+      run.mStore.mCounts = &counts;
       run.mStore.mOnDeliveryWrite = [&](const batch_record& aRecord) {
         run.CheckDeliveryWrite(aRecord);
       };
@@ -427,21 +427,22 @@
       run.RunToTheEnd();
     }));
   BOOST_TEST_MESSAGE(
-    "down=" << seen.mOutages << " lost=" << seen.mLostResponses
-            << " delayed=" << seen.mDelayed << " crashes=" << seen.mCrashes
-            << " take_overs=" << seen.mTakeOvers << " remade="
-            << seen.mRegenerated << " deliveries=" << seen.mDeliveries
-            << " again=" << seen.mRepeatedDeliveries << " late_asks="
-            << seen.mLateRequests << " orphaned_parts=" << seen.mOrphanedParts);
-  for (const auto count : { seen.mOutages,
-                            seen.mLostResponses,
-                            seen.mDelayed,
-                            seen.mCrashes,
-                            seen.mTakeOvers,
-                            seen.mRegenerated,
-                            seen.mDeliveries,
-                            seen.mRepeatedDeliveries,
-                            seen.mLateRequests }) {
+    "down=" << counts.mOutages << " lost=" << counts.mLostResponses
+            << " delayed=" << counts.mDelayed << " crashes=" << counts.mCrashes
+            << " take_overs=" << counts.mTakeOvers << " remade="
+            << counts.mRegenerated << " deliveries=" << counts.mDeliveries
+            << " again=" << counts.mRepeatedDeliveries
+            << " late_asks=" << counts.mLateRequests
+            << " orphaned_parts=" << counts.mOrphanedParts);
+  for (const auto count : { counts.mOutages,
+                            counts.mLostResponses,
+                            counts.mDelayed,
+                            counts.mCrashes,
+                            counts.mTakeOvers,
+                            counts.mRegenerated,
+                            counts.mDeliveries,
+                            counts.mRepeatedDeliveries,
+                            counts.mLateRequests }) {
     BOOST_TEST(count > 0);
   }
 }
@@ -450,9 +451,9 @@
 // is stored in parts. All parts are deleted after the acknowledgement.
 BOOST_AUTO_TEST_CASE(KeepsABatchOverAMegabyteInParts)
 {
-  fault_counts seen;
+  fault_counts counts;
   fake_store store;
-  store.mCounts = &seen;
+  store.mCounts = &counts;
   store.mOnDeliveryWrite = [](const batch_record&) {};
   const auto calls = store.MakeBatchStore();
   batch_shape shape;
--- a/Duties/Weights/RollOutDuty.cpp
+++ b/Duties/Weights/RollOutDuty.cpp
@@ -143,15 +143,16 @@
   order.fencing = lease->mFencing;
   order.holder = mOptions.mHolder;
   order.agent_incarnation = aOrder.mServer.mAgentIncarnation;
-  const auto sent = aOrder.mConnections->Run<wire::swap_reply>(
+  const auto response = aOrder.mConnections->Run<wire::swap_reply>(
     mOptions.mOrderTimeout, order.echo, [&](auto& aClient, auto& aReply) {
       aClient.Swap(aReply, order);
     });
-  const bool isAnswered = sent.mState == wire::wire_state::Answered;
-  const std::string result = !isAnswered                  ? "no_answer"
-                             : sent.mReply.done           ? "done"
-                             : sent.mReply.reason.empty() ? "taken"
-                                                          : sent.mReply.reason;
+  const bool isAnswered = response.mState == wire::wire_state::Answered;
+  const std::string result = !isAnswered            ? "no_answer"
+                             : response.mReply.done ? "done"
+                             : response.mReply.reason.empty()
+                               ? "taken"
+                               : response.mReply.reason;
   mMetrics.Count("lavender_swap_orders_total", { { "result", result } });
   if (result != "done" && result != "taken") {
     Log(log_level::Warning,
--- a/Duties/Weights/TestVersionTracker.cpp
+++ b/Duties/Weights/TestVersionTracker.cpp
@@ -23,7 +23,7 @@
 /** Simulated server, which knows the version that produced each token. */
 struct simulated_server
 {
-  report_kind mReported = report_kind::Truthful;
+  report_kind mReportKind = report_kind::Truthful;
   std::int64_t mHeld = 1;
   std::int64_t mOrdered = 1;
   /** Orders that take effect later, each with its latest time. */
@@ -68,7 +68,7 @@
 struct history_counts
 {
   std::int64_t mLabelled = 0;
-  std::int64_t mSpans = 0;
+  std::int64_t mMultiVersionLabels = 0;
   std::int64_t mUnknown = 0;
   std::int64_t mUndisturbed = 0;
   std::int64_t mLate = 0;
@@ -115,7 +115,7 @@
       ++run.mTokens;
       AddToken(run.mActual, mServer.mHeld);
       AddToken(run.mReported,
-               mServer.mReported == report_kind::OrderedVersion
+               mServer.mReportKind == report_kind::OrderedVersion
                  ? mServer.mOrdered
                  : mServer.mHeld);
     }
@@ -129,7 +129,7 @@
       DropRun(mTracker, run.mId);
       return;
     }
-    const auto reported = mServer.mReported == report_kind::None
+    const auto reported = mServer.mReportKind == report_kind::None
                             ? std::vector<version_part>{}
                             : run.mReported;
     mCounts->mWrongReports += !reported.empty() && reported != run.mActual;
@@ -153,7 +153,7 @@
       return;
     }
     ++mCounts->mLabelled;
-    mCounts->mSpans += label.mParts.size() > 1;
+    mCounts->mMultiVersionLabels += label.mParts.size() > 1;
     RC_ASSERT(label.mParts == run.mActual);
   }
 
@@ -187,7 +187,7 @@
     }
   }
 
-  void Pass(milliseconds aTime)
+  void AdvanceTime(milliseconds aTime)
   {
     while (!mServer.mLate.empty() &&
            mServer.mLate.front().second <= mNow + aTime) {
@@ -204,9 +204,9 @@
     mServer.mHeld = 1;
     mServer.mOrdered = 1;
     mServer.mLate.clear();
-    auto kept = mRuns;
+    auto waiting = mRuns;
     mRuns.clear();
-    for (const auto& run : kept) {
+    for (const auto& run : waiting) {
       if (run.mHasTokens) {
         DropRun(mTracker, run.mId);
       } else {
@@ -233,11 +233,11 @@
   simulation run;
   run.mCounts = &aCounts;
   run.mLabelling = aLabelling;
-  run.mServer.mReported = *rc::gen::element(
+  run.mServer.mReportKind = *rc::gen::element(
     report_kind::Truthful, report_kind::None, report_kind::OrderedVersion);
   run.RestartAgent();
   if (*rc::gen::arbitrary<bool>()) {
-    run.Pass(kSettle + 1ms);
+    run.AdvanceTime(kSettle + 1ms);
   }
   const auto steps = Draw(1, 120);
   for (int i = 0; i < steps; ++i) {
@@ -273,7 +273,7 @@
         run.ApplyLate();
         break;
       case 11:
-        run.Pass(milliseconds(*rc::gen::element(500, 3000, 11000)));
+        run.AdvanceTime(milliseconds(*rc::gen::element(500, 3000, 11000)));
         break;
       case 12:
         if (const int fault = Draw(0, 12); fault == 0) {
@@ -298,23 +298,24 @@
 // label based on the server's report alone or on one read would be wrong.
 BOOST_AUTO_TEST_CASE(NamedVersionsAreTrueInEveryHistory)
 {
-  history_counts seen;
+  history_counts counts;
   BOOST_TEST(rc::check("each part names the version that produced it",
-                       [&] { RunHistory(seen, labelling_method::Tracker); }));
+                       [&] { RunHistory(counts, labelling_method::Tracker); }));
   BOOST_TEST_MESSAGE(
-    "named=" << seen.mLabelled << " spans=" << seen.mSpans
-             << " unknown=" << seen.mUnknown << " late=" << seen.mLate
-             << " failed=" << seen.mFailed << " crashes=" << seen.mCrashes
-             << " agent_restarts=" << seen.mAgentRestarts << " undisturbed="
-             << seen.mUndisturbed << " wrong_accounts=" << seen.mWrongReports);
+    "named=" << counts.mLabelled << " spans=" << counts.mMultiVersionLabels
+             << " unknown=" << counts.mUnknown << " late=" << counts.mLate
+             << " failed=" << counts.mFailed << " crashes=" << counts.mCrashes
+             << " agent_restarts=" << counts.mAgentRestarts
+             << " undisturbed=" << counts.mUndisturbed
+             << " wrong_accounts=" << counts.mWrongReports);
   // Each fault occurred, and some responses were labelled.
-  BOOST_TEST(seen.mLate > 0);
-  BOOST_TEST(seen.mFailed > 0);
-  BOOST_TEST(seen.mCrashes > 0);
-  BOOST_TEST(seen.mAgentRestarts > 0);
-  BOOST_TEST(seen.mWrongReports > 0);
-  BOOST_TEST(seen.mSpans > 0);
-  BOOST_TEST(seen.mUndisturbed > 0);
+  BOOST_TEST(counts.mLate > 0);
+  BOOST_TEST(counts.mFailed > 0);
+  BOOST_TEST(counts.mCrashes > 0);
+  BOOST_TEST(counts.mAgentRestarts > 0);
+  BOOST_TEST(counts.mWrongReports > 0);
+  BOOST_TEST(counts.mMultiVersionLabels > 0);
+  BOOST_TEST(counts.mUndisturbed > 0);
 }
 
 // Checks that the histories detect wrong labels: both naive ways of labelling
@@ -323,9 +324,9 @@
 {
   for (const auto naive :
        { labelling_method::ReportedVersions, labelling_method::VersionReads }) {
-    history_counts seen;
+    history_counts counts;
     const auto result =
-      rc::detail::checkTestable([&] { RunHistory(seen, naive); },
+      rc::detail::checkTestable([&] { RunHistory(counts, naive); },
                                 rc::detail::TestMetadata(),
                                 rc::detail::configuration().testParams);
     rc::detail::FailureResult failure;
