--- a/Duties/Leases/GuardedConnection.h
+++ b/Duties/Leases/GuardedConnection.h
@@ -22,7 +22,7 @@
  * TCP_USER_TIMEOUT, set below the remaining time of the lease, bounds how long
  * the kernel retransmits data that it had accepted before the pause. The next
  * holder waits for bytes on the wire or in the receiver's buffer
- * (lease_settings::mLateBytes).
+ * (lease_settings::mMaximumTransitTime).
  *
  * The connection must be used and destroyed in the thread that opened it, since
  * the signal goes to that thread only. */
--- a/Duties/Leases/Lease.cpp
+++ b/Duties/Leases/Lease.cpp
@@ -61,8 +61,8 @@
 milliseconds
 TransitWait(const lease_settings& aSettings)
 {
-  return aSettings.mLateBytes + aSettings.mLateBytes / aSettings.mDriftDivisor +
-         1ms;
+  return aSettings.mMaximumTransitTime +
+         aSettings.mMaximumTransitTime / aSettings.mDriftDivisor + 1ms;
 }
 
 /** When this process may acquire a lease that it doesn't hold. */
@@ -72,7 +72,7 @@
             const lease_settings& aSettings)
 {
   const auto rank = std::min(aSelf.mRank, kFrequentReaders);
-  const auto handicap = aSettings.mHandicap * static_cast<int>(rank);
+  const auto handicap = aSettings.mDelayPerRank * static_cast<int>(rank);
   if (*aState.mRevision == 0 || aState.mRecord.mIsReleased) {
     return aState.mFirstSeenAt + handicap;
   }
@@ -99,7 +99,7 @@
 } // namespace
 
 json::value
-Describe(const lease_record& aRecord)
+ToJson(const lease_record& aRecord)
 {
   json::value described;
   described.Set("holder", aRecord.mHolder);
@@ -126,7 +126,7 @@
 {
   // The holder may run with a longer duration than this process.
   const auto duration = std::max(aRecord.mDuration, aSettings.mDuration);
-  const auto wait = duration + aSettings.mLateBytes;
+  const auto wait = duration + aSettings.mMaximumTransitTime;
   return wait + wait / aSettings.mDriftDivisor + 1ms;
 }
 
--- a/Duties/Leases/Lease.h
+++ b/Duties/Leases/Lease.h
@@ -24,14 +24,14 @@
   milliseconds mDuration{ 9000 };
   /** Longest time in transit: a byte sent before the lease expired has arrived
    * or is lost after this. A successor waits this long after the duration. */
-  milliseconds mLateBytes{ 3000 };
+  milliseconds mMaximumTransitTime{ 3000 };
   /** Largest difference between the rates of two processes' clocks: one part in
    * this many. */
   std::int64_t mDriftDivisor = 64;
   /** Delay between a failed call and the next one. */
   milliseconds mRetryInterval{ 300 };
   /** Additional delay of a candidate for each candidate preferred to it. */
-  milliseconds mHandicap{ 1500 };
+  milliseconds mDelayPerRank{ 1500 };
 };
 
 /** State of a lease as stored in the Object API under the kind "Lease". */
@@ -47,7 +47,7 @@
 };
 
 json::value
-Describe(const lease_record& aRecord);
+ToJson(const lease_record& aRecord);
 lease_record
 ParseRecord(const json::value& aValue);
 
--- a/Duties/Leases/LeaseKeeper.h
+++ b/Duties/Leases/LeaseKeeper.h
@@ -14,7 +14,7 @@
 
 namespace lavender::leases {
 
-struct keeper_options
+struct lease_manager_options
 {
   platform::client mPlatform;
   /** Name of this entry in the platform's instance list. */
@@ -28,18 +28,18 @@
 
 /** Acquires and renews the leases that this process requests. Each lease has a
  * thread, so that a slow response for one lease doesn't delay another. */
-class lease_keeper
+class lease_manager
 {
 public:
-  explicit lease_keeper(keeper_options aOptions);
-  ~lease_keeper();
-  lease_keeper(const lease_keeper&) = delete;
-  lease_keeper& operator=(const lease_keeper&) = delete;
+  explicit lease_manager(lease_manager_options aOptions);
+  ~lease_manager();
+  lease_manager(const lease_manager&) = delete;
+  lease_manager& operator=(const lease_manager&) = delete;
 
   /** Starts to acquire that lease and to renew it once held. */
-  void Want(const std::string& aName);
+  void StartAcquiring(const std::string& aName);
   /** Stops acquiring that lease, and releases it when it is held. */
-  void StopAcquiring(const std::string& aName);
+  void Relinquish(const std::string& aName);
   /** Makes Stop leave that lease to expire instead of releasing it, because a
    * request sent under the lease may still be in transit and a successor has to
    * wait for it. */
@@ -72,7 +72,7 @@
   candidate MakeCandidate(const std::string& aLease) const;
   void UpdateMetrics(const managed_lease& aLease) const;
 
-  const keeper_options mOptions;
+  const lease_manager_options mOptions;
   mutable std::mutex mMutex;
   std::condition_variable mChanged;
   bool mIsStopping = false;
--- a/Duties/Leases/TestLease.cpp
+++ b/Duties/Leases/TestLease.cpp
@@ -117,7 +117,7 @@
       boundaries.insert(TrueTime(each, each.mState.mNextStepAt) + 1us);
     }
     for (const auto& bytes : mBytes) {
-      boundaries.insert(bytes.mSentAt + mSettings.mLateBytes);
+      boundaries.insert(bytes.mSentAt + mSettings.mMaximumTransitTime);
     }
     boundaries.erase(boundaries.begin(), boundaries.upper_bound(mNow));
     if (!boundaries.empty()) {
@@ -224,7 +224,7 @@
 
   platform::stored_object Stored() const
   {
-    return { "Lease", "L", mStoredRevision, Describe(*mStored) };
+    return { "Lease", "L", mStoredRevision, ToJson(*mStored) };
   }
 
   /** The store executes a request; the response may be lost. */
@@ -324,7 +324,7 @@
                                 mBytes.end(),
                                 [&](const auto& aBytes) {
                                   return mNow - aBytes.mSentAt >
-                                         mSettings.mLateBytes;
+                                         mSettings.mMaximumTransitTime;
                                 }),
                  mBytes.end());
     if (mBytes.empty()) {
@@ -527,7 +527,7 @@
               lease_action::Read));
   platform::read_result read;
   read.mState = platform::read_state::Found;
-  read.mObject = { "Lease", "L", 7, Describe(step.mRecord) };
+  read.mObject = { "Lease", "L", 7, ToJson(step.mRecord) };
   TakeRead(state, read, self, settings, start + 3s);
   BOOST_REQUIRE(HeldAt(state, start + 3s).has_value());
   BOOST_TEST((HeldAt(state, start + 3s)->mExpiresAt == start + 9s));
--- a/Duties/Orders/Scale.cpp
+++ b/Duties/Orders/Scale.cpp
@@ -56,12 +56,12 @@
 IsIdle(const zone_load& aLoad, const scale_policy& aPolicy)
 {
   return aLoad.mLeastLoaded && !IsBusy(aLoad, aPolicy) &&
-         aLoad.mRequests <
-           aPolicy.mLowUse * (aLoad.mSlots - aLoad.mLeastLoaded->mSlots);
+         aLoad.mRequests < aPolicy.mLowUtilisation *
+                             (aLoad.mSlots - aLoad.mLeastLoaded->mSlots);
 }
 
 scale_decision
-RecordChange(scale_state& aState,
+MakeDecision(scale_state& aState,
              time_point aNow,
              scale_action aAction,
              std::string aServer,
@@ -87,31 +87,32 @@
   const auto load = SumLoads(aServers);
   const bool isBusyLongEnough = HasLasted(
     aState.mBusySince, IsBusy(load, aPolicy), aPolicy.mScaleUpDelay, aNow);
-  const bool isIdleLongEnough =
-    HasLasted(aState.mIdleSince, IsIdle(load, aPolicy), aPolicy.mIdleFor, aNow);
-  if (aState.mChangedAt && aNow - *aState.mChangedAt < aPolicy.mStartTime) {
+  const bool isIdleLongEnough = HasLasted(
+    aState.mIdleSince, IsIdle(load, aPolicy), aPolicy.mScaleDownDelay, aNow);
+  if (aState.mChangedAt &&
+      aNow - *aState.mChangedAt < aPolicy.mStartupDuration) {
     return {};
   }
   if (load.mServers < aPolicy.mMinimum) {
-    return RecordChange(aState, aNow, scale_action::Start, "", "below_minimum");
+    return MakeDecision(aState, aNow, scale_action::Start, "", "below_minimum");
   }
   if (load.mReporting * 2 < load.mServers) {
     // Most agents don't report, so the load is unknown and may not be low.
     return {};
   }
   if (load.mServers > aPolicy.mMaximum && load.mLeastLoaded) {
-    return RecordChange(aState,
+    return MakeDecision(aState,
                         aNow,
                         scale_action::Stop,
                         load.mLeastLoaded->mName,
                         "above_maximum");
   }
   if (isBusyLongEnough && load.mServers < aPolicy.mMaximum) {
-    return RecordChange(aState, aNow, scale_action::Start, "", "busy");
+    return MakeDecision(aState, aNow, scale_action::Start, "", "busy");
   }
   if (isIdleLongEnough &&
       load.mServers > std::max<std::int64_t>(1, aPolicy.mMinimum)) {
-    return RecordChange(
+    return MakeDecision(
       aState, aNow, scale_action::Stop, load.mLeastLoaded->mName, "idle");
   }
   return {};
--- a/Duties/Orders/Scale.h
+++ b/Duties/Orders/Scale.h
@@ -37,15 +37,15 @@
   /** A server is stopped only when the utilisation of the others would stay
    * below this. The gap between the two thresholds prevents a stop from
    * triggering the next start. */
-  double mLowUse = 0.5;
+  double mLowUtilisation = 0.5;
   milliseconds mMaximumQueueDelay{ 500 };
   /** How long the zone must be busy, or idle, without interruption. Stopping
    * takes longer, because an idle server costs less than a queue. */
   milliseconds mScaleUpDelay{ 5000 };
-  milliseconds mIdleFor{ 60000 };
+  milliseconds mScaleDownDelay{ 60000 };
   /** Time from a start order to the server's first request. No other change is
    * made in this time, since the load doesn't include the new server yet. */
-  milliseconds mStartTime{ 60000 };
+  milliseconds mStartupDuration{ 60000 };
 };
 
 /** State of DecideScale between calls. */
--- a/Duties/Orders/ZoneKeeper.cpp
+++ b/Duties/Orders/ZoneKeeper.cpp
@@ -19,28 +19,29 @@
 
 } // namespace
 
-zone_keeper::zone_keeper(zone_keeper_options aOptions,
-                         configuration::configuration_store& aConfiguration,
-                         membership::server_directory& aDirectory)
+zone_autoscaler::zone_autoscaler(
+  zone_autoscaler_options aOptions,
+  configuration::configuration_store& aConfiguration,
+  membership::server_directory& aDirectory)
   : mOptions(std::move(aOptions))
   , mConfiguration(aConfiguration)
   , mDirectory(aDirectory)
 {
 }
 
-zone_keeper::~zone_keeper()
+zone_autoscaler::~zone_autoscaler()
 {
   Stop();
 }
 
 void
-zone_keeper::Start()
+zone_autoscaler::Start()
 {
   mThread = std::thread([this] { Run(); });
 }
 
 void
-zone_keeper::Stop()
+zone_autoscaler::Stop()
 {
   {
     std::lock_guard lock(mMutex);
@@ -53,14 +54,14 @@
   for (const auto& [name, zone] : mZones) {
     const auto unanswered = zone.mChannel.UnansweredAt();
     if (mOptions.mLetExpire && unanswered &&
-        boot_clock::now() - *unanswered < mOptions.mLateBytes) {
+        boot_clock::now() - *unanswered < mOptions.mMaximumTransitTime) {
       mOptions.mLetExpire(LeaseName(name));
     }
   }
 }
 
 void
-zone_keeper::Run()
+zone_autoscaler::Run()
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
@@ -68,12 +69,12 @@
     UpdateZones();
     lock.lock();
     mStopped.wait_for(
-      lock, mOptions.mLookEvery, [this] { return mIsStopping; });
+      lock, mOptions.mCheckInterval, [this] { return mIsStopping; });
   }
 }
 
 void
-zone_keeper::UpdateZones()
+zone_autoscaler::UpdateZones()
 {
   const auto snapshot = mConfiguration.Current();
   const bool isScalingEnabled = std::any_of(
@@ -101,9 +102,9 @@
 }
 
 void
-zone_keeper::UpdateZone(zone& aZone,
-                        const std::string& aName,
-                        const leases::held_lease& aLease)
+zone_autoscaler::UpdateZone(zone& aZone,
+                            const std::string& aName,
+                            const leases::held_lease& aLease)
 {
   if (!aZone.mChannel.TakeOver(aLease)) {
     return;
@@ -128,9 +129,9 @@
 }
 
 void
-zone_keeper::BeginOrderIfNeeded(zone& aZone,
-                                const std::string& aName,
-                                const leases::held_lease& aLease)
+zone_autoscaler::BeginOrderIfNeeded(zone& aZone,
+                                    const std::string& aName,
+                                    const leases::held_lease& aLease)
 {
   for (const auto& [name, pool] : mConfiguration.Current()->mPools) {
     auto policy = mOptions.mPolicy;
@@ -161,7 +162,7 @@
 }
 
 void
-zone_keeper::ContinueOrder(zone& aZone, const leases::held_lease& aLease)
+zone_autoscaler::ContinueOrder(zone& aZone, const leases::held_lease& aLease)
 {
   const auto& order = aZone.mChannel.Current();
   if (order.mStage == order_stage::Draining && !IsDrained(aZone, aLease)) {
@@ -174,7 +175,7 @@
 }
 
 bool
-zone_keeper::IsDrained(zone& aZone, const leases::held_lease& aLease)
+zone_autoscaler::IsDrained(zone& aZone, const leases::held_lease& aLease)
 {
   const auto& order = aZone.mChannel.Current();
   const auto server = mDirectory.Find(order.mServer);
@@ -218,8 +219,8 @@
 }
 
 std::vector<server_load>
-zone_keeper::CollectLoads(const std::string& aZone,
-                          const std::string& aPool) const
+zone_autoscaler::CollectLoads(const std::string& aZone,
+                              const std::string& aPool) const
 {
   const auto now = boot_clock::now();
   std::vector<server_load> loads;
@@ -236,8 +237,8 @@
     load.mQueueDelay =
       milliseconds(static_cast<std::int64_t>(view.mLoad.queue_delay_ms));
     load.mIsLeaving = view.mIsLeaving;
-    load.mIsReporting = view.mIsServerReachable && view.mHeardAt &&
-                        now - *view.mHeardAt < kMaximumReportAge;
+    load.mIsReporting = view.mIsServerReachable && view.mLastResponseAt &&
+                        now - *view.mLastResponseAt < kMaximumReportAge;
     loads.push_back(std::move(load));
   }
   return loads;
--- a/Duties/Orders/ZoneKeeper.h
+++ b/Duties/Orders/ZoneKeeper.h
@@ -15,7 +15,7 @@
 
 namespace lavender::orders {
 
-struct zone_keeper_options
+struct zone_autoscaler_options
 {
   platform::client mPlatform;
   leases::lease_source mLeases;
@@ -24,11 +24,11 @@
   std::function<void(const std::string&)> mLetExpire;
   /** Longest time in transit: a sent order has arrived or is lost after this.
    */
-  milliseconds mLateBytes{ 3000 };
+  milliseconds mMaximumTransitTime{ 3000 };
   /** Scaling policy; mMinimum and mMaximum are replaced by those of each pool.
    */
   scale_policy mPolicy;
-  milliseconds mLookEvery{ 300 };
+  milliseconds mCheckInterval{ 300 };
   /** A stop whose server takes longer to drain is logged and deferred further,
    * since a planned stop must not abort requests. */
   milliseconds mDrainDeadline{ 60000 };
@@ -37,15 +37,15 @@
 
 /** Starts and stops backend servers, from a background thread, in the zones
  * whose lease this process holds. */
-class zone_keeper
+class zone_autoscaler
 {
 public:
-  zone_keeper(zone_keeper_options aOptions,
-              configuration::configuration_store& aConfiguration,
-              membership::server_directory& aDirectory);
-  ~zone_keeper();
-  zone_keeper(const zone_keeper&) = delete;
-  zone_keeper& operator=(const zone_keeper&) = delete;
+  zone_autoscaler(zone_autoscaler_options aOptions,
+                  configuration::configuration_store& aConfiguration,
+                  membership::server_directory& aDirectory);
+  ~zone_autoscaler();
+  zone_autoscaler(const zone_autoscaler&) = delete;
+  zone_autoscaler& operator=(const zone_autoscaler&) = delete;
 
   void Start();
   void Stop();
@@ -80,7 +80,7 @@
   std::vector<server_load> CollectLoads(const std::string& aZone,
                                         const std::string& aPool) const;
 
-  const zone_keeper_options mOptions;
+  const zone_autoscaler_options mOptions;
   configuration::configuration_store& mConfiguration;
   membership::server_directory& mDirectory;
   std::mutex mMutex;
--- a/Duties/Samples/BatchStore.cpp
+++ b/Duties/Samples/BatchStore.cpp
@@ -25,7 +25,7 @@
 }
 
 delivery_result
-Outcome(ask_state aState, batch_record aRecord = {})
+Outcome(delivery_status aState, batch_record aRecord = {})
 {
   return { aState, {}, std::move(aRecord) };
 }
@@ -85,8 +85,8 @@
   described.Set("nonce", aRecord.mNonce);
   described.Set("digest", aRecord.mDigest);
   described.Set("parts", std::move(parts));
-  described.Set("done", aRecord.mDone);
-  described.Set("wanted", aRecord.mWanted);
+  described.Set("done", aRecord.mFinishedSamples);
+  described.Set("wanted", aRecord.mRequestedSamples);
   described.Set("beat", aRecord.mHeartbeat);
   described.Set("released", aRecord.mIsReleased);
   return described;
@@ -109,8 +109,8 @@
       read.mParts.push_back(part.StringOr(""));
     }
   }
-  read.mDone = json::IntegerAt(stored, "done", 0);
-  read.mWanted = json::IntegerAt(stored, "wanted", 0);
+  read.mFinishedSamples = json::IntegerAt(stored, "done", 0);
+  read.mRequestedSamples = json::IntegerAt(stored, "wanted", 0);
   read.mHeartbeat = json::IntegerAt(stored, "beat", 0);
   read.mIsReleased = json::BooleanAt(stored, "released", false);
   read.mRevision = aObject.mRevision;
@@ -158,7 +158,7 @@
 }
 
 json::value
-Assemble(const batch_shape& aShape,
+Assemble(const batch_spec& aSpec,
          const batch_record& aRecord,
          const sample_table& aTable)
 {
@@ -171,8 +171,8 @@
     }
   }
   json::value batch;
-  batch.Set("run", aShape.mRun);
-  batch.Set("step", aShape.mStep);
+  batch.Set("run", aSpec.mRun);
+  batch.Set("step", aSpec.mStep);
   batch.Set("nonce", aRecord.mNonce);
   batch.Set("samples", std::move(samples));
   return batch;
@@ -180,37 +180,37 @@
 
 delivery_result
 Deliver(const batch_store& aStore,
-        const batch_shape& aShape,
+        const batch_spec& aSpec,
         std::int64_t aOldestVersion)
 {
-  const auto name = NameOf(aShape);
+  const auto name = NameOf(aSpec);
   // A second attempt reads the record again after a conflict with another entry
   // or after a write whose response was lost.
   for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState != read_state::Found) {
       return Outcome(read.mState == read_state::Absent
-                       ? ask_state::Absent
-                       : ask_state::Unavailable);
+                       ? delivery_status::Absent
+                       : delivery_status::Unavailable);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(ask_state::Acknowledged, record);
+      return Outcome(delivery_status::Acknowledged, record);
     }
-    if (record.mDigest != DigestOf(aShape)) {
-      return Outcome(ask_state::OtherRequest, record);
+    if (record.mDigest != DigestOf(aSpec)) {
+      return Outcome(delivery_status::RequestMismatch, record);
     }
     if (record.mState == batch_state::Generating) {
-      return Outcome(ask_state::InProgress, record);
+      return Outcome(delivery_status::InProgress, record);
     }
-    auto table = MakeTable(aShape.mPrompts.size(), aShape.mSamplesPerPrompt);
+    auto table = MakeTable(aSpec.mPrompts.size(), aSpec.mSamplesPerPrompt);
     if (!LoadParts(aStore, record, table)) {
       continue;
     }
     if (record.mState == batch_state::Fixed) {
       if (HasOutdatedSample(table, aOldestVersion)) {
-        return Outcome(ask_state::TooOld, record);
+        return Outcome(delivery_status::TooOld, record);
       }
       record.mState = batch_state::Delivered;
       const auto written =
@@ -219,9 +219,9 @@
         continue;
       }
     }
-    return { ask_state::Ready, Assemble(aShape, record, table), record };
+    return { delivery_status::Ready, Assemble(aSpec, record, table), record };
   }
-  return Outcome(ask_state::Unavailable);
+  return Outcome(delivery_status::Unavailable);
 }
 
 delivery_result
@@ -233,18 +233,18 @@
   for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState == read_state::Failed) {
-      return Outcome(ask_state::Unavailable);
+      return Outcome(delivery_status::Unavailable);
     }
     if (read.mState == read_state::Absent) {
-      return Outcome(ask_state::NotDelivered);
+      return Outcome(delivery_status::NotDelivered);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(ask_state::Acknowledged, record);
+      return Outcome(delivery_status::Acknowledged, record);
     }
     if (record.mState != batch_state::Delivered) {
-      return Outcome(ask_state::NotDelivered, record);
+      return Outcome(delivery_status::NotDelivered, record);
     }
     record.mState = batch_state::Acknowledged;
     const auto written =
@@ -252,10 +252,10 @@
     if (written.mState == write_state::Done) {
       record.mRevision = written.mRevision;
       RemoveParts(aStore, name, record);
-      return Outcome(ask_state::Acknowledged, record);
+      return Outcome(delivery_status::Acknowledged, record);
     }
   }
-  return Outcome(ask_state::Unavailable);
+  return Outcome(delivery_status::Unavailable);
 }
 
 } // namespace lavender::samples
--- a/Duties/Samples/BatchStore.h
+++ b/Duties/Samples/BatchStore.h
@@ -51,8 +51,8 @@
   /** Names of the part objects that hold finished groups. When several parts
    * contain a group, the last one counts. */
   std::vector<std::string> mParts;
-  std::int64_t mDone = 0;
-  std::int64_t mWanted = 0;
+  std::int64_t mFinishedSamples = 0;
+  std::int64_t mRequestedSamples = 0;
   /** Heartbeat: grows with each write of the entry that holds the claim, so
    * that other entries can tell that it is alive. */
   std::int64_t mHeartbeat = 0;
@@ -92,12 +92,12 @@
 /** Returns the batch in the format for the trainer, always the same for the
  * same record. */
 json::value
-Assemble(const batch_shape& aShape,
+Assemble(const batch_spec& aSpec,
          const batch_record& aRecord,
          const sample_table& aTable);
 
 /** Outcome of a request for a batch or of its acknowledgement. */
-enum class ask_state
+enum class delivery_status
 {
   /** The batch is complete and no longer changes. */
   Ready,
@@ -110,14 +110,14 @@
   TooOld,
   Acknowledged,
   /** The step already has a batch for a different request. */
-  OtherRequest,
+  RequestMismatch,
   NotDelivered,
   Unavailable
 };
 
 struct delivery_result
 {
-  ask_state mState = ask_state::Unavailable;
+  delivery_status mState = delivery_status::Unavailable;
   json::value mBatch;
   batch_record mRecord;
 };
@@ -127,7 +127,7 @@
  * later delivery returns the same batch. */
 delivery_result
 Deliver(const batch_store& aStore,
-        const batch_shape& aShape,
+        const batch_spec& aSpec,
         std::int64_t aOldestVersion);
 
 /** Marks a delivered batch as acknowledged, then deletes its parts. The record
--- a/Duties/Samples/Sample.h
+++ b/Duties/Samples/Sample.h
@@ -11,7 +11,7 @@
 namespace lavender::samples {
 
 /** A trainer's request for the batch of one step. */
-struct batch_shape
+struct batch_spec
 {
   std::string mRun;
   std::int64_t mStep = 0;
@@ -27,13 +27,13 @@
 
 /** Name of the step's stored object and prefix of its sample ids. */
 std::string
-NameOf(const batch_shape& aShape);
+NameOf(const batch_spec& aSpec);
 std::string
 NameOf(const std::string& aRun, std::int64_t aStep);
 
 /** Digest of everything that determines the samples. */
 std::string
-DigestOf(const batch_shape& aShape);
+DigestOf(const batch_spec& aSpec);
 
 /** One finished sample. Its id consists of run, step, group and index. */
 struct sample
--- a/Duties/Samples/SampleDuty.cpp
+++ b/Duties/Samples/SampleDuty.cpp
@@ -19,16 +19,16 @@
 }
 
 const char*
-ToReason(ask_state aState)
+ToReason(delivery_status aState)
 {
   switch (aState) {
-    case ask_state::Acknowledged:
+    case delivery_status::Acknowledged:
       return "already_acknowledged";
-    case ask_state::OtherRequest:
+    case delivery_status::RequestMismatch:
       return "step_is_for_another_request";
-    case ask_state::NotDelivered:
+    case delivery_status::NotDelivered:
       return "not_delivered";
-    case ask_state::Unavailable:
+    case delivery_status::Unavailable:
       return "platform_unavailable";
     default:
       return "batch_in_progress";
@@ -59,7 +59,7 @@
 void
 sample_duty::Start()
 {
-  for (int i = 0; i < mOptions.mSideBySide; ++i) {
+  for (int i = 0; i < mOptions.mMaximumConcurrency; ++i) {
     mWorkers.emplace_back([this] { WorkLoop(); });
   }
   mSaveThread = std::thread([this] { SaveLoop(); });
@@ -94,7 +94,7 @@
   double least = 2;
   for (const auto& [name, step] : mSteps) {
     const double share = static_cast<double>(CountDone(step->mJob)) /
-                         static_cast<double>(step->mJob.mShape.SampleCount());
+                         static_cast<double>(step->mJob.mSpec.SampleCount());
     if (step->mPausedUntil <= aNow && share < least && HasNext(step->mJob)) {
       chosen = step;
       least = share;
@@ -124,7 +124,7 @@
       step.mPausedUntil = boot_clock::now() + mOptions.mRetryAfter;
     }
     RecordResult(step.mJob, work->mPosition, std::move(generated));
-    if (CountDone(step.mJob) == step.mJob.mShape.SampleCount()) {
+    if (CountDone(step.mJob) == step.mJob.mSpec.SampleCount()) {
       mChanged.notify_all();
     }
   }
@@ -183,7 +183,7 @@
   const running_sample running{ aAttempt.mServer,
                                 std::chrono::duration_cast<milliseconds>(
                                   boot_clock::now() - aAttempt.mStartedAt),
-                                aStep.mRequest.mShape.mMaximumTokens,
+                                aStep.mRequest.mSpec.mMaximumTokens,
                                 !HasNext(aStep.mJob),
                                 aStep.mMoved.count(position) > 0 };
   auto reason = FindMoveReason(mPaces, mOptions.mPace, running);
@@ -198,7 +198,7 @@
                             const sample_position& aPosition)
 {
   const auto& request = aStep.mRequest;
-  const auto& shape = request.mShape;
+  const auto& shape = request.mSpec;
   const auto run = mRuns(shape.mRun);
   if (!run) {
     CountRetry("unknown_run");
@@ -284,7 +284,7 @@
 sample_duty::SaveStep(const step_pointer& aStep)
 {
   std::unique_lock lock(mMutex);
-  const std::string name = NameOf(aStep->mJob.mShape);
+  const std::string name = NameOf(aStep->mJob.mSpec);
   const auto stopReason =
     aStep->mRequest.mStopReason ? aStep->mRequest.mStopReason() : "";
   const bool isAbandoned =
@@ -296,7 +296,7 @@
     mSteps.erase(name);
     return;
   }
-  const auto oldest = OldestAllowedVersion(mRuns(aStep->mRequest.mShape.mRun));
+  const auto oldest = OldestAllowedVersion(mRuns(aStep->mRequest.mSpec.mRun));
   // Several calls of Save fix a finished batch without waiting for the next
   // interval.
   for (int round = 0; round < 8; ++round) {
@@ -324,40 +324,41 @@
   }
 }
 
-batch_outcome
+batch_response
 sample_duty::Describe(const active_step& aStep)
 {
-  batch_outcome outcome;
-  outcome.mState =
-    aStep.mIsStoreUnreachable ? ask_state::Unavailable : ask_state::InProgress;
+  batch_response outcome;
+  outcome.mState = aStep.mIsStoreUnreachable ? delivery_status::Unavailable
+                                             : delivery_status::InProgress;
   outcome.mReason = ToReason(outcome.mState);
-  outcome.mDone = static_cast<std::int64_t>(CountDone(aStep.mJob));
-  outcome.mWanted = static_cast<std::int64_t>(aStep.mJob.mShape.SampleCount());
+  outcome.mFinishedSamples = static_cast<std::int64_t>(CountDone(aStep.mJob));
+  outcome.mRequestedSamples =
+    static_cast<std::int64_t>(aStep.mJob.mSpec.SampleCount());
   outcome.mRetryAfter = kRequestRetryDelay;
   return outcome;
 }
 
-batch_outcome
+batch_response
 sample_duty::Begin(const batch_request& aRequest,
                    std::int64_t aTakeOverRevision,
-                   ask_state aState)
+                   delivery_status aState)
 {
-  const auto name = NameOf(aRequest.mShape);
+  const auto name = NameOf(aRequest.mSpec);
   std::lock_guard lock(mMutex);
   auto& step = mSteps[name];
   if (!step) {
     if (mSteps.size() > mOptions.mMaximumJobs || mIsStopping) {
       mSteps.erase(name);
-      batch_outcome refused;
+      batch_response refused;
       refused.mReason = "too_many_batches";
       refused.mRetryAfter = kRequestRetryDelay;
       return refused;
     }
     step = std::make_shared<active_step>();
     step->mRequest = aRequest;
-    step->mJob = StartJob(aRequest.mShape, MakeRandomName(), aTakeOverRevision);
+    step->mJob = StartJob(aRequest.mSpec, MakeRandomName(), aTakeOverRevision);
     step->mRequestedAt = boot_clock::now();
-    step->mIsStoreUnreachable = aState == ask_state::Unavailable;
+    step->mIsStoreUnreachable = aState == delivery_status::Unavailable;
   }
   mChanged.notify_all();
   return Describe(*step);
@@ -383,17 +384,17 @@
   return aRecord.mRevision;
 }
 
-batch_outcome
-sample_duty::Ask(const batch_request& aRequest)
+batch_response
+sample_duty::RequestBatch(const batch_request& aRequest)
 {
-  const auto name = NameOf(aRequest.mShape);
+  const auto name = NameOf(aRequest.mSpec);
   {
     std::lock_guard lock(mMutex);
     if (const auto found = mSteps.find(name); found != mSteps.end()) {
       auto& step = *found->second;
-      if (DigestOf(step.mJob.mShape) != DigestOf(aRequest.mShape)) {
-        batch_outcome refused;
-        refused.mState = ask_state::OtherRequest;
+      if (DigestOf(step.mJob.mSpec) != DigestOf(aRequest.mSpec)) {
+        batch_response refused;
+        refused.mState = delivery_status::RequestMismatch;
         refused.mReason = ToReason(refused.mState);
         return refused;
       }
@@ -402,19 +403,19 @@
     }
   }
   auto delivery = Deliver(
-    mStore, aRequest.mShape, OldestAllowedVersion(mRuns(aRequest.mShape.mRun)));
+    mStore, aRequest.mSpec, OldestAllowedVersion(mRuns(aRequest.mSpec.mRun)));
   switch (delivery.mState) {
-    case ask_state::Absent:
+    case delivery_status::Absent:
       return Begin(aRequest, 0, delivery.mState);
-    case ask_state::Unavailable:
+    case delivery_status::Unavailable:
       // The object store may be down for long, so the samples are generated and
       // kept in memory. If the store shows later that the step already has a
       // batch, this work is dropped.
       return Begin(aRequest, 0, delivery.mState);
-    case ask_state::TooOld:
+    case delivery_status::TooOld:
       mMetrics.Count("lavender_batches_remade_total", {});
       return Begin(aRequest, delivery.mRecord.mRevision, delivery.mState);
-    case ask_state::InProgress:
+    case delivery_status::InProgress:
       if (const auto revision = MayTakeOver(name, delivery.mRecord)) {
         return Begin(aRequest, revision, delivery.mState);
       }
@@ -424,25 +425,25 @@
       mClaimObservations.erase(name);
     }
   }
-  batch_outcome outcome;
+  batch_response outcome;
   outcome.mState = delivery.mState;
   outcome.mBatch = std::move(delivery.mBatch);
   outcome.mReason = ToReason(delivery.mState);
-  outcome.mDone = delivery.mRecord.mDone;
-  outcome.mWanted = delivery.mRecord.mWanted;
-  if (delivery.mState == ask_state::InProgress) {
+  outcome.mFinishedSamples = delivery.mRecord.mFinishedSamples;
+  outcome.mRequestedSamples = delivery.mRecord.mRequestedSamples;
+  if (delivery.mState == delivery_status::InProgress) {
     outcome.mRetryAfter = kRequestRetryDelay;
   }
   return outcome;
 }
 
-batch_outcome
-sample_duty::Take(const std::string& aRun, std::int64_t aStep)
+batch_response
+sample_duty::ConfirmDelivery(const std::string& aRun, std::int64_t aStep)
 {
-  batch_outcome outcome;
+  batch_response outcome;
   outcome.mState = Acknowledge(mStore, aRun, aStep).mState;
   outcome.mReason = ToReason(outcome.mState);
-  if (outcome.mState == ask_state::Unavailable) {
+  if (outcome.mState == delivery_status::Unavailable) {
     outcome.mRetryAfter = kRequestRetryDelay;
   }
   return outcome;
--- a/Duties/Samples/SampleDuty.h
+++ b/Duties/Samples/SampleDuty.h
@@ -19,7 +19,7 @@
 /** A batch and the customer that requests it. */
 struct batch_request
 {
-  batch_shape mShape;
+  batch_spec mSpec;
   std::string mCustomer;
   std::string mKeyId;
   double mWeight = 1;
@@ -33,7 +33,7 @@
   platform::client mPlatform;
   /** Largest number of samples that this entry generates at the same time, over
    * all steps. */
-  int mSideBySide = 64;
+  int mMaximumConcurrency = 64;
   /** Largest number of steps that this entry works on; more are refused. */
   std::size_t mMaximumJobs = 64;
   /** Interval at which finished groups are saved. */
@@ -49,13 +49,13 @@
 };
 
 /** Response to the trainer. */
-struct batch_outcome
+struct batch_response
 {
-  ask_state mState = ask_state::Unavailable;
+  delivery_status mState = delivery_status::Unavailable;
   json::value mBatch;
   std::string mReason;
-  std::int64_t mDone = 0;
-  std::int64_t mWanted = 0;
+  std::int64_t mFinishedSamples = 0;
+  std::int64_t mRequestedSamples = 0;
   milliseconds mRetryAfter{ 0 };
 };
 
@@ -86,8 +86,8 @@
    * threads. */
   void Stop();
 
-  batch_outcome Ask(const batch_request& aRequest);
-  batch_outcome Take(const std::string& aRun, std::int64_t aStep);
+  batch_response RequestBatch(const batch_request& aRequest);
+  batch_response ConfirmDelivery(const std::string& aRun, std::int64_t aStep);
 
 private:
   struct active_step
@@ -134,10 +134,10 @@
     const dispatch::call_outcome& aOutcome,
     const configuration::training_run& aRun) const;
   void CountRetry(const std::string& aReason);
-  batch_outcome Begin(const batch_request& aRequest,
-                      std::int64_t aTakeOverRevision,
-                      ask_state aState);
-  batch_outcome Describe(const active_step& aStep);
+  batch_response Begin(const batch_request& aRequest,
+                       std::int64_t aTakeOverRevision,
+                       delivery_status aState);
+  batch_response Describe(const active_step& aStep);
   std::int64_t MayTakeOver(const std::string& aName,
                            const batch_record& aRecord);
 
--- a/Duties/Samples/StepJob.h
+++ b/Duties/Samples/StepJob.h
@@ -38,7 +38,7 @@
  * only unsaved groups. */
 struct step_job
 {
-  batch_shape mShape;
+  batch_spec mSpec;
   std::string mNonce;
   job_phase mPhase = job_phase::Working;
   /** Record as last written or read by this job; revision 0 before the claim.
@@ -68,9 +68,7 @@
 constexpr std::size_t kMaximumPartBytes = 700000;
 
 step_job
-StartJob(batch_shape aShape,
-         std::string aNonce,
-         std::int64_t aTakeOverRevision);
+StartJob(batch_spec aSpec, std::string aNonce, std::int64_t aTakeOverRevision);
 
 /** Returns the next sample that is neither finished nor in progress, and marks
  * it as in progress. */
--- a/Duties/Weights/RollOut.h
+++ b/Duties/Weights/RollOut.h
@@ -21,7 +21,7 @@
 struct roll_out_limits
 {
   /** Largest number of servers that swap at the same time; 0 for no limit. */
-  std::size_t mSideBySide = 0;
+  std::size_t mMaximumConcurrency = 0;
   /** An order that has had no effect is sent again after this. */
   milliseconds mRepeatInterval{ 3000 };
 };
--- a/Duties/Weights/RollOutDuty.cpp
+++ b/Duties/Weights/RollOutDuty.cpp
@@ -72,7 +72,7 @@
         UpdatePool(target, servers);
       }
     }
-    mStopSignal.Pop(mOptions.mLookEvery);
+    mStopSignal.Pop(mOptions.mCheckInterval);
   }
 }
 
--- a/Duties/Weights/TestVersionTracker.cpp
+++ b/Duties/Weights/TestVersionTracker.cpp
@@ -222,7 +222,7 @@
     mRuns.clear();
     Disturb();
     mTracker = {};
-    mTracker.mLimits.mSettle = kSettle;
+    mTracker.mLimits.mSwapTimeout = kSettle;
     mTracker.mStartedAt = mNow;
   }
 };
--- a/Duties/Weights/VersionTracker.cpp
+++ b/Duties/Weights/VersionTracker.cpp
@@ -9,7 +9,7 @@
 ExpireOpenOrder(version_tracker& aTracker, time_point aNow)
 {
   if (aTracker.mOpen &&
-      aNow - aTracker.mOpen->mOrderedAt > aTracker.mLimits.mSettle) {
+      aNow - aTracker.mOpen->mOrderedAt > aTracker.mLimits.mSwapTimeout) {
     aTracker.mOpen.reset();
     ++aTracker.mEvents;
   }
@@ -101,7 +101,7 @@
   run.mUnorderedChanges = aTracker.mUnorderedChanges;
   run.mIsReportDoubtful = aTracker.mIsReportDoubtful;
   run.mMayHaveInheritedOrder =
-    aNow - aTracker.mStartedAt <= aTracker.mLimits.mSettle;
+    aNow - aTracker.mStartedAt <= aTracker.mLimits.mSwapTimeout;
   const auto id = aTracker.mNextRunId++;
   aTracker.mRuns.emplace(id, std::move(run));
   return id;
--- a/Duties/Weights/VersionTracker.h
+++ b/Duties/Weights/VersionTracker.h
@@ -86,7 +86,7 @@
 struct tracker_limits
 {
   /** An order that hasn't taken effect after this counts as dropped. */
-  milliseconds mSettle{ 10000 };
+  milliseconds mSwapTimeout{ 10000 };
 };
 
 /** What an agent process knows about its server's weights. */
--- a/Duties/Weights/WeightGate.h
+++ b/Duties/Weights/WeightGate.h
@@ -17,16 +17,16 @@
 /** Access of the agent to its backend server. Reads the server's weight version
  * before and after each sample's run, and executes one swap order at a time.
  * Thread-safe; the mutex is never held during a call to the server. */
-class weight_gate
+class versioned_backend
 {
 public:
-  weight_gate(dispatch::backend_server aServer,
-              std::string aIncarnation,
-              tracker_limits aLimits,
-              metrics::registry& aMetrics);
-  ~weight_gate();
-  weight_gate(const weight_gate&) = delete;
-  weight_gate& operator=(const weight_gate&) = delete;
+  versioned_backend(dispatch::backend_server aServer,
+                    std::string aIncarnation,
+                    tracker_limits aLimits,
+                    metrics::registry& aMetrics);
+  ~versioned_backend();
+  versioned_backend(const versioned_backend&) = delete;
+  versioned_backend& operator=(const versioned_backend&) = delete;
 
   /** Runs an order on the server. The result of a sample names the versions
    * that produced it, or why they are unknown. A sample isn't run when the
@@ -37,7 +37,7 @@
   /** Queues a swap order or refuses it, without waiting. A background thread
    * executes the order, so that a process that sends 1,200 orders waits for
    * none of the loads; the agent's report contains the result. */
-  wire::swap_reply Order(const wire::swap_order& aOrder);
+  wire::swap_reply QueueSwap(const wire::swap_order& aOrder);
   /** Executes a swap order and returns the version that the server holds after
    * it. */
   wire::swap_reply Swap(const wire::swap_order& aOrder);
