--- a/Duties/Leases/Lease.cpp
+++ b/Duties/Leases/Lease.cpp
@@ -72,12 +72,12 @@
             const lease_settings& aSettings)
 {
   const auto rank = std::min(aSelf.mRank, kFrequentReaders);
-  const auto handicap = aSettings.mDelayPerRank * static_cast<int>(rank);
+  const auto rankDelay = aSettings.mDelayPerRank * static_cast<int>(rank);
   if (*aState.mRevision == 0 || aState.mRecord.mIsReleased) {
-    return aState.mFirstSeenAt + handicap;
+    return aState.mFirstSeenAt + rankDelay;
   }
   return aState.mFirstSeenAt + TakeoverWait(aState.mRecord, aSettings) +
-         handicap;
+         rankDelay;
 }
 
 lease_step
@@ -191,11 +191,11 @@
 }
 
 void
-TakeWrite(lease_state& aState,
-          const platform::write_result& aWritten,
-          const candidate& aSelf,
-          const lease_settings& aSettings,
-          time_point aNow)
+ApplyWrite(lease_state& aState,
+           const platform::write_result& aWritten,
+           const candidate& aSelf,
+           const lease_settings& aSettings,
+           time_point aNow)
 {
   if (!aState.mPending) {
     return;
@@ -233,11 +233,11 @@
 }
 
 void
-TakeRead(lease_state& aState,
-         const platform::read_result& aRead,
-         const candidate& aSelf,
-         const lease_settings& aSettings,
-         time_point aNow)
+ApplyRead(lease_state& aState,
+          const platform::read_result& aRead,
+          const candidate& aSelf,
+          const lease_settings& aSettings,
+          time_point aNow)
 {
   if (aRead.mState == platform::read_state::Failed) {
     aState.mNextStepAt = aNow + aSettings.mRetryInterval;
--- a/Duties/Leases/Lease.h
+++ b/Duties/Leases/Lease.h
@@ -116,19 +116,19 @@
 
 /** Processes the response to the pending write, or its absence. */
 void
-TakeWrite(lease_state& aState,
-          const platform::write_result& aWritten,
-          const candidate& aSelf,
-          const lease_settings& aSettings,
-          time_point aNow);
+ApplyWrite(lease_state& aState,
+           const platform::write_result& aWritten,
+           const candidate& aSelf,
+           const lease_settings& aSettings,
+           time_point aNow);
 
 /** Processes the response to a read, or its absence. */
 void
-TakeRead(lease_state& aState,
-         const platform::read_result& aRead,
-         const candidate& aSelf,
-         const lease_settings& aSettings,
-         time_point aNow);
+ApplyRead(lease_state& aState,
+          const platform::read_result& aRead,
+          const candidate& aSelf,
+          const lease_settings& aSettings,
+          time_point aNow);
 
 /** Returns the lease while this process may act under it. */
 std::optional<held_lease>
--- a/Duties/Leases/LeaseKeeper.cpp
+++ b/Duties/Leases/LeaseKeeper.cpp
@@ -148,7 +148,7 @@
     aLock.unlock();
     const auto read = platform::Read(mOptions.mPlatform, kKind, state.mName);
     aLock.lock();
-    TakeRead(state, read, self, mOptions.mSettings, boot_clock::now());
+    ApplyRead(state, read, self, mOptions.mSettings, boot_clock::now());
   }
 }
 
@@ -167,11 +167,11 @@
                                        aStep.mExpected,
                                        ToJson(aStep.mRecord));
   aLock.lock();
-  TakeWrite(state,
-            written,
-            { mOptions.mIncarnation, 0 },
-            mOptions.mSettings,
-            boot_clock::now());
+  ApplyWrite(state,
+             written,
+             { mOptions.mIncarnation, 0 },
+             mOptions.mSettings,
+             boot_clock::now());
   const auto isHeld = HeldAt(state, boot_clock::now());
   if (isHeld && (!wasHeld || wasHeld->mFencing != isHeld->mFencing)) {
     Log(log_level::Info,
--- a/Duties/Leases/TestLease.cpp
+++ b/Duties/Leases/TestLease.cpp
@@ -54,7 +54,7 @@
 {
   Pause,
   Outage,
-  LostAnswer,
+  LostResponse,
   DoubledRequest,
   LateRequest,
   Restart,
@@ -228,7 +228,7 @@
   }
 
   /** The store executes a request; the response may be lost. */
-  void Execute(std::size_t aIndex, bool aDuplicates, bool aLosesAnswer)
+  void Execute(std::size_t aIndex, bool aDuplicates, bool aLosesResponse)
   {
     if (mNetwork.empty()) {
       return;
@@ -262,8 +262,8 @@
     auto& each = mHolders[sent.mHolder];
     if (each.mCall != sent.mCall) {
       mFaults.insert(aDuplicates ? fault::DoubledRequest : fault::LateRequest);
-    } else if (aLosesAnswer) {
-      mFaults.insert(fault::LostAnswer);
+    } else if (aLosesResponse) {
+      mFaults.insert(fault::LostResponse);
     } else {
       each.mWritten = written;
       each.mRead = read;
@@ -295,17 +295,17 @@
     platform::write_result unknown;
     unknown.mState = platform::write_state::Unknown;
     if (each.mIsCallWrite) {
-      TakeWrite(each.mState,
-                isAnswered ? *each.mWritten : unknown,
+      ApplyWrite(each.mState,
+                 isAnswered ? *each.mWritten : unknown,
+                 each.mSelf,
+                 mSettings,
+                 Clock(each));
+    } else {
+      ApplyRead(each.mState,
+                isAnswered ? *each.mRead : platform::read_result(),
                 each.mSelf,
                 mSettings,
                 Clock(each));
-    } else {
-      TakeRead(each.mState,
-               isAnswered ? *each.mRead : platform::read_result(),
-               each.mSelf,
-               mSettings,
-               Clock(each));
     }
   }
 
@@ -492,7 +492,7 @@
   }));
   for (const auto each : { fault::Pause,
                            fault::Outage,
-                           fault::LostAnswer,
+                           fault::LostResponse,
                            fault::DoubledRequest,
                            fault::LateRequest,
                            fault::Restart,
@@ -521,14 +521,14 @@
   BeginWrite(state, step.mRecord, start);
   platform::write_result lost;
   lost.mState = platform::write_state::Unknown;
-  TakeWrite(state, lost, self, settings, start + 2s);
+  ApplyWrite(state, lost, self, settings, start + 2s);
   BOOST_TEST(!HeldAt(state, start + 2s).has_value());
   BOOST_TEST((Decide(state, self, settings, "n2", start + 2s).mAction ==
               lease_action::Read));
   platform::read_result read;
   read.mState = platform::read_state::Found;
   read.mObject = { "Lease", "L", 7, ToJson(step.mRecord) };
-  TakeRead(state, read, self, settings, start + 3s);
+  ApplyRead(state, read, self, settings, start + 3s);
   BOOST_REQUIRE(HeldAt(state, start + 3s).has_value());
   BOOST_TEST((HeldAt(state, start + 3s)->mExpiresAt == start + 9s));
 }
@@ -547,13 +547,13 @@
   platform::write_result done;
   done.mState = platform::write_state::Done;
   done.mRevision = 5;
-  TakeWrite(state, done, self, settings, start);
+  ApplyWrite(state, done, self, settings, start);
   const auto renewal = Decide(state, self, settings, "n2", start + 8s);
   BOOST_TEST(renewal.mRecord.mFencing == 1);
   BeginWrite(state, renewal.mRecord, start + 8s);
   BOOST_TEST(!HeldAt(state, start + 10s).has_value());
   done.mRevision = 6;
-  TakeWrite(state, done, self, settings, start + 10s);
+  ApplyWrite(state, done, self, settings, start + 10s);
   BOOST_REQUIRE(HeldAt(state, start + 10s).has_value());
   BOOST_TEST((HeldAt(state, start + 10s)->mExpiresAt == start + 17s));
   BOOST_TEST((Decide(state, self, settings, "n3", start + 18s).mAction ==
--- a/Duties/Samples/SampleDuty.cpp
+++ b/Duties/Samples/SampleDuty.cpp
@@ -103,7 +103,7 @@
   if (!chosen) {
     return std::nullopt;
   }
-  return assignment{ chosen, *TakeNext(chosen->mJob) };
+  return assignment{ chosen, *ReserveNext(chosen->mJob) };
 }
 
 void
@@ -198,8 +198,8 @@
                             const sample_position& aPosition)
 {
   const auto& request = aStep.mRequest;
-  const auto& shape = request.mSpec;
-  const auto run = mRuns(shape.mRun);
+  const auto& spec = request.mSpec;
+  const auto run = mRuns(spec.mRun);
   if (!run) {
     CountRetry("unknown_run");
     return std::nullopt;
@@ -207,12 +207,12 @@
   sample generated;
   generated.mGroup = static_cast<int>(aPosition.mGroup);
   generated.mIndex = static_cast<int>(aPosition.mIndex);
-  generated.mId = NameOf(shape) + "." + std::to_string(generated.mGroup) + "." +
+  generated.mId = NameOf(spec) + "." + std::to_string(generated.mGroup) + "." +
                   std::to_string(generated.mIndex);
   generated.mAttempt = generated.mId + "." + MakeRandomName();
   json::value payload;
-  payload.Set("prompt", shape.mPrompts[aPosition.mGroup]);
-  payload.Set("max_tokens", shape.mMaximumTokens);
+  payload.Set("prompt", spec.mPrompts[aPosition.mGroup]);
+  payload.Set("max_tokens", spec.mMaximumTokens);
   payload.Set("request", generated.mId);
   dispatch::call call;
   call.mRequestId = generated.mAttempt;
@@ -222,7 +222,7 @@
   call.mPool = run->mPool;
   call.mOperation = "sample";
   call.mPayload = json::Write(payload);
-  call.mCostTokens = shape.mMaximumTokens;
+  call.mCostTokens = spec.mMaximumTokens;
   call.mOldestWeightVersion = OldestAllowedVersion(run);
   call.mDeadline = boot_clock::now() + mOptions.mSampleDeadline;
   attempt_state attempt;
@@ -242,7 +242,7 @@
   }
   // The accepted version may have changed while the sample was generated, so
   // the staleness bound is checked against the current one.
-  const auto runNow = mRuns(shape.mRun);
+  const auto runNow = mRuns(spec.mRun);
   if (auto fault =
         runNow ? FindRejectionReason(outcome, *runNow) : "unknown_run";
       !fault.empty()) {
@@ -325,7 +325,7 @@
 }
 
 batch_response
-sample_duty::Describe(const active_step& aStep)
+sample_duty::MakeProgressResponse(const active_step& aStep)
 {
   batch_response outcome;
   outcome.mState = aStep.mIsStoreUnreachable ? delivery_status::Unavailable
@@ -361,7 +361,7 @@
     step->mIsStoreUnreachable = aState == delivery_status::Unavailable;
   }
   mChanged.notify_all();
-  return Describe(*step);
+  return MakeProgressResponse(*step);
 }
 
 std::int64_t
@@ -376,7 +376,7 @@
     observation = { aRecord.mRevision, now };
   }
   if (!aRecord.mIsReleased &&
-      now - observation.mSeenAt < mOptions.mTakeOverAfter) {
+      now - observation.mFirstSeenAt < mOptions.mTakeOverAfter) {
     return 0;
   }
   mClaimObservations.erase(aName);
@@ -399,7 +399,7 @@
         return refused;
       }
       step.mRequestedAt = boot_clock::now();
-      return Describe(step);
+      return MakeProgressResponse(step);
     }
   }
   auto delivery = Deliver(
--- a/Duties/Samples/SampleDuty.h
+++ b/Duties/Samples/SampleDuty.h
@@ -105,7 +105,7 @@
   struct claim_observation
   {
     std::int64_t mRevision = 0;
-    time_point mSeenAt;
+    time_point mFirstSeenAt;
   };
 
   struct assignment
@@ -137,7 +137,7 @@
   batch_response Begin(const batch_request& aRequest,
                        std::int64_t aTakeOverRevision,
                        delivery_status aState);
-  batch_response Describe(const active_step& aStep);
+  batch_response MakeProgressResponse(const active_step& aStep);
   std::int64_t MayTakeOver(const std::string& aName,
                            const batch_record& aRecord);
 
--- a/Duties/Samples/StepJob.cpp
+++ b/Duties/Samples/StepJob.cpp
@@ -256,7 +256,7 @@
 }
 
 std::optional<sample_position>
-TakeNext(step_job& aJob)
+ReserveNext(step_job& aJob)
 {
   const auto next = FindNext(aJob);
   if (next) {
--- a/Duties/Samples/StepJob.h
+++ b/Duties/Samples/StepJob.h
@@ -73,9 +73,9 @@
 /** Returns the next sample that is neither finished nor in progress, and marks
  * it as in progress. */
 std::optional<sample_position>
-TakeNext(step_job& aJob);
+ReserveNext(step_job& aJob);
 
-/** Whether TakeNext would return a sample. */
+/** Whether ReserveNext would return a sample. */
 bool
 HasNext(const step_job& aJob);
 
--- a/Duties/Samples/TestStepJob.cpp
+++ b/Duties/Samples/TestStepJob.cpp
@@ -171,14 +171,14 @@
   std::string mDelivered;
   std::set<std::int64_t> mOldestInDeliveryWrites;
 
-  static batch_spec Shape()
+  static batch_spec Spec()
   {
-    batch_spec shape;
-    shape.mRun = "minutes";
-    shape.mStep = 7;
-    shape.mPrompts = { "first", "second", "third" };
-    shape.mSamplesPerPrompt = 2;
-    return shape;
+    batch_spec spec;
+    spec.mRun = "minutes";
+    spec.mStep = 7;
+    spec.mPrompts = { "first", "second", "third" };
+    spec.mSamplesPerPrompt = 2;
+    return spec;
   }
 
   std::int64_t Oldest() const { return mAccepted - kStalenessBound; }
@@ -202,17 +202,17 @@
   void Begin(std::size_t aEntry, std::int64_t aTakeOver)
   {
     mJobs[aEntry] =
-      StartJob(Shape(), "n" + std::to_string(mNextName++), aTakeOver);
+      StartJob(Spec(), "n" + std::to_string(mNextName++), aTakeOver);
     mInProgress[aEntry].clear();
   }
 
-  void Ask(std::size_t aEntry, bool aIsMakerSilent)
+  void RequestBatch(std::size_t aEntry, bool aIsOwnerUnresponsive)
   {
     if (mJobs[aEntry] && mJobs[aEntry]->mPhase == job_phase::Working) {
       return;
     }
     mJobs[aEntry].reset();
-    const auto outcome = Deliver(mCalls, Shape(), Oldest());
+    const auto outcome = Deliver(mCalls, Spec(), Oldest());
     switch (outcome.mState) {
       case delivery_status::Ready:
         CheckBatch(outcome.mBatch);
@@ -222,7 +222,7 @@
         Begin(aEntry, 0);
         break;
       case delivery_status::InProgress:
-        if (aIsMakerSilent) {
+        if (aIsOwnerUnresponsive) {
           ++mCounts->mTakeOvers;
           Begin(aEntry, outcome.mRecord.mRevision);
         }
@@ -262,7 +262,7 @@
     if (!mJobs[aEntry]) {
       return;
     }
-    if (const auto position = TakeNext(*mJobs[aEntry])) {
+    if (const auto position = ReserveNext(*mJobs[aEntry])) {
       mInProgress[aEntry].push_back(*position);
     }
   }
@@ -328,7 +328,7 @@
     switch (Draw(0, 18)) {
       case 0:
       case 1:
-        Ask(entry, Draw(0, 4) == 0);
+        RequestBatch(entry, Draw(0, 4) == 0);
         break;
       case 2:
       case 3:
@@ -385,16 +385,16 @@
     }
     mJobs.assign(kEntries, std::nullopt);
     for (int i = 0; i < 200 && mDelivered.empty(); ++i) {
-      Ask(0, true);
+      RequestBatch(0, true);
       StartSample(0);
       Finish(0, 0);
       SaveJob(0);
     }
     RC_ASSERT(!mDelivered.empty());
-    Ask(1, false);
+    RequestBatch(1, false);
     AcknowledgeIfDelivered();
     RC_ASSERT(mIsAcknowledged);
-    Ask(2, false);
+    RequestBatch(2, false);
     for (const auto& [key, object] : mStore.mObjects) {
       mCounts->mOrphanedParts += key.first == kPartKind;
     }
@@ -456,12 +456,12 @@
   store.mCounts = &counts;
   store.mOnDeliveryWrite = [](const batch_record&) {};
   const auto calls = store.MakeBatchStore();
-  batch_spec shape;
-  shape.mRun = "minutes";
-  shape.mPrompts.assign(128, "prompt");
-  shape.mSamplesPerPrompt = 8;
-  auto job = StartJob(shape, "n", 0);
-  while (const auto position = TakeNext(job)) {
+  batch_spec spec;
+  spec.mRun = "minutes";
+  spec.mPrompts.assign(128, "prompt");
+  spec.mSamplesPerPrompt = 8;
+  auto job = StartJob(spec, "n", 0);
+  while (const auto position = ReserveNext(job)) {
     sample generated;
     generated.mGroup = static_cast<int>(position->mGroup);
     generated.mIndex = static_cast<int>(position->mIndex);
@@ -476,14 +476,13 @@
   for (const auto& [key, object] : store.mObjects) {
     BOOST_TEST(json::Write(object.mValue).size() < (1u << 20));
   }
-  const auto given = Deliver(calls, shape, 0);
-  BOOST_REQUIRE((given.mState == delivery_status::Ready));
-  BOOST_TEST(given.mBatch.Find("samples")->Elements().size() == 1024u);
+  const auto delivered = Deliver(calls, spec, 0);
+  BOOST_REQUIRE((delivered.mState == delivery_status::Ready));
+  BOOST_TEST(delivered.mBatch.Find("samples")->Elements().size() == 1024u);
   BOOST_TEST(
     (Acknowledge(calls, "minutes", 0).mState == delivery_status::Acknowledged));
   BOOST_TEST(store.mObjects.size() == 1u);
-  BOOST_TEST(
-    (Deliver(calls, shape, 0).mState == delivery_status::Acknowledged));
+  BOOST_TEST((Deliver(calls, spec, 0).mState == delivery_status::Acknowledged));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/Weights/RollOutDuty.cpp
+++ b/Duties/Weights/RollOutDuty.cpp
@@ -39,7 +39,7 @@
 void
 roll_out_duty::Start()
 {
-  mPollThread = std::thread([this] { PollLoop(); });
+  mCheckThread = std::thread([this] { CheckLoop(); });
   for (int i = 0; i < mOptions.mSenders; ++i) {
     mSenders.emplace_back([this] { SendLoop(); });
   }
@@ -51,8 +51,8 @@
   mIsStopping = true;
   mStopSignal.Close();
   mOrders.Close();
-  if (mPollThread.joinable()) {
-    mPollThread.join();
+  if (mCheckThread.joinable()) {
+    mCheckThread.join();
   }
   for (auto& sender : mSenders) {
     if (sender.joinable()) {
@@ -62,7 +62,7 @@
 }
 
 void
-roll_out_duty::PollLoop()
+roll_out_duty::CheckLoop()
 {
   while (!mIsStopping) {
     const auto targets = mTargets();
--- a/Duties/Weights/RollOutDuty.h
+++ b/Duties/Weights/RollOutDuty.h
@@ -70,7 +70,7 @@
     std::shared_ptr<membership::agent_pool> mConnections;
   };
 
-  void PollLoop();
+  void CheckLoop();
   void SendLoop();
   void UpdatePool(const pool_target& aTarget,
                   const std::vector<membership::server_view>& aServers);
@@ -86,7 +86,7 @@
   bounded_ring<outgoing_order> mOrders{ 4096 };
   bounded_ring<int> mStopSignal{ 1 };
   std::atomic<bool> mIsStopping{ false };
-  std::thread mPollThread;
+  std::thread mCheckThread;
   std::vector<std::thread> mSenders;
 };
 
--- a/Duties/Weights/TestVersionTracker.cpp
+++ b/Duties/Weights/TestVersionTracker.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr auto kSettle = 10000ms;
+constexpr auto kSwapTimeout = 10000ms;
 
 enum class report_kind
 {
@@ -91,7 +91,7 @@
 
   void Disturb()
   {
-    mDisturbedUntil = mNow + kSettle;
+    mDisturbedUntil = mNow + kSwapTimeout;
     for (auto& run : mRuns) {
       run.mIsDisturbed = true;
     }
@@ -135,7 +135,7 @@
     mCounts->mWrongReports += !reported.empty() && reported != run.mActual;
     const auto before = *mTracker.mRuns.at(run.mId).mBefore;
     auto label = EndRun(mTracker, run.mId, Read(), reported, run.mTokens, mNow);
-    TakeRead(mTracker, Read(), mTracker.mEvents, mNow);
+    ApplyRead(mTracker, Read(), mTracker.mEvents, mNow);
     if (mLabelling == labelling_method::ReportedVersions) {
       label.mParts = reported;
     } else if (mLabelling == labelling_method::VersionReads) {
@@ -160,7 +160,7 @@
   /** Executes one order, with tokens generated while it is open. */
   void Swap(std::int64_t aVersion, swap_result aResult, bool aIsLate)
   {
-    TakeRead(mTracker, Read(), mTracker.mEvents, mNow);
+    ApplyRead(mTracker, Read(), mTracker.mEvents, mNow);
     const weight_version target{ "protokoll", aVersion };
     if (!OpenSwap(mTracker, target, Read(), mFencing++, mNow).empty()) {
       return;
@@ -169,7 +169,7 @@
     mServer.mOrdered = aVersion;
     if (aIsLate) {
       ++mCounts->mLate;
-      mServer.mLate.emplace_back(aVersion, mNow + kSettle);
+      mServer.mLate.emplace_back(aVersion, mNow + kSwapTimeout);
     } else if (aResult == swap_result::Failed) {
       ++mCounts->mFailed;
     } else {
@@ -222,7 +222,7 @@
     mRuns.clear();
     Disturb();
     mTracker = {};
-    mTracker.mLimits.mSwapTimeout = kSettle;
+    mTracker.mLimits.mSwapTimeout = kSwapTimeout;
     mTracker.mStartedAt = mNow;
   }
 };
@@ -237,7 +237,7 @@
     report_kind::Truthful, report_kind::None, report_kind::OrderedVersion);
   run.RestartAgent();
   if (*rc::gen::arbitrary<bool>()) {
-    run.AdvanceTime(kSettle + 1ms);
+    run.AdvanceTime(kSwapTimeout + 1ms);
   }
   const auto steps = Draw(1, 120);
   for (int i = 0; i < steps; ++i) {
@@ -283,7 +283,7 @@
         }
         break;
       case 13:
-        TakeRead(run.mTracker, run.Read(), run.mTracker.mEvents, run.mNow);
+        ApplyRead(run.mTracker, run.Read(), run.mTracker.mEvents, run.mNow);
         break;
     }
   }
--- a/Duties/Weights/VersionTracker.cpp
+++ b/Duties/Weights/VersionTracker.cpp
@@ -118,7 +118,7 @@
   // A change that another read revealed since StartRun may have happened before
   // or after this read.
   run.mIsUntraceable |= run.mUnorderedChanges != aTracker.mUnorderedChanges;
-  TakeRead(aTracker, aHeld, aEvents, aNow);
+  ApplyRead(aTracker, aHeld, aEvents, aNow);
   run.mBefore = aHeld;
   run.mIsReportDoubtful |= aTracker.mIsReportDoubtful;
 }
@@ -231,7 +231,7 @@
     // A failed, unanswered or late order may still take effect, so it stays
     // open until a read returns its version or it expires.
     aTracker.mIsReportDoubtful = true;
-    TakeRead(aTracker, aHeld, events, aNow);
+    ApplyRead(aTracker, aHeld, events, aNow);
     ++aTracker.mEvents;
     return;
   }
@@ -254,10 +254,10 @@
 }
 
 void
-TakeRead(version_tracker& aTracker,
-         const weight_version& aHeld,
-         std::uint64_t aEvents,
-         time_point aNow)
+ApplyRead(version_tracker& aTracker,
+          const weight_version& aHeld,
+          std::uint64_t aEvents,
+          time_point aNow)
 {
   if (!aHeld.IsKnown() || aEvents != aTracker.mEvents) {
     return;
--- a/Duties/Weights/VersionTracker.h
+++ b/Duties/Weights/VersionTracker.h
@@ -177,9 +177,9 @@
 /** Records a version read at any other time.
  * @param aEvents value of mEvents when the read began */
 void
-TakeRead(version_tracker& aTracker,
-         const weight_version& aHeld,
-         std::uint64_t aEvents,
-         time_point aNow);
+ApplyRead(version_tracker& aTracker,
+          const weight_version& aHeld,
+          std::uint64_t aEvents,
+          time_point aNow);
 
 } // namespace lavender::weights
--- a/Duties/Weights/WeightGate.cpp
+++ b/Duties/Weights/WeightGate.cpp
@@ -82,7 +82,7 @@
   std::uint64_t events = 0;
   const auto held = Read(events);
   std::lock_guard lock(mMutex);
-  TakeRead(mTracker, held, events, boot_clock::now());
+  ApplyRead(mTracker, held, events, boot_clock::now());
   return held;
 }
 
@@ -135,7 +135,7 @@
                    ToVersionParts(backendRun.mResult.versions),
                    backendRun.mResult.completion_tokens,
                    now);
-    TakeRead(mTracker, after, events, now);
+    ApplyRead(mTracker, after, events, now);
   }
   ApplyLabel(label, backendRun.mResult);
   return backendRun;
