--- a/Duties/Leases/Lease.cpp
+++ b/Duties/Leases/Lease.cpp
@@ -101,14 +101,14 @@
 json::value
 ToJson(const lease_record& aRecord)
 {
-  json::value described;
-  described.Set("holder", aRecord.mHolder);
-  described.Set("nonce", aRecord.mNonce);
-  described.Set("fencing", aRecord.mFencing);
-  described.Set("duration_ms",
-                static_cast<std::int64_t>(aRecord.mDuration.count()));
-  described.Set("released", aRecord.mIsReleased);
-  return described;
+  json::value encoded;
+  encoded.Set("holder", aRecord.mHolder);
+  encoded.Set("nonce", aRecord.mNonce);
+  encoded.Set("fencing", aRecord.mFencing);
+  encoded.Set("duration_ms",
+              static_cast<std::int64_t>(aRecord.mDuration.count()));
+  encoded.Set("released", aRecord.mIsReleased);
+  return encoded;
 }
 
 lease_record
--- a/Duties/Orders/OrderChannel.cpp
+++ b/Duties/Orders/OrderChannel.cpp
@@ -52,14 +52,14 @@
 json::value
 ToJson(const order_record& aRecord)
 {
-  json::value described;
-  described.Set("id", aRecord.mId);
-  described.Set("action", aRecord.mAction);
-  described.Set("pool", aRecord.mPool);
-  described.Set("server", aRecord.mServer);
-  described.Set("fencing", aRecord.mFencing);
-  described.Set("stage", ToString(aRecord.mStage));
-  return described;
+  json::value encoded;
+  encoded.Set("id", aRecord.mId);
+  encoded.Set("action", aRecord.mAction);
+  encoded.Set("pool", aRecord.mPool);
+  encoded.Set("server", aRecord.mServer);
+  encoded.Set("fencing", aRecord.mFencing);
+  encoded.Set("stage", ToString(aRecord.mStage));
+  return encoded;
 }
 
 order_record
--- a/Duties/Samples/BatchStore.cpp
+++ b/Duties/Samples/BatchStore.cpp
@@ -25,7 +25,7 @@
 }
 
 delivery_result
-Outcome(delivery_status aState, batch_record aRecord = {})
+MakeResult(delivery_status aState, batch_record aRecord = {})
 {
   return { aState, {}, std::move(aRecord) };
 }
@@ -80,16 +80,16 @@
   for (const auto& part : aRecord.mParts) {
     parts.emplace_back(part);
   }
-  json::value described;
-  described.Set("state", kStateNames[static_cast<std::size_t>(aRecord.mState)]);
-  described.Set("nonce", aRecord.mNonce);
-  described.Set("digest", aRecord.mDigest);
-  described.Set("parts", std::move(parts));
-  described.Set("done", aRecord.mFinishedSamples);
-  described.Set("wanted", aRecord.mRequestedSamples);
-  described.Set("beat", aRecord.mHeartbeat);
-  described.Set("released", aRecord.mIsReleased);
-  return described;
+  json::value encoded;
+  encoded.Set("state", kStateNames[static_cast<std::size_t>(aRecord.mState)]);
+  encoded.Set("nonce", aRecord.mNonce);
+  encoded.Set("digest", aRecord.mDigest);
+  encoded.Set("parts", std::move(parts));
+  encoded.Set("done", aRecord.mFinishedSamples);
+  encoded.Set("wanted", aRecord.mRequestedSamples);
+  encoded.Set("beat", aRecord.mHeartbeat);
+  encoded.Set("released", aRecord.mIsReleased);
+  return encoded;
 }
 
 batch_record
@@ -97,8 +97,9 @@
 {
   const auto& stored = aObject.mValue;
   batch_record read;
-  const auto word = json::StringAt(stored, "state", "");
-  const auto found = std::find(kStateNames.begin(), kStateNames.end(), word);
+  const auto stateName = json::StringAt(stored, "state", "");
+  const auto found =
+    std::find(kStateNames.begin(), kStateNames.end(), stateName);
   if (found != kStateNames.end()) {
     read.mState = static_cast<batch_state>(found - kStateNames.begin());
   }
@@ -189,20 +190,20 @@
   for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState != read_state::Found) {
-      return Outcome(read.mState == read_state::Absent
-                       ? delivery_status::Absent
-                       : delivery_status::Unavailable);
+      return MakeResult(read.mState == read_state::Absent
+                          ? delivery_status::Absent
+                          : delivery_status::Unavailable);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(delivery_status::Acknowledged, record);
+      return MakeResult(delivery_status::Acknowledged, record);
     }
     if (record.mDigest != DigestOf(aSpec)) {
-      return Outcome(delivery_status::RequestMismatch, record);
+      return MakeResult(delivery_status::RequestMismatch, record);
     }
     if (record.mState == batch_state::Generating) {
-      return Outcome(delivery_status::InProgress, record);
+      return MakeResult(delivery_status::InProgress, record);
     }
     auto table = MakeTable(aSpec.mPrompts.size(), aSpec.mSamplesPerPrompt);
     if (!LoadParts(aStore, record, table)) {
@@ -210,7 +211,7 @@
     }
     if (record.mState == batch_state::Fixed) {
       if (HasOutdatedSample(table, aOldestVersion)) {
-        return Outcome(delivery_status::TooOld, record);
+        return MakeResult(delivery_status::TooOld, record);
       }
       record.mState = batch_state::Delivered;
       const auto written =
@@ -221,7 +222,7 @@
     }
     return { delivery_status::Ready, Assemble(aSpec, record, table), record };
   }
-  return Outcome(delivery_status::Unavailable);
+  return MakeResult(delivery_status::Unavailable);
 }
 
 delivery_result
@@ -233,18 +234,18 @@
   for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState == read_state::Failed) {
-      return Outcome(delivery_status::Unavailable);
+      return MakeResult(delivery_status::Unavailable);
     }
     if (read.mState == read_state::Absent) {
-      return Outcome(delivery_status::NotDelivered);
+      return MakeResult(delivery_status::NotDelivered);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(delivery_status::Acknowledged, record);
+      return MakeResult(delivery_status::Acknowledged, record);
     }
     if (record.mState != batch_state::Delivered) {
-      return Outcome(delivery_status::NotDelivered, record);
+      return MakeResult(delivery_status::NotDelivered, record);
     }
     record.mState = batch_state::Acknowledged;
     const auto written =
@@ -252,10 +253,10 @@
     if (written.mState == write_state::Done) {
       record.mRevision = written.mRevision;
       RemoveParts(aStore, name, record);
-      return Outcome(delivery_status::Acknowledged, record);
+      return MakeResult(delivery_status::Acknowledged, record);
     }
   }
-  return Outcome(delivery_status::Unavailable);
+  return MakeResult(delivery_status::Unavailable);
 }
 
 } // namespace lavender::samples
--- a/Duties/Samples/Sample.cpp
+++ b/Duties/Samples/Sample.cpp
@@ -25,11 +25,11 @@
   for (const auto& prompt : aSpec.mPrompts) {
     prompts.emplace_back(prompt);
   }
-  json::value all;
-  all.Set("prompts", std::move(prompts));
-  all.Set("samples_per_prompt", aSpec.mSamplesPerPrompt);
-  all.Set("max_tokens", aSpec.mMaximumTokens);
-  return HashKey(json::Write(all));
+  json::value content;
+  content.Set("prompts", std::move(prompts));
+  content.Set("samples_per_prompt", aSpec.mSamplesPerPrompt);
+  content.Set("max_tokens", aSpec.mMaximumTokens);
+  return HashKey(json::Write(content));
 }
 
 std::int64_t
@@ -47,13 +47,13 @@
 json::value
 ToJson(const sample& aSample)
 {
-  json::value described;
-  described.Set("id", aSample.mId);
-  described.Set("attempt", aSample.mAttempt);
-  described.Set("group", aSample.mGroup);
-  described.Set("index", aSample.mIndex);
-  described.Set("text", aSample.mText);
-  described.Set("model", aSample.mModel);
+  json::value encoded;
+  encoded.Set("id", aSample.mId);
+  encoded.Set("attempt", aSample.mAttempt);
+  encoded.Set("group", aSample.mGroup);
+  encoded.Set("index", aSample.mIndex);
+  encoded.Set("text", aSample.mText);
+  encoded.Set("model", aSample.mModel);
   json::array versions;
   for (const auto& part : aSample.mVersions) {
     json::value version;
@@ -61,29 +61,29 @@
     version.Set("tokens", part.tokens);
     versions.push_back(std::move(version));
   }
-  described.Set("versions", std::move(versions));
-  return described;
+  encoded.Set("versions", std::move(versions));
+  return encoded;
 }
 
 sample
 ToSample(const json::value& aValue)
 {
-  sample read;
-  read.mId = json::StringAt(aValue, "id", "");
-  read.mAttempt = json::StringAt(aValue, "attempt", "");
-  read.mGroup = static_cast<int>(json::IntegerAt(aValue, "group", 0));
-  read.mIndex = static_cast<int>(json::IntegerAt(aValue, "index", 0));
-  read.mText = json::StringAt(aValue, "text", "");
-  read.mModel = json::StringAt(aValue, "model", "");
+  sample parsed;
+  parsed.mId = json::StringAt(aValue, "id", "");
+  parsed.mAttempt = json::StringAt(aValue, "attempt", "");
+  parsed.mGroup = static_cast<int>(json::IntegerAt(aValue, "group", 0));
+  parsed.mIndex = static_cast<int>(json::IntegerAt(aValue, "index", 0));
+  parsed.mText = json::StringAt(aValue, "text", "");
+  parsed.mModel = json::StringAt(aValue, "model", "");
   if (const auto* versions = aValue.Find("versions")) {
     for (const auto& version : versions->Elements()) {
       wire::weight_part part;
       part.version = json::IntegerAt(version, "version", 0);
       part.tokens = json::IntegerAt(version, "tokens", 0);
-      read.mVersions.push_back(part);
+      parsed.mVersions.push_back(part);
     }
   }
-  return read;
+  return parsed;
 }
 
 } // namespace lavender::samples
--- a/Duties/Samples/SampleDuty.cpp
+++ b/Duties/Samples/SampleDuty.cpp
@@ -90,20 +90,20 @@
 {
   // The step with the smallest finished share goes first, so that no step
   // starves another under the limit on concurrent samples.
-  step_pointer chosen;
+  step_pointer selected;
   double least = 2;
   for (const auto& [name, step] : mSteps) {
     const double share = static_cast<double>(CountDone(step->mJob)) /
                          static_cast<double>(step->mJob.mSpec.SampleCount());
     if (step->mPausedUntil <= aNow && share < least && HasNext(step->mJob)) {
-      chosen = step;
+      selected = step;
       least = share;
     }
   }
-  if (!chosen) {
+  if (!selected) {
     return std::nullopt;
   }
-  return assignment{ chosen, *ReserveNext(chosen->mJob) };
+  return assignment{ selected, *ReserveNext(selected->mJob) };
 }
 
 void
@@ -243,10 +243,10 @@
   // The accepted version may have changed while the sample was generated, so
   // the staleness bound is checked against the current one.
   const auto runNow = mRuns(spec.mRun);
-  if (auto fault =
+  if (auto rejection =
         runNow ? FindRejectionReason(outcome, *runNow) : "unknown_run";
-      !fault.empty()) {
-    CountRetry(fault);
+      !rejection.empty()) {
+    CountRetry(rejection);
     return std::nullopt;
   }
   const auto body = json::Parse(outcome.mResult.body);
--- a/Duties/Weights/VersionTracker.cpp
+++ b/Duties/Weights/VersionTracker.cpp
@@ -45,21 +45,22 @@
                   std::int64_t aTokens)
 {
   std::int64_t tokens = 0;
-  std::vector<std::int64_t> named;
+  std::vector<std::int64_t> versions;
   for (const auto& part : aReported) {
     if (part.mTokens <= 0) {
       return false;
     }
     tokens += part.mTokens;
-    named.push_back(part.mVersion);
+    versions.push_back(part.mVersion);
   }
-  return !named.empty() && tokens == aTokens &&
-         std::search(aHeld.begin(), aHeld.end(), named.begin(), named.end()) !=
+  return !versions.empty() && tokens == aTokens &&
+         std::search(
+           aHeld.begin(), aHeld.end(), versions.begin(), versions.end()) !=
            aHeld.end();
 }
 
 version_label
-Unknown(std::string aReason)
+UnknownLabel(std::string aReason)
 {
   version_label label;
   label.mReason = std::move(aReason);
@@ -141,38 +142,39 @@
   const auto run = aTracker.mRuns.at(aRun);
   aTracker.mRuns.erase(aRun);
   if (!run.mBefore || !run.mBefore->IsKnown() || !aAfter.IsKnown()) {
-    return Unknown("version_not_read");
+    return UnknownLabel("version_not_read");
   }
   if (run.mIsUntraceable) {
-    return Unknown("version_changed_unordered");
+    return UnknownLabel("version_changed_unordered");
   }
   if (run.mMayHaveInheritedOrder) {
     // Each earlier process may have left one order open. After two such orders
     // the versions before and after can be equal although another version was
     // held in between.
-    return Unknown("agent_just_started");
+    return UnknownLabel("agent_just_started");
   }
   const bool isOpen = run.mOpenTarget.has_value();
   if (!isOpen && run.mChanges.empty()) {
     return *run.mBefore == aAfter
              ? LabelWithoutSwap(aTracker, run, aReported, aTokens)
-             : Unknown("version_changed_unordered");
+             : UnknownLabel("version_changed_unordered");
   }
   if (isOpen && !run.mChanges.empty()) {
-    return Unknown("swap_unsettled");
+    return UnknownLabel("swap_unsettled");
   }
   const auto held = VersionsHeldDuring(run);
   if (held.back() != aAfter.mVersion || run.mBefore->mModel != aAfter.mModel ||
       !HasOneModel(run, aAfter)) {
-    return Unknown(isOpen ? "swap_unsettled" : "version_changed_unordered");
+    return UnknownLabel(isOpen ? "swap_unsettled"
+                               : "version_changed_unordered");
   }
   if (aReported.empty()) {
-    return Unknown("no_account_of_swap");
+    return UnknownLabel("no_account_of_swap");
   }
   if (!aTracker.mIsReportTrusted ||
       (run.mIsReportDoubtful && !run.mChanges.empty()) ||
       !IsReportPlausible(aReported, held, aTokens)) {
-    return Unknown("account_not_believed");
+    return UnknownLabel("account_not_believed");
   }
   version_label label;
   label.mModel = aAfter.mModel;
--- a/Duties/Weights/WeightGate.cpp
+++ b/Duties/Weights/WeightGate.cpp
@@ -10,11 +10,11 @@
 std::vector<version_part>
 ToVersionParts(const std::vector<wire::weight_part>& aParts)
 {
-  std::vector<version_part> reported;
+  std::vector<version_part> parts;
   for (const auto& part : aParts) {
-    reported.push_back({ part.version, part.tokens });
+    parts.push_back({ part.version, part.tokens });
   }
-  return reported;
+  return parts;
 }
 
 dispatch::backend_run
