--- a/Duties/Samples/BatchStore.cpp
+++ b/Duties/Samples/BatchStore.cpp
@@ -9,13 +9,13 @@
 using platform::read_state;
 using platform::write_state;
 
-constexpr std::array<const char*, 4> kStateWords = { "making",
+constexpr std::array<const char*, 4> kStateNames = { "making",
                                                      "fixed",
                                                      "delivered",
                                                      "acknowledged" };
 
 bool
-HasTooOld(const sample_table& aTable, std::int64_t aOldestVersion)
+HasOutdatedSample(const sample_table& aTable, std::int64_t aOldestVersion)
 {
   return std::any_of(aTable.begin(), aTable.end(), [&](const auto& aGroup) {
     return std::any_of(aGroup.begin(), aGroup.end(), [&](const auto& aSample) {
@@ -24,14 +24,15 @@
   });
 }
 
-ask_outcome
-Outcome(delivery_status aState, batch_record aRecord = {})
+delivery_result
+MakeResult(delivery_status aState, batch_record aRecord = {})
 {
   return { aState, {}, std::move(aRecord) };
 }
 
-/** Removes the parts of an acknowledged batch and their names. A process that
- * dies in between leaves the names, and the next ask goes on. */
+/** Deletes the parts of an acknowledged batch, then their names in the record.
+ * If the process crashes in between, the next request finds the names and
+ * continues. */
 void
 RemoveParts(const batch_store& aStore,
             const std::string& aName,
@@ -52,7 +53,7 @@
 } // namespace
 
 batch_store
-MakeStore(const platform::client& aPlatform)
+MakePlatformStore(const platform::client& aPlatform)
 {
   const auto* client = &aPlatform;
   batch_store store;
@@ -79,39 +80,40 @@
   for (const auto& part : aRecord.mParts) {
     parts.emplace_back(part);
   }
-  json::value shown;
-  shown.Set("state", kStateWords[static_cast<std::size_t>(aRecord.mState)]);
-  shown.Set("nonce", aRecord.mNonce);
-  shown.Set("digest", aRecord.mDigest);
-  shown.Set("parts", std::move(parts));
-  shown.Set("done", aRecord.mFinishedSamples);
-  shown.Set("wanted", aRecord.mRequestedSamples);
-  shown.Set("beat", aRecord.mBeat);
-  shown.Set("released", aRecord.mIsReleased);
-  return shown;
+  json::value encoded;
+  encoded.Set("state", kStateNames[static_cast<std::size_t>(aRecord.mState)]);
+  encoded.Set("nonce", aRecord.mNonce);
+  encoded.Set("digest", aRecord.mDigest);
+  encoded.Set("parts", std::move(parts));
+  encoded.Set("done", aRecord.mFinishedSamples);
+  encoded.Set("wanted", aRecord.mRequestedSamples);
+  encoded.Set("beat", aRecord.mHeartbeat);
+  encoded.Set("released", aRecord.mIsReleased);
+  return encoded;
 }
 
 batch_record
 ToRecord(const platform::stored_object& aObject)
 {
-  const auto& kept = aObject.mValue;
+  const auto& stored = aObject.mValue;
   batch_record read;
-  const auto word = json::StringAt(kept, "state", "");
-  const auto found = std::find(kStateWords.begin(), kStateWords.end(), word);
-  if (found != kStateWords.end()) {
-    read.mState = static_cast<batch_state>(found - kStateWords.begin());
+  const auto stateName = json::StringAt(stored, "state", "");
+  const auto found =
+    std::find(kStateNames.begin(), kStateNames.end(), stateName);
+  if (found != kStateNames.end()) {
+    read.mState = static_cast<batch_state>(found - kStateNames.begin());
   }
-  read.mNonce = json::StringAt(kept, "nonce", "");
-  read.mDigest = json::StringAt(kept, "digest", "");
-  if (const auto* parts = kept.Find("parts")) {
+  read.mNonce = json::StringAt(stored, "nonce", "");
+  read.mDigest = json::StringAt(stored, "digest", "");
+  if (const auto* parts = stored.Find("parts")) {
     for (const auto& part : parts->Elements()) {
       read.mParts.push_back(part.StringOr(""));
     }
   }
-  read.mFinishedSamples = json::IntegerAt(kept, "done", 0);
-  read.mRequestedSamples = json::IntegerAt(kept, "wanted", 0);
-  read.mBeat = json::IntegerAt(kept, "beat", 0);
-  read.mIsReleased = json::BooleanAt(kept, "released", false);
+  read.mFinishedSamples = json::IntegerAt(stored, "done", 0);
+  read.mRequestedSamples = json::IntegerAt(stored, "wanted", 0);
+  read.mHeartbeat = json::IntegerAt(stored, "beat", 0);
+  read.mIsReleased = json::BooleanAt(stored, "released", false);
   read.mRevision = aObject.mRevision;
   return read;
 }
@@ -177,39 +179,39 @@
   return batch;
 }
 
-ask_outcome
+delivery_result
 Deliver(const batch_store& aStore,
         const batch_spec& aSpec,
         std::int64_t aOldestVersion)
 {
   const auto name = NameOf(aSpec);
-  // A second round reads what another entry, or a write whose answer was
-  // lost, has left.
-  for (int round = 0; round < 2; ++round) {
+  // A second attempt reads the record again after a conflict with another entry
+  // or after a write whose response was lost.
+  for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState != read_state::Found) {
-      return Outcome(read.mState == read_state::Absent
-                       ? delivery_status::Absent
-                       : delivery_status::Unavailable);
+      return MakeResult(read.mState == read_state::Absent
+                          ? delivery_status::Absent
+                          : delivery_status::Unavailable);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(delivery_status::Acknowledged, record);
+      return MakeResult(delivery_status::Acknowledged, record);
     }
     if (record.mDigest != DigestOf(aSpec)) {
-      return Outcome(delivery_status::RequestMismatch, record);
+      return MakeResult(delivery_status::RequestMismatch, record);
     }
-    if (record.mState == batch_state::Making) {
-      return Outcome(delivery_status::InProgress, record);
+    if (record.mState == batch_state::Generating) {
+      return MakeResult(delivery_status::InProgress, record);
     }
     auto table = MakeTable(aSpec.mPrompts.size(), aSpec.mSamplesPerPrompt);
     if (!LoadParts(aStore, record, table)) {
       continue;
     }
     if (record.mState == batch_state::Fixed) {
-      if (HasTooOld(table, aOldestVersion)) {
-        return Outcome(delivery_status::TooOld, record);
+      if (HasOutdatedSample(table, aOldestVersion)) {
+        return MakeResult(delivery_status::TooOld, record);
       }
       record.mState = batch_state::Delivered;
       const auto written =
@@ -220,30 +222,30 @@
     }
     return { delivery_status::Ready, Assemble(aSpec, record, table), record };
   }
-  return Outcome(delivery_status::Unavailable);
+  return MakeResult(delivery_status::Unavailable);
 }
 
-ask_outcome
+delivery_result
 Acknowledge(const batch_store& aStore,
             const std::string& aRun,
             std::int64_t aStep)
 {
   const auto name = NameOf(aRun, aStep);
-  for (int round = 0; round < 2; ++round) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState == read_state::Failed) {
-      return Outcome(delivery_status::Unavailable);
+      return MakeResult(delivery_status::Unavailable);
     }
     if (read.mState == read_state::Absent) {
-      return Outcome(delivery_status::NotDelivered);
+      return MakeResult(delivery_status::NotDelivered);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(delivery_status::Acknowledged, record);
+      return MakeResult(delivery_status::Acknowledged, record);
     }
     if (record.mState != batch_state::Delivered) {
-      return Outcome(delivery_status::NotDelivered, record);
+      return MakeResult(delivery_status::NotDelivered, record);
     }
     record.mState = batch_state::Acknowledged;
     const auto written =
@@ -251,10 +253,10 @@
     if (written.mState == write_state::Done) {
       record.mRevision = written.mRevision;
       RemoveParts(aStore, name, record);
-      return Outcome(delivery_status::Acknowledged, record);
+      return MakeResult(delivery_status::Acknowledged, record);
     }
   }
-  return Outcome(delivery_status::Unavailable);
+  return MakeResult(delivery_status::Unavailable);
 }
 
 } // namespace lavender::samples
--- a/Duties/Weights/WeightGate.cpp
+++ b/Duties/Weights/WeightGate.cpp
@@ -8,13 +8,13 @@
 using wire::run_state;
 
 std::vector<version_part>
-ToClaim(const std::vector<wire::weight_part>& aParts)
+ToVersionParts(const std::vector<wire::weight_part>& aParts)
 {
-  std::vector<version_part> claim;
+  std::vector<version_part> parts;
   for (const auto& part : aParts) {
-    claim.push_back({ part.version, part.tokens });
+    parts.push_back({ part.version, part.tokens });
   }
-  return claim;
+  return parts;
 }
 
 dispatch::backend_run
@@ -38,7 +38,7 @@
 {
   mTracker.mLimits = aLimits;
   mTracker.mStartedAt = boot_clock::now();
-  mSwapper = std::thread([this] { SwapLoop(); });
+  mSwapThread = std::thread([this] { SwapLoop(); });
 }
 
 versioned_backend::~versioned_backend()
@@ -50,8 +50,8 @@
 versioned_backend::Stop()
 {
   mOrders.Close();
-  if (mSwapper.joinable()) {
-    mSwapper.join();
+  if (mSwapThread.joinable()) {
+    mSwapThread.join();
   }
 }
 
@@ -82,7 +82,7 @@
   std::uint64_t events = 0;
   const auto held = Read(events);
   std::lock_guard lock(mMutex);
-  TakeRead(mTracker, held, events, boot_clock::now());
+  ApplyRead(mTracker, held, events, boot_clock::now());
   return held;
 }
 
@@ -109,7 +109,7 @@
   const auto before = Read(events);
   {
     std::lock_guard lock(mMutex);
-    TakeBefore(mTracker, run, before, events, boot_clock::now());
+    RecordVersionBefore(mTracker, run, before, events, boot_clock::now());
   }
   const bool isKnown = before.IsKnown();
   if (!isKnown || before.mVersion < aOrder.oldest_weight_version) {
@@ -117,11 +117,12 @@
     DropRun(mTracker, run);
     return RefuseRun(isKnown ? "weights_too_old" : "weights_not_known");
   }
-  auto ended = dispatch::RunOnServer(mServer, aOrder, aTimeout);
-  if (ended.mState != run_state::FINISHED || ended.mResult.http_status != 200) {
+  auto backendRun = dispatch::RunOnServer(mServer, aOrder, aTimeout);
+  if (backendRun.mState != run_state::FINISHED ||
+      backendRun.mResult.http_status != 200) {
     std::lock_guard lock(mMutex);
     DropRun(mTracker, run);
-    return ended;
+    return backendRun;
   }
   const auto after = Read(events);
   version_label label;
@@ -131,18 +132,18 @@
     label = EndRun(mTracker,
                    run,
                    after,
-                   ToClaim(ended.mResult.versions),
-                   ended.mResult.completion_tokens,
+                   ToVersionParts(backendRun.mResult.versions),
+                   backendRun.mResult.completion_tokens,
                    now);
-    TakeRead(mTracker, after, events, now);
+    ApplyRead(mTracker, after, events, now);
   }
-  TakeLabel(label, ended.mResult);
-  return ended;
+  ApplyLabel(label, backendRun.mResult);
+  return backendRun;
 }
 
 void
-versioned_backend::TakeLabel(const version_label& aLabel,
-                             wire::run_result& aResult)
+versioned_backend::ApplyLabel(const version_label& aLabel,
+                              wire::run_result& aResult)
 {
   aResult.versions.clear();
   aResult.model = aLabel.mModel;
@@ -157,17 +158,18 @@
     mMetrics.Count("lavender_agent_versions_unknown_total",
                    { { "reason", aLabel.mReason } });
   }
-  if (aLabel.mIsClaimWrong) {
+  if (aLabel.mIsReportWrong) {
     mMetrics.Count("lavender_agent_wrong_accounts_total", {});
     if (!mHasWarned.exchange(true)) {
       Log(log_level::Warning,
           "weights",
-          "The server names versions that it doesn't hold.");
+          "The server reported weight versions that it doesn't hold.");
     }
   }
 }
 
-/** What keeps an order from being taken; the order itself isn't opened. */
+/** Returns the reason to refuse an order, or an empty string. Doesn't open the
+ * order. */
 std::string
 versioned_backend::FindRefusal(const wire::swap_order& aOrder)
 {
@@ -209,7 +211,7 @@
   wire::swap_reply reply;
   reply.echo = aOrder.echo;
   const weight_version target{ aOrder.model, aOrder.version };
-  std::lock_guard oneByOne(mSwapMutex);
+  std::lock_guard swapLock(mSwapMutex);
   const auto held = Refresh();
   reply.holds_version = held.mVersion;
   {
@@ -232,15 +234,15 @@
   }
   const auto failure = dispatch::RequestWeightLoad(
     mServer, aOrder.model, aOrder.version, aOrder.fencing);
-  const auto answer = failure.empty()          ? swap_answer::Done
-                      : failure == "no_answer" ? swap_answer::NoAnswer
-                                               : swap_answer::Failed;
-  // Whatever the answer says: only the server knows what it holds now.
+  const auto result = failure.empty()          ? swap_result::Done
+                      : failure == "no_answer" ? swap_result::NoResponse
+                                               : swap_result::Failed;
+  // The response isn't proof; only a read shows which version the server holds.
   std::uint64_t events = 0;
   const auto now = Read(events);
   {
     std::lock_guard lock(mMutex);
-    CloseSwap(mTracker, answer, now, boot_clock::now());
+    CloseSwap(mTracker, result, now, boot_clock::now());
   }
   reply.holds_version = now.mModel == aOrder.model ? now.mVersion : 0;
   reply.done = now == target;
