--- a/Duties/Dispatch/EntryDispatch.cpp
+++ b/Duties/Dispatch/EntryDispatch.cpp
@@ -177,9 +177,9 @@
 }
 
 void
-entry_dispatch::TakeCount(const std::string& aPool,
-                          const std::string& aServer,
-                          const wire::load_figures& aLoad)
+entry_dispatch::ApplyRequestCount(const std::string& aPool,
+                                  const std::string& aServer,
+                                  const wire::load_figures& aLoad)
 {
   // A request sent in this while before may not have reached the agent when it
   // answered; it then counts as not shown.
@@ -187,7 +187,7 @@
   const auto madeAt = boot_clock::now() - kOnItsWay;
   std::lock_guard lock(mRoutesMutex);
   if (const auto table = mRoutes.find(aPool); table != mRoutes.end()) {
-    routing::TakeCount(
+    routing::ApplyRequestCount(
       table->second, aServer, aLoad.queued + aLoad.running, madeAt);
   }
 }
@@ -347,7 +347,7 @@
     event.mReply = std::move(result.mReply);
     if (event.mWire == wire_state::Answered) {
       mDirectory.TakeReply(aTicket.mServerName, event.mReply);
-      TakeCount(aCall.mPool, aTicket.mServerName, event.mReply.load);
+      ApplyRequestCount(aCall.mPool, aTicket.mServerName, event.mReply.load);
     } else {
       server->mConnections->DropIdle();
     }
--- a/Duties/Dispatch/EntryDispatch.h
+++ b/Duties/Dispatch/EntryDispatch.h
@@ -108,9 +108,9 @@
 private:
   void TakeReport(const membership::server_view& aServer);
   void TakeDemand(const membership::server_view& aServer);
-  void TakeCount(const std::string& aPool,
-                 const std::string& aServer,
-                 const wire::load_figures& aLoad);
+  void ApplyRequestCount(const std::string& aPool,
+                         const std::string& aServer,
+                         const wire::load_figures& aLoad);
   void TakeEvidence(const call& aCall,
                     const std::string& aServer,
                     time_point aSentAt,
--- a/Duties/Forwarding/PoolRouter.cpp
+++ b/Duties/Forwarding/PoolRouter.cpp
@@ -121,10 +121,10 @@
                       const site::server_load& aLoad,
                       time_point aNow)
 {
-  routing::TakeCount(mTables[aPick.mPool],
-                     aPick.mServer.mId,
-                     aLoad.mRunning + aLoad.mWaiting,
-                     aNow);
+  routing::ApplyRequestCount(mTables[aPick.mPool],
+                             aPick.mServer.mId,
+                             aLoad.mRunning + aLoad.mWaiting,
+                             aNow);
 }
 
 int
--- a/Duties/Routing/Breaker.cpp
+++ b/Duties/Routing/Breaker.cpp
@@ -11,12 +11,12 @@
 void
 Decay(breaker& aBreaker, const breaker_limits& aLimits, time_point aNow)
 {
-  const std::chrono::duration<double> age = aNow - aBreaker.mCountedAt;
+  const std::chrono::duration<double> age = aNow - aBreaker.mDecayedAt;
   const std::chrono::duration<double> halfLife = aLimits.mHalfLife;
   const double factor = std::exp2(-std::max(age / halfLife, 0.0));
   aBreaker.mAttempts *= factor;
   aBreaker.mFailures *= factor;
-  aBreaker.mCountedAt = aNow;
+  aBreaker.mDecayedAt = aNow;
 }
 
 void
@@ -26,7 +26,7 @@
     std::clamp(aBreaker.mPause * 2, aLimits.mFirstPause, aLimits.mLongestPause);
   aBreaker.mState = breaker_state::Open;
   aBreaker.mOpenUntil = aNow + aBreaker.mPause;
-  aBreaker.mHasProbe = false;
+  aBreaker.mIsProbeInFlight = false;
 }
 
 void
@@ -48,8 +48,8 @@
       return true;
     case breaker_state::Open:
       return aNow >= aBreaker.mOpenUntil;
-    case breaker_state::Probing:
-      return !aBreaker.mHasProbe;
+    case breaker_state::HalfOpen:
+      return !aBreaker.mIsProbeInFlight;
   }
   return true;
 }
@@ -61,8 +61,8 @@
       (aBreaker.mState == breaker_state::Open && aNow < aBreaker.mOpenUntil)) {
     return;
   }
-  aBreaker.mState = breaker_state::Probing;
-  aBreaker.mHasProbe = true;
+  aBreaker.mState = breaker_state::HalfOpen;
+  aBreaker.mIsProbeInFlight = true;
 }
 
 void
@@ -72,15 +72,15 @@
           time_point aNow)
 {
   if (aEvidence == evidence::Neutral) {
-    // Another request may probe: this one never reached the server.
-    aBreaker.mHasProbe = false;
+    // The outcome says nothing about the server, so another request may probe.
+    aBreaker.mIsProbeInFlight = false;
     return;
   }
   const bool hasFailed = aEvidence == evidence::Failure;
   Decay(aBreaker, aLimits, aNow);
   aBreaker.mAttempts += 1;
   aBreaker.mFailures += hasFailed ? 1 : 0;
-  if (aBreaker.mState == breaker_state::Probing) {
+  if (aBreaker.mState == breaker_state::HalfOpen) {
     if (hasFailed) {
       Open(aBreaker, aLimits, aNow);
     } else {
@@ -88,16 +88,17 @@
     }
     return;
   }
-  // Answers to requests sent before the pause change nothing while open.
+  // While the breaker is open, ends of requests sent before the pause are
+  // counted but don't change the state.
   if (aBreaker.mState == breaker_state::Closed && hasFailed &&
       aBreaker.mAttempts >= aLimits.mEnoughAttempts &&
-      FailureShare(aBreaker) >= aLimits.mFailureShare) {
+      FailureRatio(aBreaker) >= aLimits.mFailureShare) {
     Open(aBreaker, aLimits, aNow);
   }
 }
 
 double
-FailureShare(const breaker& aBreaker)
+FailureRatio(const breaker& aBreaker)
 {
   return aBreaker.mAttempts > 0 ? aBreaker.mFailures / aBreaker.mAttempts : 0;
 }
--- a/Duties/Routing/Breaker.h
+++ b/Duties/Routing/Breaker.h
@@ -4,58 +4,59 @@
 
 namespace lavender::routing {
 
-/** How one attempt on a server ended, as evidence about the server. */
+/** What the end of one attempt says about the health of its server. */
 enum class evidence
 {
   Success,
-  /** The server failed: an error of its own, no connection, silence. */
+  /** The server failed: an error response, no connection or no response. */
   Failure,
-  /** Says nothing about the server: refused by its agent, cancelled. */
+  /** Says nothing about the server: the attempt was refused by the server's
+   * agent or cancelled. */
   Neutral
 };
 
 enum class breaker_state
 {
   Closed,
-  /** No requests until the end of the pause. */
+  /** No requests are allowed until the pause ends. */
   Open,
-  /** The pause is over; one request probes the server. */
-  Probing
+  /** The pause is over; a single request probes the server. */
+  HalfOpen
 };
 
 struct breaker_limits
 {
-  /** Evidence this old counts half. */
+  /** Half-life of the exponential decay of both counts. */
   milliseconds mHalfLife{ 10000 };
-  /** Attempts, decayed, below which a failure share says nothing. */
+  /** The breaker opens only at or above this decayed number of attempts; the
+   * failure ratio of fewer attempts isn't significant. */
   double mEnoughAttempts = 3;
   double mFailureShare = 0.5;
   milliseconds mFirstPause{ 1000 };
   milliseconds mLongestPause{ 30000 };
 };
 
-/** Keeps a server that fails from getting work.
+/** Circuit breaker of one server.
  *
- * One that fails at once has the shortest queue of all and would attract
- * every request that looks for one. */
+ * A server that fails every request immediately always has the shortest queue,
+ * so load balancing without a breaker would send it most requests. */
 struct breaker
 {
   breaker_state mState = breaker_state::Closed;
   double mAttempts = 0;
   double mFailures = 0;
-  time_point mCountedAt;
-  /** End of the pause while open. */
+  time_point mDecayedAt;
+  /** When the pause ends; valid in state Open. */
   time_point mOpenUntil;
   milliseconds mPause{ 0 };
-  bool mHasProbe = false;
+  bool mIsProbeInFlight = false;
 };
 
-/** True when a request may be sent now. */
 bool
 AllowsRequest(const breaker& aBreaker, time_point aNow);
 
-/** Counts a request that is sent; the first one after a pause is the probe,
- * and no other is allowed until it has ended. */
+/** Records that a request is sent. The first request after a pause is the
+ * probe, and no other request is allowed until the probe has ended. */
 void
 NoteSent(breaker& aBreaker, time_point aNow);
 
@@ -65,8 +66,9 @@
           const breaker_limits& aLimits,
           time_point aNow);
 
-/** Share of failures in the evidence, newest counting most. */
+/** Ratio of failures to attempts, both exponentially decayed; 0 without
+ * attempts. */
 double
-FailureShare(const breaker& aBreaker);
+FailureRatio(const breaker& aBreaker);
 
 } // namespace lavender::routing
--- a/Duties/Routing/OwnRequests.cpp
+++ b/Duties/Routing/OwnRequests.cpp
@@ -25,7 +25,7 @@
 }
 
 void
-TakeReportTime(own_requests& aOwn, time_point aMadeAt)
+ApplyReportTime(own_requests& aOwn, time_point aMadeAt)
 {
   if (aMadeAt <= aOwn.mReportedAt) {
     return;
--- a/Duties/Routing/OwnRequests.h
+++ b/Duties/Routing/OwnRequests.h
@@ -4,17 +4,17 @@
 
 #include <vector>
 
-/** Which backend server gets a request. */
+/** Load balancing: selects the backend server for a request. */
 namespace lavender::routing {
 
-/** What one entry sent to one server that the server's last report doesn't
- * show.
+/** Corrects the request count in a server's last load report by the requests
+ * that this entry itself has sent to the server.
  *
- * A report lags. Adding every request in flight to it counts those twice that
- * it already shows, and an entry then shuns the servers that it uses most;
- * adding none lets a burst between two reports go to one server. So a request
- * counts when it left after the report was made, and one that the report
- * still shows is taken off once its answer is here. */
+ * Load reports are delayed. Adding all requests in flight to the reported count
+ * would count some of them twice and make the entry avoid the servers that it
+ * uses most; adding none would send a whole burst between two reports to one
+ * server. Therefore a request sent after the report was generated is added, and
+ * a request that the report includes is subtracted once it has ended. */
 struct own_requests
 {
   struct ended_request
@@ -23,27 +23,29 @@
     time_point mEndedAt;
   };
 
-  /** When the last report was made, by this process's clock; a time before
-   * which everything sent is shown in it. */
+  /** When the last report was generated, by the clock of this process. The
+   * report includes every request sent up to this time. */
   time_point mReportedAt;
-  /** Send times of requests without an answer. */
+  /** Send times of the requests that haven't ended. */
   std::vector<time_point> mInFlight;
-  /** Requests that ended after the report was made. */
+  /** Requests that ended after the report was generated. */
   std::vector<ended_request> mEnded;
-  /** To add to the reported count: sent after the report, less ended after
-   * it though shown in it. Kept so that a decision needs no loop. */
+  /** To be added to the reported count: requests in flight that were sent after
+   * the report, minus requests that the report includes and that have ended
+   * since. Updated incrementally, so that server selection needs no loop. */
   int mCorrection = 0;
 };
 
 void
 NoteSent(own_requests& aOwn, time_point aNow);
 
-/** @param aSentAt what NoteSent was told for this request */
+/** @param aSentAt time passed to NoteSent for this request */
 void
 NoteEnded(own_requests& aOwn, time_point aSentAt, time_point aNow);
 
-/** @param aMadeAt when the report was made, or earlier */
+/** Applies a newer report's time and recomputes the correction.
+ * @param aMadeAt when the report was generated, or an earlier time */
 void
-TakeReportTime(own_requests& aOwn, time_point aMadeAt);
+ApplyReportTime(own_requests& aOwn, time_point aMadeAt);
 
 } // namespace lavender::routing
--- a/Duties/Routing/PoolTable.cpp
+++ b/Duties/Routing/PoolTable.cpp
@@ -5,14 +5,14 @@
 namespace lavender::routing {
 namespace {
 
-/** Bounds of a server's measured speed relative to the mean: a wrong figure
- * must neither starve a server nor bury it. */
-constexpr double kSlowest = 1.0 / 16;
-constexpr double kFastest = 4;
-/** A server slower than this share of the mean gets no affinity. */
-constexpr double kAffinitySpeed = 0.5;
-/** Random draws before the table is searched. */
-constexpr int kDraws = 8;
+/** Bounds of a server's measured speed relative to the mean, so that a wrong
+ * measurement neither starves nor overloads the server. */
+constexpr double kMinRelativeSpeed = 1.0 / 16;
+constexpr double kMaxRelativeSpeed = 4;
+/** Prefix affinity doesn't apply to a server below this relative speed. */
+constexpr double kMinAffinitySpeed = 0.5;
+/** Random draws before the table is searched linearly. */
+constexpr int kMaxDraws = 8;
 
 double
 RatePerSlot(const server_row& aRow)
@@ -22,44 +22,46 @@
 
 /** Speed relative to the mean of the measured servers. */
 double
-SpeedOf(const pool_table& aTable, const server_row& aRow)
+RelativeSpeed(const pool_table& aTable, const server_row& aRow)
 {
   const double rate = RatePerSlot(aRow);
-  if (rate <= 0 || aTable.mMeasured == 0 || aTable.mRatePerSlotSum <= 0) {
+  if (rate <= 0 || aTable.mMeasuredServers == 0 ||
+      aTable.mRatePerSlotSum <= 0) {
     return 1;
   }
   const double mean =
-    aTable.mRatePerSlotSum / static_cast<double>(aTable.mMeasured);
-  return std::clamp(rate / mean, kSlowest, kFastest);
+    aTable.mRatePerSlotSum / static_cast<double>(aTable.mMeasuredServers);
+  return std::clamp(rate / mean, kMinRelativeSpeed, kMaxRelativeSpeed);
 }
 
 int
-RequestsOn(const server_row& aRow)
+EstimateRequests(const server_row& aRow)
 {
   return std::max(aRow.mReport.mRequests + aRow.mOwn.mCorrection, 0);
 }
 
-/** Adds a row's part to the sums, or takes it off. */
+/** Adds a row's contribution to the table's sums (aSign 1) or subtracts it
+ * (aSign -1). */
 void
-Sum(pool_table& aTable, const server_row& aRow, double aSign)
+AddToSums(pool_table& aTable, const server_row& aRow, double aSign)
 {
   aTable.mLoadSum += aSign * aRow.mLoad;
   const double rate = RatePerSlot(aRow);
   if (rate > 0) {
     aTable.mRatePerSlotSum += aSign * rate;
-    aTable.mMeasured += aSign > 0 ? 1 : std::size_t(-1);
+    aTable.mMeasuredServers += aSign > 0 ? 1 : std::size_t(-1);
   }
 }
 
-/** Counts the request to come too, so that an idle slow server doesn't look
- * like an idle fast one. */
+/** Includes the next request in the load; otherwise an idle slow server would
+ * have the same load as an idle fast one. */
 void
 UpdateLoad(pool_table& aTable, server_row& aRow)
 {
-  const double capacity = std::max(aRow.mReport.mSlots, 1) *
-                          SpeedOf(aTable, aRow) *
-                          std::max(1 - FailureShare(aRow.mBreaker), kSlowest);
-  const double load = (RequestsOn(aRow) + 1) / capacity;
+  const double capacity =
+    std::max(aRow.mReport.mSlots, 1) * RelativeSpeed(aTable, aRow) *
+    std::max(1 - FailureRatio(aRow.mBreaker), kMinRelativeSpeed);
+  const double load = (EstimateRequests(aRow) + 1) / capacity;
   aTable.mLoadSum += load - aRow.mLoad;
   aRow.mLoad = load;
 }
@@ -87,17 +89,20 @@
 }
 
 const server_row*
-ChooseHome(pool_table& aTable, const route_request& aRequest, time_point aNow)
+SelectByPrefix(pool_table& aTable,
+               const route_request& aRequest,
+               time_point aNow)
 {
   const double mean =
     aTable.mLoadSum / static_cast<double>(aTable.mRows.size());
-  const double bound =
-    std::max(aTable.mLimits.mFreeShare, aTable.mLimits.mAffinityBound * mean);
+  const double bound = std::max(aTable.mLimits.mFreeLoad,
+                                aTable.mLimits.mAffinityLoadFactor * mean);
   const server_row* best = nullptr;
-  for (const auto& home : FindHomes(aTable.mPrefixes, aRequest.mPrefix, aNow)) {
-    const auto* row = FindRow(aTable, home.mServer);
+  for (const auto& holder :
+       FindHolders(aTable.mPrefixes, aRequest.mPrefix, aNow)) {
+    const auto* row = FindRow(aTable, holder.mServer);
     if (row && IsUsable(aTable, *row, aRequest, aNow) && row->mLoad <= bound &&
-        SpeedOf(aTable, *row) >= kAffinitySpeed &&
+        RelativeSpeed(aTable, *row) >= kMinAffinitySpeed &&
         (!best || row->mLoad < best->mLoad)) {
       best = row;
     }
@@ -105,17 +110,17 @@
   return best;
 }
 
-/** A random usable row; when draws find none, the first one from a random
- * place on. */
+/** Random usable row; when the draws find none, the first usable one at or
+ * after a random position. */
 const server_row*
-DrawRow(const pool_table& aTable,
-        const route_request& aRequest,
-        std::mt19937_64& aRandom,
-        time_point aNow)
+SelectRandom(const pool_table& aTable,
+             const route_request& aRequest,
+             std::mt19937_64& aRandom,
+             time_point aNow)
 {
   const auto size = aTable.mRows.size();
   std::uniform_int_distribution<std::size_t> pick(0, size - 1);
-  for (int draw = 0; draw < kDraws; ++draw) {
+  for (int draw = 0; draw < kMaxDraws; ++draw) {
     const auto& row = aTable.mRows[pick(aRandom)];
     if (IsUsable(aTable, row, aRequest, aNow)) {
       return &row;
@@ -132,7 +137,9 @@
 }
 
 const server_row*
-NextRow(pool_table& aTable, const route_request& aRequest, time_point aNow)
+SelectNextInTurn(pool_table& aTable,
+                 const route_request& aRequest,
+                 time_point aNow)
 {
   for (std::size_t i = 0; i < aTable.mRows.size(); ++i) {
     const auto& row = aTable.mRows[aTable.mNextRow++ % aTable.mRows.size()];
@@ -144,16 +151,16 @@
 }
 
 const server_row*
-ChooseOfTwo(pool_table& aTable,
+SelectOfTwo(pool_table& aTable,
             const route_request& aRequest,
             std::mt19937_64& aRandom,
             time_point aNow)
 {
-  const auto* first = NextRow(aTable, aRequest, aNow);
+  const auto* first = SelectNextInTurn(aTable, aRequest, aNow);
   if (!first) {
     return nullptr;
   }
-  const auto* second = DrawRow(aTable, aRequest, aRandom, aNow);
+  const auto* second = SelectRandom(aTable, aRequest, aRandom, aNow);
   if (first->mLoad != second->mLoad) {
     return first->mLoad < second->mLoad ? first : second;
   }
@@ -163,21 +170,21 @@
   return isNear(second) && !isNear(first) ? second : first;
 }
 
-/** Drops servers that nobody has heard of for long, so that replaced ones
- * don't pile up. */
+/** Removes servers without a recent report, so that replaced servers don't
+ * accumulate. */
 void
-ForgetSilent(pool_table& aTable, time_point aNow)
+RemoveUnreported(pool_table& aTable, time_point aNow)
 {
   for (std::size_t i = 0; i < aTable.mRows.size();) {
     auto& row = aTable.mRows[i];
     const bool isGone =
-      aNow - row.mReport.mMadeAt > aTable.mLimits.mForgetAfter &&
+      aNow - row.mReport.mMadeAt > aTable.mLimits.mExpireAfter &&
       row.mOwn.mInFlight.empty();
     if (!isGone) {
       ++i;
       continue;
     }
-    Sum(aTable, row, -1);
+    AddToSums(aTable, row, -1);
     aTable.mOpenBreakers -= row.mBreaker.mState != breaker_state::Closed;
     aTable.mIndex.erase(row.mReport.mName);
     if (i + 1 != aTable.mRows.size()) {
@@ -191,7 +198,7 @@
 server_row&
 AddRow(pool_table& aTable, const server_report& aReport, time_point aNow)
 {
-  ForgetSilent(aTable, aNow);
+  RemoveUnreported(aTable, aNow);
   aTable.mIndex[aReport.mName] = aTable.mRows.size();
   auto& row = aTable.mRows.emplace_back();
   row.mReport.mName = aReport.mName;
@@ -206,24 +213,24 @@
   auto* known = FindRow(aTable, aReport.mName);
   auto& row = known ? *known : AddRow(aTable, aReport, aNow);
   for (const auto prefix : aReport.mCachedPrefixes) {
-    Remember(aTable.mPrefixes, prefix, aReport.mName, aReport.mMadeAt);
+    RecordHolder(aTable.mPrefixes, prefix, aReport.mName, aReport.mMadeAt);
   }
   if (known && aReport.mMadeAt < row.mReport.mMadeAt) {
     return;
   }
-  Sum(aTable, row, -1);
+  AddToSums(aTable, row, -1);
   row.mReport = aReport;
   row.mReport.mCachedPrefixes.clear();
-  Sum(aTable, row, 1);
-  TakeReportTime(row.mOwn, aReport.mMadeAt);
+  AddToSums(aTable, row, 1);
+  ApplyReportTime(row.mOwn, aReport.mMadeAt);
   UpdateLoad(aTable, row);
 }
 
 void
-TakeCount(pool_table& aTable,
-          const std::string& aServer,
-          int aRequests,
-          time_point aMadeAt)
+ApplyRequestCount(pool_table& aTable,
+                  const std::string& aServer,
+                  int aRequests,
+                  time_point aMadeAt)
 {
   auto* row = FindRow(aTable, aServer);
   if (!row || aMadeAt <= row->mReport.mMadeAt) {
@@ -231,7 +238,7 @@
   }
   row->mReport.mRequests = aRequests;
   row->mReport.mMadeAt = aMadeAt;
-  TakeReportTime(row->mOwn, aMadeAt);
+  ApplyReportTime(row->mOwn, aMadeAt);
   UpdateLoad(aTable, *row);
 }
 
@@ -255,16 +262,16 @@
   const server_row* chosen = nullptr;
   switch (aTable.mLimits.mPolicy) {
     case routing_policy::Random:
-      chosen = DrawRow(aTable, aRequest, aRandom, aNow);
+      chosen = SelectRandom(aTable, aRequest, aRandom, aNow);
       break;
     case routing_policy::RoundRobin:
-      chosen = NextRow(aTable, aRequest, aNow);
+      chosen = SelectNextInTurn(aTable, aRequest, aNow);
       break;
     case routing_policy::TwoChoices:
-      chosen =
-        aRequest.mPrefix == 0 ? nullptr : ChooseHome(aTable, aRequest, aNow);
+      chosen = aRequest.mPrefix == 0 ? nullptr
+                                     : SelectByPrefix(aTable, aRequest, aNow);
       if (!chosen) {
-        chosen = ChooseOfTwo(aTable, aRequest, aRandom, aNow);
+        chosen = SelectOfTwo(aTable, aRequest, aRandom, aNow);
       }
       break;
   }
@@ -281,7 +288,7 @@
     NoteSent(row->mOwn, aNow);
     NoteSent(row->mBreaker, aNow);
     UpdateLoad(aTable, *row);
-    Remember(aTable.mPrefixes, aPrefix, aServer, aNow);
+    RecordHolder(aTable.mPrefixes, aPrefix, aServer, aNow);
   }
 }
 
--- a/Duties/Routing/PoolTable.h
+++ b/Duties/Routing/PoolTable.h
@@ -15,27 +15,28 @@
 
 enum class routing_policy
 {
-  /** The less loaded of the next server in turn and a random one, after prefix
-   * affinity. */
+  /** Prefix affinity; otherwise the less loaded of two servers, the next one
+   * in turn and a random one. */
   TwoChoices,
-  /** Baselines of the experiments. */
+  /** Random and RoundRobin are baselines for experiments. */
   Random,
   RoundRobin
 };
 
-/** What a server's report says that matters here. */
+/** The part of a server's load report that routing uses. */
 struct server_report
 {
   std::string mName;
   std::string mAvailabilityZone;
   int mSlots = 1;
-  /** Requests queued and running when the report was made. */
+  /** Requests queued and running when the report was generated. */
   int mRequests = 0;
-  /** Tokens a second that the server drains with all slots busy, as its agent
-   * measured; 0 while unknown. */
+  /** Tokens per second with all slots busy, as measured by the server's agent;
+   * 0 while unknown. */
   double mDrainRate = 0;
   bool mTakesWork = false;
-  /** When the report was made, or earlier, by the own clock. */
+  /** When the report was generated, or an earlier time, by the clock of this
+   * process. */
   time_point mMadeAt;
   std::vector<std::int64_t> mCachedPrefixes;
 };
@@ -45,7 +46,8 @@
   server_report mReport;
   own_requests mOwn;
   breaker mBreaker;
-  /** Expected work for the server's speed; kept by each change. */
+  /** Estimated requests per slot, divided by the server's relative speed and
+   * success ratio; updated on each change. */
   double mLoad = 0;
 };
 
@@ -53,28 +55,29 @@
 {
   routing_policy mPolicy = routing_policy::TwoChoices;
   breaker_limits mBreaker;
-  /** A server whose report is older gets no new requests. */
+  /** A server whose last report is older than this gets no new requests. */
   milliseconds mHeartbeat{ 2500 };
-  /** A server not heard of for this long is forgotten. */
-  milliseconds mForgetAfter{ 600000 };
-  /** Affinity holds up to this load, relative to the mean of all servers. */
-  double mAffinityBound = 1.25;
-  /** Affinity holds in any case while less of the slots is taken: the request
-   * needn't wait there. */
-  double mFreeShare = 0.5;
+  /** A server without a report for this long is removed from the table. */
+  milliseconds mExpireAfter{ 600000 };
+  /** Prefix affinity applies up to this multiple of the mean load. */
+  double mAffinityLoadFactor = 1.25;
+  /** Prefix affinity always applies up to this load, because the request finds
+   * a free slot there. */
+  double mFreeLoad = 0.5;
 };
 
-/** All servers of a pool, prepared for decisions: a report changes one row,
- * and a decision looks at two. Copyable plain state. */
+/** Routing state of all servers of a pool. Sums are updated incrementally, so
+ * that a report changes one row and a selection usually reads two. Copyable
+ * plain data. */
 struct pool_table
 {
   table_limits mLimits;
   std::vector<server_row> mRows;
   std::unordered_map<std::string, std::size_t> mIndex;
-  prefix_memory mPrefixes;
+  prefix_index mPrefixes;
   double mLoadSum = 0;
   double mRatePerSlotSum = 0;
-  std::size_t mMeasured = 0;
+  std::size_t mMeasuredServers = 0;
   std::size_t mOpenBreakers = 0;
   std::size_t mNextRow = 0;
 };
@@ -83,50 +86,53 @@
 {
   std::int64_t mPrefix = 0;
   std::string mOwnZone;
-  /** Servers tried before. */
+  /** Servers that earlier attempts of this request were sent to. */
   std::vector<std::string> mExcluded;
 };
 
-/** Takes a server's report in; one that is older than the last is ignored
- * but for its cache events. */
+/** Applies a server's report. Of a report older than the last one, only the
+ * cache events are used. */
 void
 TakeReport(pool_table& aTable, const server_report& aReport, time_point aNow);
 
-/** Takes the count of requests that came with an answer: fresher than the next
- * report, and free.
- * @param aMadeAt when the answer was made, or earlier */
+/** Applies the request count that a server sent with a response. It arrives
+ * before the next report and needs no extra message.
+ * @param aMadeAt when the response was generated, or an earlier time */
 void
-TakeCount(pool_table& aTable,
-          const std::string& aServer,
-          int aRequests,
-          time_point aMadeAt);
+ApplyRequestCount(pool_table& aTable,
+                  const std::string& aServer,
+                  int aRequests,
+                  time_point aMadeAt);
 
-/** A server that left or fell silent gets no work until its next report. */
+/** Sends no requests to a server until its next report, because it has left
+ * or has stopped responding. */
 void
 TakeOut(pool_table& aTable, const std::string& aServer);
 
-/** Chooses a server; none when no server can take the request.
+/** Selects a server; none when no server can take the request.
  *
- * A server that holds the prompt's prefix is taken while its load is within a
- * bound of the mean; then the less loaded of the next one in turn and a random
- * one, the own availability zone on a tie. Both may be the same, so that one
- * shunned for a slow past is tried now and then. When more than half of the
- * breakers are open, the cause is hardly the servers, and breakers are
- * ignored. */
+ * With policy TwoChoices, a server that caches the prompt's prefix is selected
+ * while its load is within a bound relative to the mean. Otherwise the less
+ * loaded of two servers is selected, the next one in turn and a random one; on
+ * a tie, one in the local availability zone is preferred. Both may be the same
+ * server, so that a server measured as slow still gets a request occasionally
+ * and is measured again. When more than half of all breakers are open, the
+ * servers are unlikely to be the cause, and breakers are ignored. */
 std::optional<std::string>
 Choose(pool_table& aTable,
        const route_request& aRequest,
        std::mt19937_64& aRandom,
        time_point aNow);
 
-/** Counts a request that is sent to a server, and learns its prefix. */
+/** Records a request sent to a server, and the server as a holder of the
+ * prompt's prefix. */
 void
 NoteSent(pool_table& aTable,
          const std::string& aServer,
          std::int64_t aPrefix,
          time_point aNow);
 
-/** @param aSentAt what NoteSent was told for this request */
+/** @param aSentAt time passed to NoteSent for this request */
 void
 NoteEnded(pool_table& aTable,
           const std::string& aServer,
--- a/Duties/Routing/PrefixMemory.cpp
+++ b/Duties/Routing/PrefixMemory.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 constexpr std::size_t kPrefixLength = 64;
-/** Hexadecimal digits that fit a positive 64-bit number. */
+/** Hexadecimal digits that fit into a positive signed 64-bit integer. */
 constexpr std::size_t kDigits = 15;
 
-std::vector<prefix_home>&
-Touch(prefix_memory& aMemory, std::int64_t aDigest)
+std::vector<prefix_holder>&
+MoveToNewer(prefix_index& aMemory, std::int64_t aDigest)
 {
   if (const auto found = aMemory.mNewer.find(aDigest);
       found != aMemory.mNewer.end()) {
     return found->second;
   }
-  std::vector<prefix_home> homes;
+  std::vector<prefix_holder> holders;
   if (const auto found = aMemory.mOlder.find(aDigest);
       found != aMemory.mOlder.end()) {
-    homes = std::move(found->second);
+    holders = std::move(found->second);
     aMemory.mOlder.erase(found);
   }
   if (aMemory.mNewer.size() >= aMemory.mLimits.mGenerationSize) {
     aMemory.mOlder = std::move(aMemory.mNewer);
     aMemory.mNewer.clear();
   }
-  return aMemory.mNewer[aDigest] = std::move(homes);
+  return aMemory.mNewer[aDigest] = std::move(holders);
 }
 
 } // namespace
@@ -45,45 +45,45 @@
 }
 
 void
-Remember(prefix_memory& aMemory,
-         std::int64_t aDigest,
-         const std::string& aServer,
-         time_point aNow)
+RecordHolder(prefix_index& aMemory,
+             std::int64_t aDigest,
+             const std::string& aServer,
+             time_point aNow)
 {
   if (aDigest == 0) {
     return;
   }
-  auto& homes = Touch(aMemory, aDigest);
-  const auto known =
-    std::find_if(homes.begin(), homes.end(), [&](const prefix_home& aHome) {
-      return aHome.mServer == aServer;
+  auto& holders = MoveToNewer(aMemory, aDigest);
+  const auto known = std::find_if(
+    holders.begin(), holders.end(), [&](const prefix_holder& aHolder) {
+      return aHolder.mServer == aServer;
     });
-  if (known != homes.end()) {
-    homes.erase(known);
+  if (known != holders.end()) {
+    holders.erase(known);
   }
-  homes.insert(homes.begin(), { aServer, aNow });
-  if (homes.size() > aMemory.mLimits.mHomes) {
-    homes.pop_back();
+  holders.insert(holders.begin(), { aServer, aNow });
+  if (holders.size() > aMemory.mLimits.mMaxHolders) {
+    holders.pop_back();
   }
 }
 
-std::vector<prefix_home>
-FindHomes(const prefix_memory& aMemory, std::int64_t aDigest, time_point aNow)
+std::vector<prefix_holder>
+FindHolders(const prefix_index& aMemory, std::int64_t aDigest, time_point aNow)
 {
-  std::vector<prefix_home> homes;
+  std::vector<prefix_holder> holders;
   for (const auto* generation : { &aMemory.mNewer, &aMemory.mOlder }) {
     const auto found = generation->find(aDigest);
     if (found == generation->end()) {
       continue;
     }
-    for (const auto& home : found->second) {
-      if (aNow - home.mSeenAt < aMemory.mLimits.mForgetAfter) {
-        homes.push_back(home);
+    for (const auto& holder : found->second) {
+      if (aNow - holder.mConfirmedAt < aMemory.mLimits.mExpireAfter) {
+        holders.push_back(holder);
       }
     }
     break;
   }
-  return homes;
+  return holders;
 }
 
 } // namespace lavender::routing
--- a/Duties/Routing/PrefixMemory.h
+++ b/Duties/Routing/PrefixMemory.h
@@ -10,36 +10,39 @@
 
 namespace lavender::routing {
 
-/** Digest of the part of a prompt that engines cache by; 0 for none. Engines
- * tell the same figure in their cache events. */
+/** Digest of a prompt's prefix, by which engines key their prompt cache; 0 for
+ * an empty prompt. Engines send the same digest in their cache events. */
 std::int64_t
 PrefixDigest(std::string_view aPrompt);
 
-struct prefix_home
+struct prefix_holder
 {
   std::string mServer;
-  time_point mSeenAt;
+  time_point mConfirmedAt;
 };
 
 struct prefix_limits
 {
-  /** Prefixes remembered, in each of two generations. */
+  /** Maximum number of prefixes in each of the two generations. */
   std::size_t mGenerationSize = 4096;
-  std::size_t mHomes = 2;
-  /** Engines evict without a word, and events get lost: a home that neither
-   * a request nor an event has confirmed for this long is forgotten. */
-  milliseconds mForgetAfter{ 30000 };
+  std::size_t mMaxHolders = 2;
+  /** A holder expires when neither a request nor a cache event has confirmed it
+   * for this long. Engines evict prefixes without an event, and events may be
+   * lost. */
+  milliseconds mExpireAfter{ 30000 };
 };
 
-/** Which servers hold which prompt prefixes, as far as one entry knows: from
- * what it sent where, and from cache events in load reports.
+/** Which servers probably cache which prompt prefixes, as known to one entry
+ * from the requests that it sent and from cache events in load reports.
  *
- * Events come late and with gaps, so that a missing event proves nothing. Two
- * generations bound the memory: the older one is dropped whole when the newer
- * is full, and what was used meanwhile has moved to the newer. */
-struct prefix_memory
+ * Cache events are delayed and may be lost, so a missing event proves nothing.
+ * Two generations bound the memory: when the newer one is full, the older one
+ * is dropped, and every prefix used in the meantime has been moved to the newer
+ * one. */
+struct prefix_index
 {
-  using generation = std::unordered_map<std::int64_t, std::vector<prefix_home>>;
+  using generation =
+    std::unordered_map<std::int64_t, std::vector<prefix_holder>>;
 
   prefix_limits mLimits;
   generation mNewer;
@@ -47,13 +50,13 @@
 };
 
 void
-Remember(prefix_memory& aMemory,
-         std::int64_t aDigest,
-         const std::string& aServer,
-         time_point aNow);
-
-/** Servers that probably hold the prefix, newest evidence first. */
-std::vector<prefix_home>
-FindHomes(const prefix_memory& aMemory, std::int64_t aDigest, time_point aNow);
+RecordHolder(prefix_index& aMemory,
+             std::int64_t aDigest,
+             const std::string& aServer,
+             time_point aNow);
+
+/** Servers that probably cache the prefix, most recently confirmed first. */
+std::vector<prefix_holder>
+FindHolders(const prefix_index& aMemory, std::int64_t aDigest, time_point aNow);
 
 } // namespace lavender::routing
--- a/Duties/Routing/Subset.cpp
+++ b/Duties/Routing/Subset.cpp
@@ -6,10 +6,11 @@
 namespace lavender::routing {
 namespace {
 
-/** A server known to fewer entries would be lost to callers with them. */
-constexpr std::size_t kLeastEntries = 3;
+/** A server assigned to fewer entries would be unreachable for callers when
+ * those entries fail. */
+constexpr std::size_t kMinEntries = 3;
 
-/** FNV-1a; the same in every process, whatever its library. */
+/** FNV-1a, because std::hash may differ between processes. */
 std::uint64_t
 HashName(const std::string& aName)
 {
@@ -20,7 +21,7 @@
   return hash;
 }
 
-/** Mixes two hashes; the finalizer of SplitMix64. */
+/** Combines two hashes with the finalizer of SplitMix64. */
 std::uint64_t
 Mix(std::uint64_t aServer, std::uint64_t aEntry)
 {
@@ -41,7 +42,7 @@
     return 0;
   }
   const std::size_t enough = (aTarget * aEntries + aServers - 1) / aServers;
-  return std::min(std::max(enough, kLeastEntries), aEntries);
+  return std::min(std::max(enough, kMinEntries), aEntries);
 }
 
 std::vector<std::string>
--- a/Duties/Routing/Subset.h
+++ b/Duties/Routing/Subset.h
@@ -5,17 +5,18 @@
 
 namespace lavender::routing {
 
-/** Servers that one entry knows, of all servers of a pool, by rendezvous
- * hashing: every server is known to the same number of entries, those that
- * rank highest for it. Each entry works it out alone from the two lists.
+/** Computes the subset of a pool's servers that one entry uses, by rendezvous
+ * hashing. Each server is assigned to the same number of entries, those that
+ * rank highest for it. Each entry computes its subset from the two lists alone,
+ * without coordination.
  *
- * Ranking by server and not by entry is what makes every server known to
- * enough entries; ranking by entry leaves some known to none. When an entry
- * goes, only the servers that it knew move, each to one further entry; when a
- * server goes, nothing else moves.
+ * Entries are ranked for each server rather than servers for each entry,
+ * because the latter leaves some servers without any entry. When an entry is
+ * removed, only its servers are reassigned, each to one other entry. When a
+ * server is removed, no other assignment changes.
  * @param aServers names of the pool's servers
- * @param aEntries names of all entries, the own one among them
- * @param aTarget servers that an entry should know on average
+ * @param aEntries names of all entries, aOwnEntry included
+ * @param aTarget mean number of servers in a subset
  * @return names in the order of aServers */
 std::vector<std::string>
 FindSubset(const std::vector<std::string>& aServers,
@@ -23,7 +24,7 @@
            const std::string& aOwnEntry,
            std::size_t aTarget);
 
-/** How many entries know each server for that target. */
+/** Number of entries that each server is assigned to. */
 std::size_t
 EntriesPerServer(std::size_t aServers,
                  std::size_t aEntries,
--- a/Duties/Routing/TestBreaker.cpp
+++ b/Duties/Routing/TestBreaker.cpp
@@ -10,7 +10,7 @@
 BOOST_AUTO_TEST_SUITE(TestBreaker)
 
 // Histories of attempts on a server that fails, recovers and fails again.
-BOOST_AUTO_TEST_CASE(ProbesAloneAndComesBack)
+BOOST_AUTO_TEST_CASE(SendsOneProbeAndClosesAfterSuccess)
 {
   BOOST_TEST(rc::check("breaker against a failing server", [] {
     const breaker_limits limits;
@@ -39,13 +39,13 @@
                   one.mState != breaker_state::Open ||
                   before == breaker_state::Open);
       }
-      RC_ASSERT(FailureShare(one) >= 0 && FailureShare(one) <= 1);
+      RC_ASSERT(FailureRatio(one) >= 0 && FailureRatio(one) <= 1);
       RC_ASSERT(one.mPause <= limits.mLongestPause);
-      // Whatever happened, the server is tried again within the pause.
+      // The server is always tried again after the longest pause.
       RC_ASSERT(one.mState != breaker_state::Open ||
                 AllowsRequest(one, now + limits.mLongestPause));
     }
-    // All attempts end well from here on: it closes after one probe.
+    // From here on all attempts succeed, so the breaker closes after one probe.
     while (inFlight-- > 0) {
       NoteEnded(one, evidence::Neutral, limits, now);
     }
@@ -58,9 +58,9 @@
   }));
 }
 
-// One customer's bad luck must not shut a healthy server out: two failures
-// say nothing, a third in a row does.
-BOOST_AUTO_TEST_CASE(OpensByEvidenceOnly)
+// A few failed requests must not exclude a healthy server: the breaker stays
+// closed after two failures in a row and opens after the third.
+BOOST_AUTO_TEST_CASE(OpensAfterThreeFailures)
 {
   const breaker_limits limits;
   breaker one;
--- a/Duties/Routing/TestOwnRequests.cpp
+++ b/Duties/Routing/TestOwnRequests.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** The server itself: what it held at each time. */
+/** Records the true number of requests on the server over time. */
 struct server_oracle
 {
   std::vector<std::pair<time_point, int>> mHistory{ { time_point(), 0 } };
@@ -32,10 +32,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestOwnRequests)
 
-// An entry adds all its requests in flight to a report that shows most of
-// them already. It takes the servers that it uses for the busiest and sends
-// to idle ones all at once; counting none sends a burst to one server.
-BOOST_AUTO_TEST_CASE(ALateReportAndOwnRequestsGiveTheTrueCount)
+// If an entry added all its requests in flight to a report that includes most
+// of them, it would avoid the servers that it uses and overload idle ones. If
+// it added none, it would send a whole burst to one server.
+BOOST_AUTO_TEST_CASE(CorrectedReportEqualsTheTrueCount)
 {
   BOOST_TEST(rc::check("report plus correction is what the server holds", [] {
     own_requests own;
@@ -61,7 +61,7 @@
         const auto madeAt = std::max(time_point(), now - lag);
         if (madeAt > own.mReportedAt) {
           reported = server.At(madeAt);
-          TakeReportTime(own, madeAt);
+          ApplyReportTime(own, madeAt);
         }
       }
       RC_ASSERT(reported + own.mCorrection == server.Now());
--- a/Duties/Routing/TestPoolTable.cpp
+++ b/Duties/Routing/TestPoolTable.cpp
@@ -43,7 +43,7 @@
   return std::abs(aLeft - aRight) < 1e-6;
 }
 
-/** What the table keeps by each change, worked out anew. */
+/** Recomputes the sums that the table updates incrementally, and compares. */
 void
 CheckSums(const pool_table& aTable)
 {
@@ -61,7 +61,7 @@
   }
   RC_ASSERT(IsNear(aTable.mLoadSum, loads));
   RC_ASSERT(IsNear(aTable.mRatePerSlotSum, rates));
-  RC_ASSERT(aTable.mMeasured == measured);
+  RC_ASSERT(aTable.mMeasuredServers == measured);
   RC_ASSERT(aTable.mOpenBreakers == open);
   RC_ASSERT(aTable.mIndex.size() == aTable.mRows.size());
 }
@@ -72,7 +72,7 @@
   time_point mAt;
 };
 
-/** A history of reports, silence, requests and their ends on one table. */
+/** Generates reports, requests and their ends on one table. */
 struct history
 {
   pool_table mTable;
@@ -132,8 +132,9 @@
 
 using chooser = std::function<std::string(pool_table&, time_point)>;
 
-/** Requests that reach a server which answers each with an error at once, of
- * 2000 that nine servers get. Nothing ever waits at that server. */
+/** Sends 2000 requests to nine servers, one of which fails every request
+ * immediately and therefore never has a queue.
+ * @return number of requests sent to that server */
 int
 CountFailed(const chooser& aChoose)
 {
@@ -168,7 +169,7 @@
   return failed;
 }
 
-/** Two random choices by reported requests alone. */
+/** Power of two random choices, by reported request counts alone. */
 std::string
 ChooseByReport(const pool_table& aTable, std::mt19937_64& aRandom)
 {
@@ -182,7 +183,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestPoolTable)
 
-BOOST_AUTO_TEST_CASE(ChoosesAUsableServerWheneverThereIsOne)
+BOOST_AUTO_TEST_CASE(SelectsAUsableServerWheneverThereIsOne)
 {
   BOOST_TEST(rc::check("table against a full search", [] {
     history run;
@@ -197,41 +198,43 @@
       } else if (kind < 8) {
         run.End();
       } else if (kind < 9) {
-        TakeCount(run.mTable, "s2", *rc::gen::inRange(0, 40), run.mNow - 1ms);
+        ApplyRequestCount(
+          run.mTable, "s2", *rc::gen::inRange(0, 40), run.mNow - 1ms);
       } else {
         TakeOut(run.mTable, "s1");
       }
       CheckSums(run.mTable);
     }
-    // Servers that nobody hears of are forgotten with their requests over.
+    // Servers without reports are removed once their requests have ended.
     while (!run.mInFlight.empty()) {
       run.End();
     }
-    run.mNow += run.mTable.mLimits.mForgetAfter + 10s;
+    run.mNow += run.mTable.mLimits.mExpireAfter + 10s;
     TakeReport(run.mTable, MakeReport("new", 0, run.mNow), run.mNow);
     RC_ASSERT(run.mTable.mRows.size() == 1u);
     CheckSums(run.mTable);
   }));
 }
 
-// Callers get errors from most of their requests though eight of nine servers
-// are well: the one that fails at once is always the idlest.
-BOOST_AUTO_TEST_CASE(AServerThatFailsFastAttractsNoWork)
+// Callers get errors for most requests although eight of nine servers are
+// healthy, because the server that fails immediately is always the least
+// loaded one.
+BOOST_AUTO_TEST_CASE(AServerThatFailsFastGetsFewRequests)
 {
   std::mt19937_64 random(7);
   const int without = CountFailed(
     [&](auto& aTable, auto) { return ChooseByReport(aTable, random); });
   const int with = CountFailed(
     [&](auto& aTable, auto aNow) { return *Choose(aTable, {}, random, aNow); });
-  BOOST_TEST_MESSAGE("failed " << without << " by reported load, " << with
-                               << " with evidence");
+  BOOST_TEST_MESSAGE("requests to the failing server: "
+                     << without << " without breaker, " << with << " with it");
   BOOST_TEST(without > 2000 / 9);
   BOOST_TEST(with < 20);
 }
 
-// A long document is asked about again and again. Every request goes to the
-// server that has read it, which gets a line while the others idle.
-BOOST_AUTO_TEST_CASE(AHotPrefixSpreadsWhenItsServerIsBusy)
+// Many requests share a long prompt prefix. Without a load bound, all of them
+// would queue on the server that caches the prefix while the others are idle.
+BOOST_AUTO_TEST_CASE(APopularPrefixSpreadsWhenItsServerIsBusy)
 {
   BOOST_TEST(rc::check("affinity keeps within its bound", [] {
     const int servers = *rc::gen::inRange(2, 12);
@@ -241,19 +244,19 @@
     for (int i = 0; i < requests; ++i) {
       route_request request;
       request.mPrefix = 42;
-      const auto homes = FindHomes(table.mPrefixes, 42, kStart);
+      const auto holders = FindHolders(table.mPrefixes, 42, kStart);
       const auto chosen = Choose(table, request, random, kStart);
       const auto& row = table.mRows[table.mIndex.at(*chosen)];
-      const bool isHome =
-        std::any_of(homes.begin(), homes.end(), [&](const auto& aHome) {
-          return aHome.mServer == *chosen;
+      const bool isHolder =
+        std::any_of(holders.begin(), holders.end(), [&](const auto& aHolder) {
+          return aHolder.mServer == *chosen;
         });
       const double mean = table.mLoadSum / servers;
-      RC_ASSERT(!isHome || row.mLoad <= std::max(0.5, 1.25 * mean) ||
+      RC_ASSERT(!isHolder || row.mLoad <= std::max(0.5, 1.25 * mean) ||
                 row.mLoad <= mean + 1);
       NoteSent(table, *chosen, 42, kStart + std::chrono::nanoseconds(i + 1));
     }
-    // Nobody holds more than the bound and one request over it.
+    // No server's load exceeds the bound by more than one request.
     for (const auto& row : table.mRows) {
       RC_ASSERT(row.mLoad <= std::max(0.5, 1.25 * table.mLoadSum / servers) +
                                2.0 / 16 + 0.25);
@@ -261,9 +264,9 @@
   }));
 }
 
-// A server five times slower holds as many requests as the others when only
-// they are counted, and each of them takes five times longer.
-BOOST_AUTO_TEST_CASE(ASlowServerGetsLess)
+// If only requests were counted, a server five times slower would get as many
+// requests as the others, and each would take five times as long.
+BOOST_AUTO_TEST_CASE(ASlowServerGetsFewerRequests)
 {
   auto table = MakeTable(2, kStart);
   auto fast = MakeReport("s0", 0, kStart + 1ms);
@@ -282,7 +285,7 @@
     ++sent[*chosen];
   }
   BOOST_TEST(sent["s0"] >= 3 * sent["s1"]);
-  // It is still tried, so that its speed is measured again.
+  // The slow server still gets requests, so that its speed is measured again.
   BOOST_TEST(sent["s1"] > 0);
 }
 
--- a/Duties/Routing/TestSubset.cpp
+++ b/Duties/Routing/TestSubset.cpp
@@ -21,7 +21,7 @@
   return made;
 }
 
-/** Subsets of all entries. */
+/** Subset of each entry, by entry name. */
 std::map<std::string, names>
 FindAll(const names& aServers, const names& aEntries, std::size_t aTarget)
 {
@@ -48,7 +48,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestSubset)
 
-BOOST_AUTO_TEST_CASE(EveryServerIsKnownAndReplacementMovesLittle)
+BOOST_AUTO_TEST_CASE(EveryServerIsAssignedAndReplacementChangesFew)
 {
   BOOST_TEST(rc::check("subsets of small fleets", [] {
     auto servers = MakeNames("server-", *rc::gen::inRange<std::size_t>(1, 24));
@@ -58,11 +58,11 @@
       EntriesPerServer(servers.size(), entries.size(), target);
     const auto before = Invert(FindAll(servers, entries, target));
     RC_ASSERT(before.size() == servers.size());
-    for (const auto& [server, knowers] : before) {
-      RC_ASSERT(knowers.size() == copies);
+    for (const auto& [server, entriesThatKnow] : before) {
+      RC_ASSERT(entriesThatKnow.size() == copies);
     }
-    // An entry is replaced: a server that it didn't know keeps its entries
-    // or gives one place to the new one, and never changes two.
+    // When an entry is replaced, at most one of the entries of each server
+    // changes.
     const auto gone = *rc::gen::inRange<std::size_t>(0, entries.size());
     const auto goneName = entries[gone];
     entries[gone] = "entry-new";
@@ -76,7 +76,7 @@
                             std::back_inserter(kept));
       RC_ASSERT(kept.size() + 1 >= copies);
     }
-    // A server is replaced: all others keep exactly their entries.
+    // When a server is replaced, all other servers keep their entries.
     auto changed = servers;
     changed[*rc::gen::inRange<std::size_t>(0, servers.size())] = "server-new";
     const auto renewed = Invert(FindAll(changed, entries, target));
@@ -88,8 +88,8 @@
   }));
 }
 
-// Balance at the size of the two-year plan: an entry that knows few servers
-// can't spread its load, one that knows many polls more than its share.
+// Subset sizes at 1200 servers and 360 entries: an entry with too few servers
+// can't spread its load, and one with too many polls more than its share.
 BOOST_AUTO_TEST_CASE(SubsetsAreBalancedAtSize)
 {
   const auto servers = MakeNames("server-", 1200);
