--- a/Duties/Forwarding/AttemptOutcome.cpp
+++ b/Duties/Forwarding/AttemptOutcome.cpp
@@ -5,15 +5,16 @@
 namespace lavender::forwarding {
 
 namespace {
-/** An attempt is given this many target latencies before the next one: most
- * slow servers still answer within it, and a second attempt still fits into
- * the usual deadline of five. */
-constexpr int kTargetsPerAttempt = 2;
-/** But never less, as connections and queues take their time. */
-constexpr milliseconds kLeastPatience{ 150 };
-/** Nor more than this share of the time left, so that a second attempt has as
- * much. */
-constexpr int kShareOfTimeLeft = 2;
+/** First-byte timeout in units of the route's target latency. Most slow servers
+ * respond within it, and a second attempt still fits into the usual deadline
+ * of five target latencies. */
+constexpr int kTargetLatenciesPerAttempt = 2;
+/** Lower bound of the first-byte timeout, because opening a connection and
+ * queueing take some time however low the target latency is. */
+constexpr milliseconds kMinFirstByteTimeout{ 150 };
+/** The first-byte timeout is at most the time left divided by this, so that a
+ * second attempt has as much time as the first. */
+constexpr int kTimeLeftDivisor = 2;
 } // namespace
 
 execution
@@ -39,7 +40,7 @@
   const bool mayRepeat = execution == execution::NotRun ||
                          aBudget.mRepetition == site::repetition::Idempotent;
   if (mayRepeat && aBudget.mAttemptsLeft > 0 &&
-      aBudget.mTimeLeft >= kShortestAttempt) {
+      aBudget.mTimeLeft >= kMinAttemptTime) {
     return next_step::TryElsewhere;
   }
   if (isServerError) {
@@ -51,15 +52,15 @@
 }
 
 milliseconds
-PatienceFor(const site::route& aRoute, const attempt_budget& aBudget)
+FirstByteTimeout(const site::route& aRoute, const attempt_budget& aBudget)
 {
   if (aBudget.mRepetition != site::repetition::Idempotent ||
       aBudget.mAttemptsLeft <= 0) {
     return aBudget.mTimeLeft;
   }
-  const auto wanted =
-    std::max(kLeastPatience, aRoute.mTargetLatency * kTargetsPerAttempt);
-  return std::min(wanted, aBudget.mTimeLeft / kShareOfTimeLeft);
+  const auto timeout = std::max(
+    kMinFirstByteTimeout, aRoute.mTargetLatency * kTargetLatenciesPerAttempt);
+  return std::min(timeout, aBudget.mTimeLeft / kTimeLeftDivisor);
 }
 
 } // namespace lavender::forwarding
--- a/Duties/Forwarding/AttemptOutcome.h
+++ b/Duties/Forwarding/AttemptOutcome.h
@@ -3,29 +3,29 @@
 #include "Duties/Site/SiteConfiguration.h"
 #include "Libraries/Edge/Caller.h"
 
-/** What follows from the end of one attempt: pure decisions. */
+/** Decides what to do after an attempt has ended. Pure functions, no I/O. */
 namespace lavender::forwarding {
 
-/** What is known about whether a server ran the request. */
+/** Whether a server ran the request, as far as known. */
 enum class execution
 {
-  /** The server says so, or nothing was sent. */
+  /** The server says that it didn't run the request, or nothing was sent. */
   NotRun,
-  /** The server answered. */
+  /** The server sent a complete response. */
   Ran,
-  /** Sent, and no answer that says either. */
+  /** The request was sent, and no valid response arrived. */
   Unknown
 };
 
 enum class next_step
 {
-  /** Give the server's answer to the caller. */
+  /** Forward the server's response to the caller. */
   Deliver,
-  /** Send it to another server. */
+  /** Send the request to another server. */
   TryElsewhere,
-  /** Tell the caller that it has not run, and when to come back. */
+  /** Tell the caller that the request did not run, and when to retry. */
   RefuseNotRun,
-  /** Tell the caller that it may have run. */
+  /** Tell the caller that the request may have run. */
   FailUnknown
 };
 
@@ -34,23 +34,23 @@
   edge::call_end mEnd = edge::call_end::Complete;
   unsigned mStatus = 0;
   bool mIsNotExecuted = false;
-  /** The answer bears another attempt's id. */
+  /** The response carries the id of another attempt. */
   bool mIsForeign = false;
 };
 
-/** What is left to a request after an attempt. */
+/** What a request has left after an attempt. */
 struct attempt_budget
 {
   site::repetition mRepetition = site::repetition::AtMostOnce;
   int mAttemptsLeft = 0;
   milliseconds mTimeLeft{ 0 };
-  /** Some attempt before this one may have run. */
+  /** An earlier attempt may have run. */
   bool mMayHaveRun = false;
 };
 
-/** Less time than this isn't worth an attempt: a connection and the shortest
- * answer take about as long. */
-constexpr milliseconds kShortestAttempt{ 15 };
+/** No attempt is started with less time than this left: opening a connection
+ * and receiving the shortest response take about as long. */
+constexpr milliseconds kMinAttemptTime{ 15 };
 
 execution
 ExecutionOf(const attempt_end& aEnd);
@@ -58,10 +58,11 @@
 next_step
 DecideNext(const attempt_end& aEnd, const attempt_budget& aBudget);
 
-/** How long to wait for the first byte of an attempt before trying elsewhere;
- * all the time that is left when there is no elsewhere. A server that has gone
- * dark would otherwise hold the request until the caller's deadline. */
+/** How long an attempt may take until the first byte of its response before
+ * the request is sent to another server; all of the time left when no further
+ * attempt may be made. Without this timeout an unresponsive server would hold
+ * the request until the caller's deadline. */
 milliseconds
-PatienceFor(const site::route& aRoute, const attempt_budget& aBudget);
+FirstByteTimeout(const site::route& aRoute, const attempt_budget& aBudget);
 
 } // namespace lavender::forwarding
--- a/Duties/Forwarding/ForwardedRequest.cpp
+++ b/Duties/Forwarding/ForwardedRequest.cpp
@@ -8,31 +8,33 @@
 
 namespace {
 
-/** Time for a request whose caller and route name none. */
+/** Deadline of a request for which neither the caller nor the route sets one.
+ */
 constexpr milliseconds kDefaultDeadline = 30s;
-/** The answer needs a moment on its way back: the server's deadline and ours
- * end this much before the caller's. */
+/** The server's deadline and the entry's own end this much before the caller's,
+ * because the response takes some time to reach the caller. */
 constexpr milliseconds kReturnMargin = 10ms;
-/** A server on the same network accepts within a few ms; three tries of a lost
- * first packet would take seconds. */
+/** A server on the same network accepts a connection within a few ms; three
+ * retransmissions of a lost SYN would take seconds. */
 constexpr milliseconds kConnectTimeout = 150ms;
-/** When to come back while no server is known to be free. */
+/** Retry-After of a refused request. */
 constexpr milliseconds kRetryAfter = 200ms;
-/** A plain answer is held whole until here, so that another server can be
- * tried when it breaks; larger ones are passed on as they come. */
-constexpr std::size_t kHeldAnswerBytes = 256 << 10;
+/** A response that isn't a stream is buffered up to this size, so that the
+ * request can be sent to another server if the connection breaks; a larger one
+ * is forwarded as it arrives. */
+constexpr std::size_t kMaxBufferedBytes = 256 << 10;
 
-/** A server's header fields without those of its connection. */
+/** Copies the header fields except hop-by-hop ones. */
 edge::header_list
-PassedOn(const edge::header_list& aHeaders)
+CopyEndToEndHeaders(const edge::header_list& aHeaders)
 {
-  edge::header_list passed;
+  edge::header_list copy;
   for (const auto& [name, value] : aHeaders.mFields) {
     if (!edge::IsConnectionField(name)) {
-      passed.Add(name, value);
+      copy.Add(name, value);
     }
   }
-  return passed;
+  return copy;
 }
 
 } // namespace
@@ -50,11 +52,11 @@
   , mDeadlineTimer(aForwarder.mParts.mLoop)
   , mAttemptTimer(aForwarder.mParts.mLoop)
 {
-  auto patience = mCaller.mPatience.value_or(kDefaultDeadline);
+  auto timeout = mCaller.mPatience.value_or(kDefaultDeadline);
   if (mRoute->mTimeout) {
-    patience = std::min(patience, *mRoute->mTimeout);
+    timeout = std::min(timeout, *mRoute->mTimeout);
   }
-  mDeadline = mExchange->mReadAt + patience - kReturnMargin;
+  mDeadline = mExchange->mReadAt + timeout - kReturnMargin;
 }
 
 void
@@ -65,7 +67,7 @@
     if (!self->mIsEnded) {
       self->LogEnd("caller_left", 0, "caller closed its connection");
       self->EndAttempt(routing::evidence::Neutral);
-      self->Forget();
+      self->Release();
     }
   });
   mDeadlineTimer.expires_after(TimeLeft());
@@ -86,12 +88,12 @@
 }
 
 attempt_budget
-forwarded_request::Budget() const
+forwarded_request::CurrentBudget() const
 {
   attempt_budget budget;
   budget.mRepetition = mRoute->mRepetition;
   budget.mAttemptsLeft =
-    mRoute->mMaximumAttempts - static_cast<int>(mTried.size());
+    mRoute->mMaximumAttempts - static_cast<int>(mTriedServers.size());
   budget.mTimeLeft = TimeLeft();
   budget.mMayHaveRun = mMayHaveRun;
   return budget;
@@ -100,8 +102,8 @@
 void
 forwarded_request::TryNext()
 {
-  const auto pick = mForwarder.mParts.mRouter.Pick(*mRoute, mTried);
-  if (!pick) {
+  const auto selected = mForwarder.mParts.mRouter.Pick(*mRoute, mTriedServers);
+  if (!selected) {
     if (mMayHaveRun) {
       FailUnknown("no other server");
     } else {
@@ -109,24 +111,24 @@
     }
     return;
   }
-  Send(*pick);
+  Send(*selected);
 }
 
 void
-forwarded_request::Send(const server_pick& aPick)
+forwarded_request::Send(const server_pick& aSelected)
 {
-  mPick = aPick;
-  mTried.push_back(aPick.mServer.mId);
-  mAnswer.reset();
+  mSelected = aSelected;
+  mTriedServers.push_back(aSelected.mServer.mId);
+  mResponse.reset();
   mFacts = {};
   mIsForeign = false;
   mSentAt = boot_clock::now();
   mIsAttemptOpen = true;
   auto& parts = mForwarder.mParts;
-  parts.mRouter.NoteSent(aPick, mSentAt);
+  parts.mRouter.NoteSent(aSelected, mSentAt);
 
   site::attempt attempt;
-  attempt.mServerId = aPick.mServer.mId;
+  attempt.mServerId = aSelected.mServer.mId;
   attempt.mCustomer = mCustomer ? mCustomer->mName : std::string();
   attempt.mTimeLeft = TimeLeft();
   edge::call_options options;
@@ -135,100 +137,103 @@
   options.mMayReuse = mRoute->mRepetition == site::repetition::Idempotent;
   const auto self = shared_from_this();
   edge::call_events events;
-  events.mOnHead = [self](const auto& aHead) { self->TakeHead(aHead); };
-  events.mOnBody = [self](auto aPiece) { self->TakeBody(aPiece); };
-  events.mOnEnd = [self](auto aEnd) { self->TakeEnd(aEnd); };
+  events.mOnHead = [self](const auto& aHead) { self->HandleHead(aHead); };
+  events.mOnBody = [self](auto aPiece) { self->HandleBody(aPiece); };
+  events.mOnEnd = [self](auto aEnd) { self->HandleEnd(aEnd); };
   events::line("sent")
     .With("request", mCaller.mAttemptId)
-    .With("server", aPick.mServer.mId)
-    .With("requests_there", static_cast<std::int64_t>(aPick.mRequests))
-    .With("attempt", static_cast<std::int64_t>(mTried.size()))
+    .With("server", aSelected.mServer.mId)
+    .With("requests_there", static_cast<std::int64_t>(aSelected.mRequests))
+    .With("attempt", static_cast<std::int64_t>(mTriedServers.size()))
     .With("time_left_ms", attempt.mTimeLeft);
-  ArmAttempt();
+  ArmAttemptTimer();
   mCall =
-    parts.mClients.Start(aPick.mServer.mAddress,
+    parts.mClients.Start(aSelected.mServer.mAddress,
                          parts.mProtocol.mAddress(mExchange->mRequest, attempt),
                          options,
                          std::move(events));
 }
 
 void
-forwarded_request::ArmAttempt()
+forwarded_request::ArmAttemptTimer()
 {
-  const auto patience = PatienceFor(*mRoute, Budget());
-  if (patience >= TimeLeft()) {
+  const auto timeout = FirstByteTimeout(*mRoute, CurrentBudget());
+  if (timeout >= TimeLeft()) {
     mAttemptTimer.cancel();
     return;
   }
-  mAttemptTimer.expires_after(patience);
+  mAttemptTimer.expires_after(timeout);
   mAttemptTimer.async_wait(
-    [self = shared_from_this(), attempts = mTried.size()](const auto& aError) {
+    [self = shared_from_this(),
+     attempts = mTriedServers.size()](const auto& aError) {
       if (aError || self->mIsEnded || !self->mIsAttemptOpen ||
-          self->mTried.size() != attempts || self->mAnswer) {
+          self->mTriedServers.size() != attempts || self->mResponse) {
         return;
       }
       self->mCall.Cancel();
-      self->TakeEnd(edge::call_end::TimedOut);
+      self->HandleEnd(edge::call_end::TimedOut);
     });
 }
 
 void
-forwarded_request::TakeHead(const edge::response& aHead)
+forwarded_request::HandleHead(const edge::response& aHead)
 {
   mFacts = mForwarder.mParts.mProtocol.mReadAnswer(aHead);
-  mAnswer = aHead;
+  mResponse = aHead;
   mIsForeign = !mFacts.mAttemptId.empty() && !mCaller.mAttemptId.empty() &&
                mFacts.mAttemptId != mCaller.mAttemptId;
   if (mIsForeign) {
     mCall.Cancel();
-    TakeEnd(edge::call_end::Malformed);
+    HandleEnd(edge::call_end::Malformed);
     return;
   }
   if (mFacts.mLoad) {
-    mForwarder.mParts.mRouter.TakeLoad(mPick, *mFacts.mLoad, boot_clock::now());
+    mForwarder.mParts.mRouter.TakeLoad(
+      mSelected, *mFacts.mLoad, boot_clock::now());
   }
   if (!mFacts.mIsNotExecuted) {
-    CountStart();
+    ReportStarted();
   }
   if (mRoute->mIsStream && aHead.mStatus == 200 && !mIsStreaming) {
     mIsStreaming = true;
-    mExchange->Begin(aHead.mStatus, PassedOn(aHead.mHeaders));
+    mExchange->Begin(aHead.mStatus, CopyEndToEndHeaders(aHead.mHeaders));
   }
 }
 
 void
-forwarded_request::TakeBody(std::string_view aPiece)
+forwarded_request::HandleBody(std::string_view aPiece)
 {
   if (mIsStreaming) {
     mExchange->Write(aPiece);
     return;
   }
-  mAnswer->mBody.append(aPiece);
-  if (mAnswer->mBody.size() > kHeldAnswerBytes && !mFacts.mIsNotExecuted) {
+  mResponse->mBody.append(aPiece);
+  if (mResponse->mBody.size() > kMaxBufferedBytes && !mFacts.mIsNotExecuted) {
     mIsStreaming = true;
-    mExchange->Begin(mAnswer->mStatus, PassedOn(mAnswer->mHeaders));
-    mExchange->Write(mAnswer->mBody);
-    mAnswer->mBody.clear();
+    mExchange->Begin(mResponse->mStatus,
+                     CopyEndToEndHeaders(mResponse->mHeaders));
+    mExchange->Write(mResponse->mBody);
+    mResponse->mBody.clear();
   }
 }
 
 void
-forwarded_request::CountStart()
+forwarded_request::ReportStarted()
 {
-  if (!mIsCounted && mForwarder.mParts.mOnStarted && mCustomer) {
-    mIsCounted = true;
+  if (!mIsStartReported && mForwarder.mParts.mOnStarted && mCustomer) {
+    mIsStartReported = true;
     mForwarder.mParts.mOnStarted(mCustomer->mName);
   }
 }
 
 void
-forwarded_request::TakeEnd(edge::call_end aEnd)
+forwarded_request::HandleEnd(edge::call_end aEnd)
 {
   mAttemptTimer.cancel();
   attempt_end end;
   end.mEnd = aEnd;
-  end.mStatus = mAnswer ? mAnswer->mStatus : 0;
-  end.mIsNotExecuted = mAnswer && mFacts.mIsNotExecuted;
+  end.mStatus = mResponse ? mResponse->mStatus : 0;
+  end.mIsNotExecuted = mResponse && mFacts.mIsNotExecuted;
   end.mIsForeign = mIsForeign;
   const auto execution = ExecutionOf(end);
   EndAttempt(aEnd != edge::call_end::Complete || end.mStatus >= 500
@@ -237,10 +242,11 @@
                : routing::evidence::Success);
   if (execution == execution::Unknown) {
     mMayHaveRun = true;
-    CountStart();
+    ReportStarted();
   }
   if (mIsStreaming) {
-    // Part of the answer is with the caller: it can only be whole or cut.
+    // The caller already has part of the response, so the response can only be
+    // completed or aborted.
     if (aEnd == edge::call_end::Complete) {
       mExchange->Finish();
       LogEnd("streamed", end.mStatus, "whole");
@@ -248,13 +254,13 @@
       mExchange->Abort();
       LogEnd("cut", end.mStatus, edge::WordFor(aEnd));
     }
-    Forget();
+    Release();
     return;
   }
-  const auto step = DecideNext(end, Budget());
+  const auto step = DecideNext(end, CurrentBudget());
   events::line("attempt_ended")
     .With("request", mCaller.mAttemptId)
-    .With("server", mPick.mServer.mId)
+    .With("server", mSelected.mServer.mId)
     .With("end", edge::WordFor(aEnd))
     .With("status", static_cast<std::int64_t>(end.mStatus))
     .With(
@@ -286,19 +292,19 @@
   }
   mIsAttemptOpen = false;
   mForwarder.mParts.mRouter.NoteEnded(
-    mPick, mSentAt, aEvidence, boot_clock::now());
+    mSelected, mSentAt, aEvidence, boot_clock::now());
 }
 
 void
 forwarded_request::Deliver()
 {
-  edge::response answer;
-  answer.mStatus = mAnswer->mStatus;
-  answer.mHeaders = PassedOn(mAnswer->mHeaders);
-  answer.mBody = std::move(mAnswer->mBody);
-  LogEnd("answered", answer.mStatus, "server's answer");
-  mExchange->Answer(std::move(answer));
-  Forget();
+  edge::response response;
+  response.mStatus = mResponse->mStatus;
+  response.mHeaders = CopyEndToEndHeaders(mResponse->mHeaders);
+  response.mBody = std::move(mResponse->mBody);
+  LogEnd("answered", response.mStatus, "server's answer");
+  mExchange->Answer(std::move(response));
+  Release();
 }
 
 void
@@ -308,7 +314,7 @@
                                    { { "reason", aReason } });
   LogEnd("refused", 503, aReason);
   edge::AnswerOwn(mExchange, 503, kRetryAfter);
-  Forget();
+  Release();
 }
 
 void
@@ -318,7 +324,7 @@
                                    { { "reason", aReason } });
   LogEnd("failed", 502, aReason);
   edge::AnswerOwn(mExchange, 502);
-  Forget();
+  Release();
 }
 
 void
@@ -332,17 +338,18 @@
     LogEnd("failed", 504, "deadline");
     edge::AnswerOwn(mExchange, 504);
   }
-  Forget();
+  Release();
 }
 
 void
-forwarded_request::Forget()
+forwarded_request::Release()
 {
   mIsEnded = true;
   mCall.Cancel();
   mDeadlineTimer.cancel();
   mAttemptTimer.cancel();
-  // The exchange's handler holds this object, and this object the exchange.
+  // Breaks the reference cycle: the exchange's handler owns this object, and
+  // this object owns the exchange.
   mExchange->OnCallerLeft(nullptr);
   mExchange.reset();
 }
@@ -360,7 +367,7 @@
     .With("outcome", aOutcome)
     .With("status", static_cast<std::int64_t>(aStatus))
     .With("reason", aReason)
-    .With("attempts", static_cast<std::int64_t>(mTried.size()))
+    .With("attempts", static_cast<std::int64_t>(mTriedServers.size()))
     .With("took_ms", took);
   mForwarder.mParts.mMetrics.Observe(
     "lavender_request_seconds",
--- a/Duties/Forwarding/ForwardedRequest.h
+++ b/Duties/Forwarding/ForwardedRequest.h
@@ -7,7 +7,8 @@
 
 namespace lavender::forwarding {
 
-/** One caller's request on its way through one or more attempts. */
+/** One caller's request, forwarded in one or more attempts. Keeps itself alive
+ * until the caller has its response or has left. */
 class forwarded_request : public std::enable_shared_from_this<forwarded_request>
 {
 public:
@@ -20,15 +21,15 @@
 
 private:
   milliseconds TimeLeft() const;
-  attempt_budget Budget() const;
+  attempt_budget CurrentBudget() const;
   void TryNext();
-  void Send(const server_pick& aPick);
-  void TakeHead(const edge::response& aHead);
-  void TakeBody(std::string_view aPiece);
-  void TakeEnd(edge::call_end aEnd);
-  void Forget();
-  void CountStart();
-  void ArmAttempt();
+  void Send(const server_pick& aSelected);
+  void HandleHead(const edge::response& aHead);
+  void HandleBody(std::string_view aPiece);
+  void HandleEnd(edge::call_end aEnd);
+  void Release();
+  void ReportStarted();
+  void ArmAttemptTimer();
   void Deliver();
   void Refuse(const char* aReason);
   void FailUnknown(const char* aReason);
@@ -45,15 +46,15 @@
   boost::asio::steady_timer mDeadlineTimer;
   boost::asio::steady_timer mAttemptTimer;
   edge::call_handle mCall;
-  std::vector<std::string> mTried;
-  server_pick mPick;
+  std::vector<std::string> mTriedServers;
+  server_pick mSelected;
   time_point mSentAt;
-  std::optional<edge::response> mAnswer;
+  std::optional<edge::response> mResponse;
   site::answer_facts mFacts;
   bool mIsAttemptOpen = false;
   bool mIsForeign = false;
   bool mMayHaveRun = false;
-  bool mIsCounted = false;
+  bool mIsStartReported = false;
   bool mIsStreaming = false;
   bool mIsEnded = false;
 };
--- a/Duties/Forwarding/Forwarder.h
+++ b/Duties/Forwarding/Forwarder.h
@@ -7,10 +7,10 @@
 
 namespace lavender::forwarding {
 
-/** Told once for each attempt id that a server began to work on. */
+/** Called once for each request that a server started or may have started. */
 using started_handler = std::function<void(const std::string& aCustomer)>;
 
-/** What the forwarder works with; all outlive it. */
+/** Dependencies of the forwarder; the referenced objects outlive it. */
 struct forwarder_parts
 {
   boost::asio::io_context& mLoop;
@@ -21,14 +21,14 @@
   started_handler mOnStarted;
 };
 
-/** Passes single requests on to the servers of their route's pool. */
+/** Forwards single requests to the servers of their route's pools. */
 class forwarder
 {
 public:
   explicit forwarder(forwarder_parts aParts);
 
-  /** Serves one request whose route and key have been checked.
-   * @param aCustomer null where the site has no customers */
+  /** Forwards one request whose route and key have been checked.
+   * @param aCustomer null when the site configures no customers */
   void Serve(const edge::exchange_ptr& aExchange,
              const std::shared_ptr<const site::route>& aRoute,
              const std::shared_ptr<const site::customer>& aCustomer);
--- a/Duties/Forwarding/PoolRouter.cpp
+++ b/Duties/Forwarding/PoolRouter.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-/** Answers carry their server's load, so a table row is never too old to be
- * used; that a server is alive is the directory's knowledge. */
+/** Effectively disables the routing table's heartbeat check: load figures come
+ * with responses, and the directory tracks which servers are alive. */
 constexpr milliseconds kNoHeartbeat = std::chrono::hours(24 * 365);
 
 int
-WeightOf(const site::route& aRoute)
+TotalWeight(const site::route& aRoute)
 {
   int sum = 0;
   for (const auto& pool : aRoute.mPools) {
@@ -19,9 +19,9 @@
 }
 
 const std::string&
-DrawPool(const site::route& aRoute, std::mt19937_64& aRandom)
+SelectPool(const site::route& aRoute, std::mt19937_64& aRandom)
 {
-  const int sum = WeightOf(aRoute);
+  const int sum = TotalWeight(aRoute);
   if (aRoute.mPools.size() > 1 && sum > 0) {
     int drawn = std::uniform_int_distribution<int>(0, sum - 1)(aRandom);
     for (const auto& pool : aRoute.mPools) {
@@ -76,16 +76,16 @@
 
 std::optional<server_pick>
 pool_router::Pick(const site::route& aRoute,
-                  const std::vector<std::string>& aTried)
+                  const std::vector<std::string>& aTriedServers)
 {
-  const auto& pool = DrawPool(aRoute, mRandom);
+  const auto& pool = SelectPool(aRoute, mRandom);
   const auto table = mTables.find(pool);
   if (table == mTables.end()) {
     return std::nullopt;
   }
   routing::route_request request;
   request.mOwnZone = mAvailabilityZone;
-  request.mExcluded = aTried;
+  request.mExcluded = aTriedServers;
   const auto chosen =
     routing::Choose(table->second, request, mRandom, boot_clock::now());
   if (!chosen) {
@@ -101,28 +101,28 @@
 }
 
 void
-pool_router::NoteSent(const server_pick& aPick, time_point aNow)
+pool_router::NoteSent(const server_pick& aSelected, time_point aNow)
 {
-  routing::NoteSent(mTables[aPick.mPool], aPick.mServer.mId, 0, aNow);
+  routing::NoteSent(mTables[aSelected.mPool], aSelected.mServer.mId, 0, aNow);
 }
 
 void
-pool_router::NoteEnded(const server_pick& aPick,
+pool_router::NoteEnded(const server_pick& aSelected,
                        time_point aSentAt,
                        routing::evidence aEvidence,
                        time_point aNow)
 {
   routing::NoteEnded(
-    mTables[aPick.mPool], aPick.mServer.mId, aSentAt, aEvidence, aNow);
+    mTables[aSelected.mPool], aSelected.mServer.mId, aSentAt, aEvidence, aNow);
 }
 
 void
-pool_router::TakeLoad(const server_pick& aPick,
+pool_router::TakeLoad(const server_pick& aSelected,
                       const site::server_load& aLoad,
                       time_point aNow)
 {
-  routing::ApplyRequestCount(mTables[aPick.mPool],
-                             aPick.mServer.mId,
+  routing::ApplyRequestCount(mTables[aSelected.mPool],
+                             aSelected.mServer.mId,
                              aLoad.mRunning + aLoad.mWaiting,
                              aNow);
 }
--- a/Duties/Forwarding/PoolRouter.h
+++ b/Duties/Forwarding/PoolRouter.h
@@ -8,41 +8,42 @@
 
 namespace lavender::forwarding {
 
-/** The server that the next attempt goes to. */
+/** The server selected for the next attempt. */
 struct server_pick
 {
   std::string mPool;
   site::backend_server mServer;
-  /** Requests there as far as known, this one not included. */
+  /** Estimated requests on the server, this one excluded. */
   int mRequests = 0;
 };
 
-/** Load and health of the servers of each pool, as this entry knows them. All
- * that an entry sends to plain servers goes through one of these, so that
- * callers' requests and the entry's own learn from each other. */
+/** Load and health of the servers of each pool, as known to this entry. All
+ * requests to plain servers use the same router, so that callers' requests and
+ * the entry's own requests share what they learn about the servers. */
 class pool_router
 {
 public:
   pool_router(const site::server_directory& aDirectory,
               std::string aAvailabilityZone);
 
-  /** Takes the directory's present state into the routing tables. */
+  /** Updates the routing tables from the current state of the directory. */
   void TakeServers(time_point aNow);
-  /** Chooses a server of the route's pools; none when no server that wasn't
-   * tried takes work. */
-  std::optional<server_pick> Pick(const site::route& aRoute,
-                                  const std::vector<std::string>& aTried);
-  void NoteSent(const server_pick& aPick, time_point aNow);
-  /** @param aSentAt what NoteSent was told for this request */
-  void NoteEnded(const server_pick& aPick,
+  /** Selects a server of one of the route's pools; none when no untried server
+   * accepts requests. */
+  std::optional<server_pick> Pick(
+    const site::route& aRoute,
+    const std::vector<std::string>& aTriedServers);
+  void NoteSent(const server_pick& aSelected, time_point aNow);
+  /** @param aSentAt time passed to NoteSent for this request */
+  void NoteEnded(const server_pick& aSelected,
                  time_point aSentAt,
                  routing::evidence aEvidence,
                  time_point aNow);
-  /** Takes the load in that came with a server's answer. */
-  void TakeLoad(const server_pick& aPick,
+  /** Records the load figures that came with a server's response. */
+  void TakeLoad(const server_pick& aSelected,
                 const site::server_load& aLoad,
                 time_point aNow);
-  /** Requests that the pool's servers can run at once. */
+  /** Number of requests that the pool's servers can run concurrently. */
   int PlacesOf(const std::string& aPool) const;
 
 private:
--- a/Tests/Site/TestForwarding.cpp
+++ b/Tests/Site/TestForwarding.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** An entry that forwards everything to the given servers. */
+/** An entry that forwards every request to the added servers. */
 struct forwarding_site
 {
   explicit forwarding_site(site::repetition aRepetition)
@@ -74,9 +74,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestForwarding)
 
-// A booking is made twice: the first server takes the request and its
-// connection breaks, and the entry sends it to the second.
-BOOST_AUTO_TEST_CASE(ABrokenAnswerIsRepeatedOnlyWhenThatIsAllowed)
+// A request that isn't idempotent would run twice if the entry sent it to a
+// second server after the connection to the first one broke.
+BOOST_AUTO_TEST_CASE(ABrokenResponseIsRetriedOnlyWhenIdempotent)
 {
   for (const auto repetition :
        { site::repetition::AtMostOnce, site::repetition::Idempotent }) {
@@ -91,14 +91,14 @@
     const bool isOnce = repetition == site::repetition::AtMostOnce;
     BOOST_TEST(first.mRequests + second.mRequests == (isOnce ? 1 : 2));
     BOOST_TEST(result.mAnswer.mStatus == 502u);
-    // Counted once for the bill, however often it was tried.
+    // Billed once, however many attempts were made.
     BOOST_TEST(site.mStarts["customer"] == 1);
   }
 }
 
-// Each server is full and says that it didn't run the request: the caller is
-// told so at once, with when to come back.
-BOOST_AUTO_TEST_CASE(ARequestThatNoServerRanIsRefusedAtOnce)
+// When every server is full and says that it didn't run the request, the caller
+// is told so immediately, with a Retry-After.
+BOOST_AUTO_TEST_CASE(ARequestThatNoServerRanIsRefusedImmediately)
 {
   forwarding_site site(site::repetition::AtMostOnce);
   plain_server server(site.mLoop);
@@ -112,9 +112,9 @@
   BOOST_TEST(site.mStarts["customer"] == 0);
 }
 
-// A caller gets the answer to somebody else's request: it came late, on a
-// connection that was used again.
-BOOST_AUTO_TEST_CASE(AnAnswerToAnotherAttemptIsNeverPassedOn)
+// On a reused connection, a late response to an earlier request could be
+// forwarded to the wrong caller.
+BOOST_AUTO_TEST_CASE(AResponseToAnotherAttemptIsNeverForwarded)
 {
   forwarding_site site(site::repetition::AtMostOnce);
   plain_server server(site.mLoop);
@@ -129,9 +129,9 @@
   BOOST_TEST(result.mAnswer.mBody.empty());
 }
 
-// Servers work on for callers that have given up. The server's connection must
-// be closed when the caller's is.
-BOOST_AUTO_TEST_CASE(AServerIsToldThatItsCallerHasLeft)
+// Servers would go on working for callers that have left. The server's
+// connection must be closed when the caller's connection is.
+BOOST_AUTO_TEST_CASE(TheServerConnectionIsClosedWithTheCallers)
 {
   forwarding_site site(site::repetition::AtMostOnce);
   plain_server server(site.mLoop);
@@ -144,9 +144,9 @@
   BOOST_TEST(site.mLoop.RunUntil([&] { return server.mCallersLeft == 1; }));
 }
 
-// A server goes dark with a request that may be repeated: the other one must
-// get it well before the caller's time is over.
-BOOST_AUTO_TEST_CASE(ADarkServerDoesntHoldARequestToItsDeadline)
+// When a server stops responding to an idempotent request, the request must be
+// sent to the other server well before the caller's deadline.
+BOOST_AUTO_TEST_CASE(AnUnresponsiveServerDoesntHoldARequestToItsDeadline)
 {
   forwarding_site site(site::repetition::Idempotent);
   plain_server dark(site.mLoop);
