--- a/Duties/Admission/BackPressure.cpp
+++ b/Duties/Admission/BackPressure.cpp
@@ -8,32 +8,35 @@
 
 using namespace std::chrono_literals;
 
-constexpr milliseconds kForgetAfter = 60000ms;
+constexpr milliseconds kExpireAfter = 60000ms;
 
 void
-Decay(pressure& aPressure, const pressure_limits& aLimits, time_point aNow)
+Decay(back_pressure& aPressure,
+      const back_pressure_limits& aLimits,
+      time_point aNow)
 {
-  const std::chrono::duration<double> age = aNow - aPressure.mCountedAt;
+  const std::chrono::duration<double> age = aNow - aPressure.mDecayedAt;
   const std::chrono::duration<double> halfLife = aLimits.mHalfLife;
   const double factor = std::exp2(-std::max(age / halfLife, 0.0));
-  aPressure.mTaken *= factor;
-  aPressure.mRefusedThere *= factor;
-  aPressure.mRefusedHere *= factor;
-  aPressure.mCountedAt = aNow;
+  aPressure.mAccepted *= factor;
+  aPressure.mRefusedByAgents *= factor;
+  aPressure.mRefusedLocally *= factor;
+  aPressure.mDecayedAt = aNow;
 }
 
-/** Share of requests to refuse here. */
+/** Ratio of requests that this entry should refuse. */
 double
-RefusalShare(const pressure& aPressure, double aHeadroom)
+RefusalRatio(const back_pressure& aPressure, double aHeadroom)
 {
-  const double sent = aPressure.mTaken + aPressure.mRefusedThere;
-  const double asked = sent + aPressure.mRefusedHere;
-  const double share = (asked - aHeadroom * aPressure.mTaken) / (asked + 1);
-  // Refusing here hides that the agents have room again. The requests that
-  // are still sent show it: while the overload lasts, the headroom's part of
-  // them is refused, and fewer once it is over.
+  const double sent = aPressure.mAccepted + aPressure.mRefusedByAgents;
+  const double asked = sent + aPressure.mRefusedLocally;
+  const double share = (asked - aHeadroom * aPressure.mAccepted) / (asked + 1);
+  // Local refusals hide that the agents have capacity again, but the requests
+  // that are still sent show it: during an overload the agents refuse those
+  // sent above their capacity because of the headroom, and fewer once the
+  // overload has ended.
   const double expected = 1 - 1 / aHeadroom;
-  const double seen = aPressure.mRefusedThere / (sent + 1);
+  const double seen = aPressure.mRefusedByAgents / (sent + 1);
   return share * std::min(seen / expected, 1.0);
 }
 
@@ -43,19 +46,19 @@
 CheckPressure(pressure_map& aPressures,
               const std::string& aPool,
               const std::string& aCustomer,
-              const pressure_limits& aLimits,
+              const back_pressure_limits& aLimits,
               double aDraw,
               time_point aNow)
 {
   auto& pressure = aPressures[{ aPool, aCustomer }];
   Decay(pressure, aLimits, aNow);
-  if (aDraw >= RefusalShare(pressure, aLimits.mHeadroom)) {
+  if (aDraw >= RefusalRatio(pressure, aLimits.mHeadroom)) {
     return std::nullopt;
   }
-  pressure.mRefusedHere += 1;
+  pressure.mRefusedLocally += 1;
   const auto left =
     std::chrono::duration_cast<milliseconds>(pressure.mRetryAt - aNow);
-  return std::max(left, aLimits.mLeastRetryAfter);
+  return std::max(left, aLimits.mMinRetryAfter);
 }
 
 void
@@ -63,16 +66,16 @@
             const std::string& aPool,
             const std::string& aCustomer,
             std::optional<milliseconds> aRetryAfter,
-            const pressure_limits& aLimits,
+            const back_pressure_limits& aLimits,
             time_point aNow)
 {
   auto& pressure = aPressures[{ aPool, aCustomer }];
   Decay(pressure, aLimits, aNow);
   if (aRetryAfter) {
-    pressure.mRefusedThere += 1;
+    pressure.mRefusedByAgents += 1;
     pressure.mRetryAt = aNow + *aRetryAfter;
   } else {
-    pressure.mTaken += 1;
+    pressure.mAccepted += 1;
   }
 }
 
@@ -80,7 +83,7 @@
 ForgetIdle(pressure_map& aPressures, time_point aNow)
 {
   for (auto one = aPressures.begin(); one != aPressures.end();) {
-    const bool isIdle = aNow - one->second.mCountedAt > kForgetAfter;
+    const bool isIdle = aNow - one->second.mDecayedAt > kExpireAfter;
     one = isIdle ? aPressures.erase(one) : std::next(one);
   }
 }
--- a/Duties/Admission/BackPressure.h
+++ b/Duties/Admission/BackPressure.h
@@ -9,63 +9,66 @@
 
 namespace lavender::admission {
 
-/** How the agents of a pool have taken one customer's requests of late. */
-struct pressure
+/** How often the agents of a pool accepted or refused one customer's requests
+ * recently. */
+struct back_pressure
 {
-  /** Requests that agents took in or refused, and those refused here; newest
-   * count most. One still under way counts nowhere: a burst after a rest must
-   * not look like a refusal. */
-  double mTaken = 0;
-  double mRefusedThere = 0;
-  double mRefusedHere = 0;
-  time_point mCountedAt;
-  /** When the agents said to come back. */
+  /** Exponentially decayed counts of requests that agents accepted, that agents
+   * refused, and that this entry refused. A request still in flight isn't
+   * counted, so that a burst after an idle period doesn't look like refusals.
+   */
+  double mAccepted = 0;
+  double mRefusedByAgents = 0;
+  double mRefusedLocally = 0;
+  time_point mDecayedAt;
+  /** When the agents allow a retry. */
   time_point mRetryAt;
 };
 
-struct pressure_limits
+struct back_pressure_limits
 {
-  /** Evidence this old counts half. It also bounds how long refusals go on
-   * after the overload is over. */
+  /** Half-life of the exponential decay of the counts. It also bounds how long
+   * requests are refused after an overload has ended. */
   milliseconds mHalfLife{ 1000 };
-  /** Requests sent for each one taken, so that agents never run short of work
-   * and an end of the overload is seen. */
+  /** Requests sent per accepted request. Above 1, so that agents don't run out
+   * of work and the end of an overload is noticed. */
   double mHeadroom = 1.5;
-  milliseconds mLeastRetryAfter{ 200 };
+  milliseconds mMinRetryAfter{ 200 };
 };
 
 /** By pool and customer. */
-using pressure_map = std::map<std::pair<std::string, std::string>, pressure>;
+using pressure_map =
+  std::map<std::pair<std::string, std::string>, back_pressure>;
 
-/** Decides whether a request is refused here, before it costs a dispatch.
+/** Decides whether this entry refuses a request before dispatching it.
  *
- * In an overload each refused request would cost its entry and several agents
- * a message, and the refusals would take the time of the work. A customer's
- * requests are therefore refused here in the share in which the agents refuse
- * them. Agents refuse by fair share, so that a customer below its share is
- * never refused here for what others ask.
- * @param aDraw uniform in [0, 1)
- * @return when to come back, with a refusal */
+ * During an overload each refused request would cost messages to several
+ * agents, and handling refusals would take time from useful work. The entry
+ * therefore refuses a customer's requests in the proportion in which the agents
+ * refuse them. Agents refuse by fair share, so a customer below its share isn't
+ * refused because of the load of other customers.
+ * @param aDraw uniformly distributed in [0, 1)
+ * @return time until a retry makes sense if the request is refused */
 std::optional<milliseconds>
 CheckPressure(pressure_map& aPressures,
               const std::string& aPool,
               const std::string& aCustomer,
-              const pressure_limits& aLimits,
+              const back_pressure_limits& aLimits,
               double aDraw,
               time_point aNow);
 
-/** Learns how a request that was let through ended.
- * @param aRetryAfter what the agent said, with a refusal for want of room;
- *   none when it took the request in */
+/** Records how a dispatched request ended.
+ * @param aRetryAfter the agent's retry time if it refused the request for lack
+ *   of capacity; none if it accepted the request */
 void
 NoteOutcome(pressure_map& aPressures,
             const std::string& aPool,
             const std::string& aCustomer,
             std::optional<milliseconds> aRetryAfter,
-            const pressure_limits& aLimits,
+            const back_pressure_limits& aLimits,
             time_point aNow);
 
-/** Forgets customers without recent requests. */
+/** Removes customers without recent requests. */
 void
 ForgetIdle(pressure_map& aPressures, time_point aNow);
 
--- a/Duties/Admission/CustomerLimits.cpp
+++ b/Duties/Admission/CustomerLimits.cpp
@@ -10,20 +10,20 @@
 
 constexpr milliseconds kConcurrencyRetryAfter = 500ms;
 
-/** Seconds of the rate that may be spent at once. */
+/** Capacity of the token bucket, in seconds of the customer's rate. */
 constexpr double kBurstSeconds = 2;
 
 void
-FillBucket(customer_usage& aUsage, double aRate, time_point aNow)
+RefillBucket(customer_usage& aUsage, double aRate, time_point aNow)
 {
   const double most = std::max(1.0, aRate * kBurstSeconds);
-  if (aUsage.mIsFirst) {
-    aUsage.mBucket = most;
-    aUsage.mIsFirst = false;
+  if (aUsage.mIsNew) {
+    aUsage.mRateTokens = most;
+    aUsage.mIsNew = false;
   } else {
     const double seconds =
       std::chrono::duration<double>(aNow - aUsage.mFilledAt).count();
-    aUsage.mBucket = std::min(most, aUsage.mBucket + seconds * aRate);
+    aUsage.mRateTokens = std::min(most, aUsage.mRateTokens + seconds * aRate);
   }
   aUsage.mFilledAt = aNow;
 }
@@ -41,22 +41,22 @@
     const double part = std::max(
       std::floor(static_cast<double>(aCustomer.mMaximumConcurrent) * aShare),
       1.0);
-    if (static_cast<double>(usage.mUnderWay) >= part) {
+    if (static_cast<double>(usage.mInFlight) >= part) {
       return { false, "customer_concurrency", kConcurrencyRetryAfter };
     }
   }
   if (aCustomer.mRequestsPerSecond > 0) {
     const double rate = aCustomer.mRequestsPerSecond * aShare;
-    FillBucket(usage, rate, aNow);
-    if (usage.mBucket < 1) {
-      const double wait = (1 - usage.mBucket) / rate;
+    RefillBucket(usage, rate, aNow);
+    if (usage.mRateTokens < 1) {
+      const double wait = (1 - usage.mRateTokens) / rate;
       return { false,
                "customer_rate",
                milliseconds(static_cast<std::int64_t>(wait * 1000) + 1) };
     }
-    usage.mBucket -= 1;
+    usage.mRateTokens -= 1;
   }
-  ++usage.mUnderWay;
+  ++usage.mInFlight;
   return { true, "", 0ms };
 }
 
@@ -64,7 +64,7 @@
 Leave(limit_state& aState, const std::string& aCustomer)
 {
   auto& usage = aState.mCustomers[aCustomer];
-  usage.mUnderWay = std::max<std::int64_t>(usage.mUnderWay - 1, 0);
+  usage.mInFlight = std::max<std::int64_t>(usage.mInFlight - 1, 0);
 }
 
 } // namespace lavender::admission
--- a/Duties/Admission/CustomerLimits.h
+++ b/Duties/Admission/CustomerLimits.h
@@ -6,17 +6,17 @@
 #include <map>
 #include <string>
 
-/** Who may enter, and how much at once. */
+/** Admission control. */
 namespace lavender::admission {
 
-/** What one entry counts for one customer. */
+/** One customer's usage of its limits at one entry. */
 struct customer_usage
 {
-  std::int64_t mUnderWay = 0;
-  /** Tokens of the rate bucket. */
-  double mBucket = 0;
+  std::int64_t mInFlight = 0;
+  /** Tokens in the token bucket of the request rate. */
+  double mRateTokens = 0;
   time_point mFilledAt;
-  bool mIsFirst = true;
+  bool mIsNew = true;
 };
 
 struct limit_state
@@ -24,7 +24,7 @@
   std::map<std::string, customer_usage> mCustomers;
 };
 
-/** Decision on one request. */
+/** Admission decision on one request. */
 struct admission_answer
 {
   bool mIsAdmitted = false;
@@ -33,15 +33,16 @@
   milliseconds mRetryAfter{ 0 };
 };
 
-/** Counts a request in, or refuses it.
- * @param aShare of the customer's limits that this entry may use */
+/** Checks a request against the customer's limits on concurrency and rate, and
+ * counts it as in flight if it is admitted.
+ * @param aShare share of the customer's limits that this entry may use */
 admission_answer
 Enter(limit_state& aState,
       const configuration::customer& aCustomer,
       double aShare,
       time_point aNow);
 
-/** Counts a request out. */
+/** Ends an admitted request. */
 void
 Leave(limit_state& aState, const std::string& aCustomer);
 
--- a/Duties/Admission/FairQueue.cpp
+++ b/Duties/Admission/FairQueue.cpp
@@ -8,32 +8,35 @@
 using namespace std::chrono_literals;
 using seconds = std::chrono::duration<double>;
 
-/** Bounds of what a refused caller is told. */
-constexpr milliseconds kShortestRetryAfter = 100ms;
-constexpr milliseconds kLongestRetryAfter = 30000ms;
-constexpr milliseconds kUnmeasuredRetryAfter = 1000ms;
+/** Bounds of the retry time told to a refused caller, and its value while the
+ * throughput is unknown. */
+constexpr milliseconds kMinRetryAfter = 100ms;
+constexpr milliseconds kMaxRetryAfter = 30000ms;
+constexpr milliseconds kDefaultRetryAfter = 1000ms;
 
-/** Weight of all earlier runs against the newest one. */
-constexpr double kDrainMemory = 0.95;
+/** Factor by which the sums of earlier runs decay with each run. */
+constexpr double kThroughputDecay = 0.95;
 
-/** Under this many tokens a measured rate says too little for a refusal. */
-constexpr double kEnoughCost = 100;
+/** The throughput counts as unknown below this many tokens, so that requests
+ * aren't refused because of an inaccurate measurement. */
+constexpr double kMinMeasuredCost = 100;
 
-/** How much more a line has to hold to make room for another customer. */
+/** A customer is displaced only when its waiting cost for its weight is at
+ * least this many times that of the customer whose request arrives. */
 constexpr double kDisplaceMargin = 1.5;
 
-constexpr double kLowestWeight = 1e-6;
+constexpr double kMinWeight = 1e-6;
 
 const std::string&
-LineOf(const fair_queue& aQueue, const queue_item& aItem)
+FlowOf(const fair_queue& aQueue, const queue_item& aItem)
 {
-  static const std::string kOnlyLine;
+  static const std::string kSingleFlow;
   return aQueue.mLimits.mPolicy == queue_policy::Fair ? aItem.mCustomer
-                                                      : kOnlyLine;
+                                                      : kSingleFlow;
 }
 
 milliseconds
-TimeFor(const fair_queue& aQueue, double aCost)
+EstimateTime(const fair_queue& aQueue, double aCost)
 {
   const double rate = DrainRate(aQueue);
   return rate > 0 ? std::chrono::duration_cast<milliseconds>(
@@ -45,18 +48,18 @@
 RetryAfter(const fair_queue& aQueue, double aCost)
 {
   if (DrainRate(aQueue) <= 0) {
-    return kUnmeasuredRetryAfter;
+    return kDefaultRetryAfter;
   }
   return std::clamp(
-    TimeFor(aQueue, aCost), kShortestRetryAfter, kLongestRetryAfter);
+    EstimateTime(aQueue, aCost), kMinRetryAfter, kMaxRetryAfter);
 }
 
-/** Cost of the item's own customer that goes before it. */
+/** Cost of the items of the same customer that run before the item. */
 double
-OwnCostAhead(const customer_line& aLine, const queue_item& aItem)
+OwnCostAhead(const customer_flow& aFlow, const queue_item& aItem)
 {
   double cost = 0;
-  for (const auto& item : aLine.mItems) {
+  for (const auto& item : aFlow.mItems) {
     if (item.mPriority >= aItem.mPriority) {
       cost += static_cast<double>(item.mCost);
     }
@@ -64,62 +67,65 @@
   return cost;
 }
 
-/** Cost that the fair order serves before the item. */
+/** Cost of the items of all customers that run before the item. */
 double
 CostAhead(const fair_queue& aQueue, const queue_item& aItem)
 {
-  const auto& name = LineOf(aQueue, aItem);
-  const auto own = aQueue.mLines.find(name);
+  const auto& name = FlowOf(aQueue, aItem);
+  const auto own = aQueue.mFlows.find(name);
   double start = aQueue.mVirtualTime;
   double ahead = 0;
-  if (own != aQueue.mLines.end()) {
+  if (own != aQueue.mFlows.end()) {
     ahead = OwnCostAhead(own->second, aItem);
-    start = std::max(start, own->second.mStart);
+    start = std::max(start, own->second.mVirtualStart);
   }
   start += ahead / aItem.mWeight;
-  for (const auto& [customer, line] : aQueue.mLines) {
-    if (customer == name || line.mItems.empty()) {
+  for (const auto& [customer, flow] : aQueue.mFlows) {
+    if (customer == name || flow.mItems.empty()) {
       continue;
     }
-    const double share = (start - line.mStart) * line.mItems.front().mWeight;
-    ahead += std::clamp(share, 0.0, static_cast<double>(line.mCost));
+    const double share =
+      (start - flow.mVirtualStart) * flow.mItems.front().mWeight;
+    ahead += std::clamp(share, 0.0, static_cast<double>(flow.mCost));
   }
   return ahead;
 }
 
-/** Line with the most waiting cost for its weight. */
-std::map<std::string, customer_line>::iterator
-FindLongest(fair_queue& aQueue)
+/** Flow with the most waiting cost for its weight. */
+std::map<std::string, customer_flow>::iterator
+FindLargestBacklog(fair_queue& aQueue)
 {
-  const auto length = [](const customer_line& aLine) {
-    return aLine.mItems.empty()
+  const auto backlog = [](const customer_flow& aFlow) {
+    return aFlow.mItems.empty()
              ? 0.0
-             : static_cast<double>(aLine.mCost) / aLine.mItems.front().mWeight;
+             : static_cast<double>(aFlow.mCost) / aFlow.mItems.front().mWeight;
   };
-  return std::max_element(aQueue.mLines.begin(),
-                          aQueue.mLines.end(),
+  return std::max_element(aQueue.mFlows.begin(),
+                          aQueue.mFlows.end(),
                           [&](const auto& aLeft, const auto& aRight) {
-                            return length(aLeft.second) < length(aRight.second);
+                            return backlog(aLeft.second) <
+                                   backlog(aRight.second);
                           });
 }
 
 void
-Forget(fair_queue& aQueue, customer_line& aLine, const queue_item& aItem)
+SubtractCost(fair_queue& aQueue, customer_flow& aFlow, const queue_item& aItem)
 {
-  aLine.mCost -= aItem.mCost;
+  aFlow.mCost -= aItem.mCost;
   aQueue.mCost -= aItem.mCost;
   --aQueue.mSize;
 }
 
-/** Drops lines that remember nothing: without items, and due by now. */
+/** Removes flows without items whose virtual start time has passed, because
+ * they carry no state. */
 void
-DropIdleLines(fair_queue& aQueue)
+RemoveIdleFlows(fair_queue& aQueue)
 {
-  for (auto line = aQueue.mLines.begin(); line != aQueue.mLines.end();) {
+  for (auto flow = aQueue.mFlows.begin(); flow != aQueue.mFlows.end();) {
     const bool isIdle =
-      line->second.mItems.empty() &&
-      (aQueue.mSize == 0 || line->second.mStart <= aQueue.mVirtualTime);
-    line = isIdle ? aQueue.mLines.erase(line) : std::next(line);
+      flow->second.mItems.empty() &&
+      (aQueue.mSize == 0 || flow->second.mVirtualStart <= aQueue.mVirtualTime);
+    flow = isIdle ? aQueue.mFlows.erase(flow) : std::next(flow);
   }
 }
 
@@ -134,56 +140,57 @@
     static_cast<double>(aQueue.mCost + aItem.mCost) + aRunning / 2;
   return limits.mPolicy == queue_policy::Fair &&
          aQueue.mSize >= limits.mSlots &&
-         TimeFor(aQueue, cost) > limits.mMaximumDelay;
+         EstimateTime(aQueue, cost) > limits.mMaximumDelay;
 }
 
-/** Makes room for the item in a full queue; none when the item's own customer
- * is the one that holds most. */
+/** Removes and returns an item to make room in a full queue; none when the
+ * item's own customer has the most waiting cost or isn't far enough below the
+ * one that has. */
 std::optional<queue_item>
 Displace(fair_queue& aQueue, const queue_item& aItem)
 {
-  const auto longest = FindLongest(aQueue);
-  if (longest == aQueue.mLines.end() || longest->second.mItems.empty()) {
+  const auto largest = FindLargestBacklog(aQueue);
+  if (largest == aQueue.mFlows.end() || largest->second.mItems.empty()) {
     return std::nullopt;
   }
-  const auto& name = LineOf(aQueue, aItem);
-  const auto own = aQueue.mLines.find(name);
+  const auto& name = FlowOf(aQueue, aItem);
+  const auto own = aQueue.mFlows.find(name);
   const double ownCost =
-    own == aQueue.mLines.end() ? 0 : static_cast<double>(own->second.mCost);
+    own == aQueue.mFlows.end() ? 0 : static_cast<double>(own->second.mCost);
   const double with =
     (ownCost + static_cast<double>(aItem.mCost)) / aItem.mWeight;
-  const double most = static_cast<double>(longest->second.mCost) /
-                      longest->second.mItems.front().mWeight;
-  // Without the margin, customers that ask for equal shares displace each
-  // other in turn, and requests are refused after they have waited.
-  if (longest->first == name || with * kDisplaceMargin > most) {
+  const double most = static_cast<double>(largest->second.mCost) /
+                      largest->second.mItems.front().mWeight;
+  // Without the margin, customers with equal shares would displace each other
+  // alternately, and requests would be refused after having waited.
+  if (largest->first == name || with * kDisplaceMargin > most) {
     return std::nullopt;
   }
-  auto item = std::move(longest->second.mItems.back());
-  longest->second.mItems.pop_back();
-  Forget(aQueue, longest->second, item);
+  auto item = std::move(largest->second.mItems.back());
+  largest->second.mItems.pop_back();
+  SubtractCost(aQueue, largest->second, item);
   return item;
 }
 
 void
 Insert(fair_queue& aQueue, queue_item aItem)
 {
-  auto& line = aQueue.mLines[LineOf(aQueue, aItem)];
-  if (line.mItems.empty()) {
-    line.mStart = std::max(line.mStart, aQueue.mVirtualTime);
+  auto& flow = aQueue.mFlows[FlowOf(aQueue, aItem)];
+  if (flow.mItems.empty()) {
+    flow.mVirtualStart = std::max(flow.mVirtualStart, aQueue.mVirtualTime);
   }
-  line.mCost += aItem.mCost;
+  flow.mCost += aItem.mCost;
   aQueue.mCost += aItem.mCost;
   ++aQueue.mSize;
   const bool isFair = aQueue.mLimits.mPolicy == queue_policy::Fair;
   const auto place =
-    isFair ? std::find_if(line.mItems.begin(),
-                          line.mItems.end(),
+    isFair ? std::find_if(flow.mItems.begin(),
+                          flow.mItems.end(),
                           [&](const queue_item& aOther) {
                             return aOther.mPriority < aItem.mPriority;
                           })
-           : line.mItems.end();
-  line.mItems.insert(place, std::move(aItem));
+           : flow.mItems.end();
+  flow.mItems.insert(place, std::move(aItem));
 }
 
 } // namespace
@@ -191,75 +198,75 @@
 double
 DrainRate(const fair_queue& aQueue)
 {
-  const auto& drain = aQueue.mDrain;
-  if (drain.mCost < kEnoughCost || drain.mTime <= 0s) {
+  const auto& throughput = aQueue.mThroughput;
+  if (throughput.mCost < kMinMeasuredCost || throughput.mTime <= 0s) {
     return 0;
   }
-  return drain.mCost / drain.mTime.count() *
+  return throughput.mCost / throughput.mTime.count() *
          static_cast<double>(aQueue.mLimits.mSlots);
 }
 
-push_answer
+push_result
 Push(fair_queue& aQueue,
      queue_item aItem,
      std::int64_t aRunningCost,
      time_point aNow)
 {
-  aItem.mWeight = std::max(aItem.mWeight, kLowestWeight);
+  aItem.mWeight = std::max(aItem.mWeight, kMinWeight);
   aItem.mCost = std::max<std::int64_t>(aItem.mCost, 1);
   const bool isFair = aQueue.mLimits.mPolicy == queue_policy::Fair;
   const double running = static_cast<double>(aRunningCost);
-  push_answer answer;
+  push_result result;
   if (isFair && aQueue.mSize > 0) {
     const double ahead = CostAhead(aQueue, aItem) + running / 2;
-    const auto wait = TimeFor(aQueue, ahead);
-    const auto run = TimeFor(aQueue,
-                             static_cast<double>(aItem.mCost) *
-                               static_cast<double>(aQueue.mLimits.mSlots));
+    const auto wait = EstimateTime(aQueue, ahead);
+    const auto run = EstimateTime(aQueue,
+                                  static_cast<double>(aItem.mCost) *
+                                    static_cast<double>(aQueue.mLimits.mSlots));
     if (aNow + wait + run > aItem.mDeadline) {
-      answer.mReason = "deadline_unreachable";
-      answer.mRetryAfter = RetryAfter(aQueue, ahead);
-      return answer;
+      result.mReason = "deadline_unreachable";
+      result.mRetryAfter = RetryAfter(aQueue, ahead);
+      return result;
     }
   }
   if (IsFull(aQueue, aItem, running)) {
     if (isFair) {
-      answer.mDisplaced = Displace(aQueue, aItem);
+      result.mDisplaced = Displace(aQueue, aItem);
     }
-    if (!answer.mDisplaced) {
-      answer.mReason = "queue_full";
-      answer.mRetryAfter =
+    if (!result.mDisplaced) {
+      result.mReason = "queue_full";
+      result.mRetryAfter =
         RetryAfter(aQueue, static_cast<double>(aQueue.mCost) + running / 2);
-      return answer;
+      return result;
     }
-    answer.mRetryAfter = RetryAfter(aQueue, static_cast<double>(aQueue.mCost));
+    result.mRetryAfter = RetryAfter(aQueue, static_cast<double>(aQueue.mCost));
   }
   Insert(aQueue, std::move(aItem));
-  answer.mIsQueued = true;
-  return answer;
+  result.mIsQueued = true;
+  return result;
 }
 
 std::optional<queue_item>
 Pop(fair_queue& aQueue)
 {
-  auto first = aQueue.mLines.end();
-  for (auto line = aQueue.mLines.begin(); line != aQueue.mLines.end(); ++line) {
-    if (!line->second.mItems.empty() &&
-        (first == aQueue.mLines.end() ||
-         line->second.mStart < first->second.mStart)) {
-      first = line;
+  auto first = aQueue.mFlows.end();
+  for (auto flow = aQueue.mFlows.begin(); flow != aQueue.mFlows.end(); ++flow) {
+    if (!flow->second.mItems.empty() &&
+        (first == aQueue.mFlows.end() ||
+         flow->second.mVirtualStart < first->second.mVirtualStart)) {
+      first = flow;
     }
   }
-  if (first == aQueue.mLines.end()) {
+  if (first == aQueue.mFlows.end()) {
     return std::nullopt;
   }
-  auto& line = first->second;
-  auto item = std::move(line.mItems.front());
-  line.mItems.pop_front();
-  Forget(aQueue, line, item);
-  aQueue.mVirtualTime = std::max(aQueue.mVirtualTime, line.mStart);
-  line.mStart += static_cast<double>(item.mCost) / item.mWeight;
-  DropIdleLines(aQueue);
+  auto& flow = first->second;
+  auto item = std::move(flow.mItems.front());
+  flow.mItems.pop_front();
+  SubtractCost(aQueue, flow, item);
+  aQueue.mVirtualTime = std::max(aQueue.mVirtualTime, flow.mVirtualStart);
+  flow.mVirtualStart += static_cast<double>(item.mCost) / item.mWeight;
+  RemoveIdleFlows(aQueue);
   return item;
 }
 
@@ -268,11 +275,11 @@
 {
   queue_item key;
   key.mCustomer = aCustomer;
-  const auto line = aQueue.mLines.find(LineOf(aQueue, key));
-  if (line == aQueue.mLines.end()) {
+  const auto flow = aQueue.mFlows.find(FlowOf(aQueue, key));
+  if (flow == aQueue.mFlows.end()) {
     return false;
   }
-  auto& items = line->second.mItems;
+  auto& items = flow->second.mItems;
   const auto item =
     std::find_if(items.begin(), items.end(), [&](const queue_item& aItem) {
       return aItem.mId == aId;
@@ -280,9 +287,9 @@
   if (item == items.end()) {
     return false;
   }
-  Forget(aQueue, line->second, *item);
+  SubtractCost(aQueue, flow->second, *item);
   items.erase(item);
-  DropIdleLines(aQueue);
+  RemoveIdleFlows(aQueue);
   return true;
 }
 
@@ -291,9 +298,10 @@
           std::int64_t aCost,
           std::chrono::nanoseconds aTime)
 {
-  auto& drain = aQueue.mDrain;
-  drain.mCost = drain.mCost * kDrainMemory + static_cast<double>(aCost);
-  drain.mTime = drain.mTime * kDrainMemory + seconds(aTime);
+  auto& throughput = aQueue.mThroughput;
+  throughput.mCost =
+    throughput.mCost * kThroughputDecay + static_cast<double>(aCost);
+  throughput.mTime = throughput.mTime * kThroughputDecay + seconds(aTime);
 }
 
 milliseconds
@@ -302,9 +310,9 @@
   if (aQueue.mSize == 0) {
     return 0ms;
   }
-  return TimeFor(aQueue,
-                 static_cast<double>(aQueue.mCost) +
-                   static_cast<double>(aRunningCost) / 2);
+  return EstimateTime(aQueue,
+                      static_cast<double>(aQueue.mCost) +
+                        static_cast<double>(aRunningCost) / 2);
 }
 
 } // namespace lavender::admission
--- a/Duties/Admission/FairQueue.h
+++ b/Duties/Admission/FairQueue.h
@@ -9,14 +9,14 @@
 #include <string>
 #include <vector>
 
-/** Who may enter, and in which order. */
+/** Admission control and the order in which requests run. */
 namespace lavender::admission {
 
 enum class queue_policy
 {
-  /** Start-time fair queueing over customers, weighted, by cost. */
+  /** Weighted start-time fair queueing over customers, by cost. */
   Fair,
-  /** One line for all; the baseline of the experiments. */
+  /** A single queue for all customers; a baseline for experiments. */
   FirstComeFirstServed
 };
 
@@ -25,11 +25,11 @@
 {
   std::string mId;
   std::string mCustomer;
-  /** Share of the customer relative to others; above 0. */
+  /** Weight of the customer relative to other customers; above 0. */
   double mWeight = 1;
   /** Expected cost in tokens; at least 1. */
   std::int64_t mCost = 1;
-  /** Orders the requests of one customer; it never overtakes another one. */
+  /** Orders the requests of one customer only. */
   int mPriority = 0;
   time_point mDeadline;
 };
@@ -37,96 +37,101 @@
 struct fair_queue_limits
 {
   queue_policy mPolicy = queue_policy::Fair;
-  /** Requests that may wait, over all customers. */
+  /** Maximum number of waiting requests of all customers. */
   std::size_t mMaximumQueued = 64;
-  /** Requests that run side by side; the drain rate counts all of them. */
+  /** Requests that run concurrently; the throughput is that of all slots. */
   std::size_t mSlots = 16;
-  /** Time in which the measured rate should drain what waits. A line that is
-   * longer counts as full, though as many requests as there are slots may
-   * always wait. A long line serves nobody sooner, and after an overload all
-   * who come wait until it is gone. */
+  /** The queue is full when running the waiting requests would take longer than
+   * this at the measured throughput, though as many requests as there are slots
+   * may always wait. A longer queue doesn't increase the throughput, and after
+   * an overload new requests would wait until it has been worked off. */
   milliseconds mMaximumDelay{ 1000 };
 };
 
-/** The waiting requests of one customer. */
-struct customer_line
+/** The waiting requests of one customer; a flow in terms of fair queueing. */
+struct customer_flow
 {
   std::deque<queue_item> mItems;
   std::int64_t mCost = 0;
-  /** Virtual time at which the first item is due: the finish time of the
-   * customer's item before it, or the queue's virtual time at arrival. */
-  double mStart = 0;
+  /** Virtual start time of the first item: the virtual finish time of the
+   * customer's previous item or the queue's virtual time at the item's arrival,
+   * whichever is later. */
+  double mVirtualStart = 0;
 };
 
-/** How long runs took, newest counting most. */
-struct drain_measure
+/** Exponentially decayed sums of the cost and duration of ended runs. */
+struct throughput_measure
 {
   double mCost = 0;
   std::chrono::duration<double> mTime{ 0 };
 };
 
-/** Waiting requests of all customers. Copyable plain state. */
+/** Waiting requests of all customers. Copyable plain data. */
 struct fair_queue
 {
   fair_queue_limits mLimits;
-  /** Lines with items, and those whose last item finishes after now. */
-  std::map<std::string, customer_line> mLines;
-  /** Start time of the item that was taken last. */
+  /** Flows that have items, or whose last item has a virtual finish time after
+   * the queue's virtual time. */
+  std::map<std::string, customer_flow> mFlows;
+  /** Highest virtual start time of the items popped so far. */
   double mVirtualTime = 0;
   std::size_t mSize = 0;
   std::int64_t mCost = 0;
-  drain_measure mDrain;
+  throughput_measure mThroughput;
 };
 
-struct push_answer
+struct push_result
 {
   bool mIsQueued = false;
   /** Stable reason code of a refusal. */
   std::string mReason;
-  /** When the drain rate says that coming back makes sense. */
+  /** Time until a retry makes sense at the measured throughput; also for the
+   * displaced item. */
   milliseconds mRetryAfter{ 0 };
-  /** Item that had to go to make room: it never ran. */
+  /** Item that was removed to make room; it never ran. */
   std::optional<queue_item> mDisplaced;
 };
 
-/** Takes a request in, or refuses it.
+/** Queues a request or refuses it.
  *
- * A full queue makes room for a customer well below its share by giving up the
- * last item of the customer whose line holds most cost for its weight: a
- * flood by one customer then costs only its own requests. A request whose
- * deadline the measured drain rate can't meet is refused at once, so that it
- * doesn't take a slot for an answer that nobody reads.
- * @param aRunningCost cost of the requests that hold slots now */
-push_answer
+ * A full queue makes room for a customer well below its share by displacing the
+ * last item of the customer with the most waiting cost for its weight, so that
+ * a flood of requests by one customer affects only that customer. A request
+ * whose deadline can't be met at the measured throughput is refused
+ * immediately, because it would take a slot for a response that arrives too
+ * late.
+ * @param aRunningCost cost of the requests that are running */
+push_result
 Push(fair_queue& aQueue,
      queue_item aItem,
      std::int64_t aRunningCost,
      time_point aNow);
 
-/** Takes the next request out; none when nothing waits. */
+/** Removes and returns the next request; none when the queue is empty. */
 std::optional<queue_item>
 Pop(fair_queue& aQueue);
 
-/** Takes a cancelled request out; false when it doesn't wait here. Its
- * customer isn't charged for it. */
+/** Removes a cancelled request without charging its customer; false when the
+ * request isn't in the queue. */
 bool
 Remove(fair_queue& aQueue,
        const std::string& aCustomer,
        const std::string& aId);
 
-/** Learns from a run that ended. */
+/** Adds an ended run to the throughput measurement. */
 void
 RecordRun(fair_queue& aQueue,
           std::int64_t aCost,
           std::chrono::nanoseconds aTime);
 
-/** Tokens a second that are drained with all slots busy; zero while too little
- * was measured. */
+/** Measured tokens per second with all slots busy; zero while too few runs have
+ * ended. */
 double
 DrainRate(const fair_queue& aQueue);
 
-/** Time until a request of average cost that came now would start: the
- * queue's whole cost by the measured rate; zero while no run was measured. */
+/** Estimated time until a request arriving now would start: the cost of the
+ * whole queue divided by the measured throughput; zero while the queue is empty
+ * or the throughput is unknown. */
 milliseconds
 QueueDelay(const fair_queue& aQueue, std::int64_t aRunningCost);
 
--- a/Duties/Admission/SharedDemand.cpp
+++ b/Duties/Admission/SharedDemand.cpp
@@ -7,18 +7,19 @@
 
 using namespace std::chrono_literals;
 
-/** Several polls; an agent silent for longer may be gone with its load. */
-constexpr milliseconds kForgetAfter = 5000ms;
+/** Several polling intervals. An agent without a report for longer may have
+ * stopped, and its requests with it. */
+constexpr milliseconds kExpireAfter = 5000ms;
 
 void
-Add(shared_demand& aShared, const std::vector<customer_load>& aRows, int aSign)
+Add(shared_demand& aShared, const std::vector<customer_load>& aLoads, int aSign)
 {
-  for (const auto& row : aRows) {
-    auto& demand = aShared.mCustomers[row.mCustomer];
-    demand.mInFlight += aSign * row.mInFlight;
-    demand.mOwn += aSign * row.mOwn;
+  for (const auto& load : aLoads) {
+    auto& demand = aShared.mCustomers[load.mCustomer];
+    demand.mInFlight += aSign * load.mInFlight;
+    demand.mOwn += aSign * load.mOwn;
     if (demand.mInFlight == 0 && demand.mOwn == 0) {
-      aShared.mCustomers.erase(row.mCustomer);
+      aShared.mCustomers.erase(load.mCustomer);
     }
   }
 }
@@ -26,35 +27,35 @@
 } // namespace
 
 void
-TakeRows(shared_demand& aShared,
-         const std::string& aAgent,
-         std::vector<customer_load> aRows,
-         time_point aNow)
+ApplyAgentLoads(shared_demand& aShared,
+                const std::string& aAgent,
+                std::vector<customer_load> aLoads,
+                time_point aNow)
 {
   auto& agent = aShared.mAgents[aAgent];
-  Add(aShared, agent.mRows, -1);
-  agent.mRows = std::move(aRows);
-  agent.mHeardAt = aNow;
-  Add(aShared, agent.mRows, 1);
+  Add(aShared, agent.mLoads, -1);
+  agent.mLoads = std::move(aLoads);
+  agent.mUpdatedAt = aNow;
+  Add(aShared, agent.mLoads, 1);
   for (auto one = aShared.mAgents.begin(); one != aShared.mAgents.end();) {
-    if (aNow - one->second.mHeardAt <= kForgetAfter) {
+    if (aNow - one->second.mUpdatedAt <= kExpireAfter) {
       ++one;
       continue;
     }
-    Add(aShared, one->second.mRows, -1);
+    Add(aShared, one->second.mLoads, -1);
     one = aShared.mAgents.erase(one);
   }
 }
 
-demand
+customer_demand
 DemandOf(const shared_demand& aShared, const std::string& aCustomer)
 {
   const auto found = aShared.mCustomers.find(aCustomer);
-  return found == aShared.mCustomers.end() ? demand() : found->second;
+  return found == aShared.mCustomers.end() ? customer_demand() : found->second;
 }
 
 double
-ShareOf(const demand& aDemand, std::size_t aEntries)
+ShareOf(const customer_demand& aDemand, std::size_t aEntries)
 {
   const auto entries = static_cast<double>(std::max<std::size_t>(aEntries, 1));
   const double own = std::clamp(aDemand.mOwn, 0, aDemand.mInFlight);
--- a/Duties/Admission/SharedDemand.h
+++ b/Duties/Admission/SharedDemand.h
@@ -9,54 +9,55 @@
 
 namespace lavender::admission {
 
-/** Requests of one customer that one agent holds, queued or running. */
+/** Requests of one customer at one agent, queued or running. */
 struct customer_load
 {
   std::string mCustomer;
   int mInFlight = 0;
-  /** Those of them that the asking entry sent. */
+  /** Those of mInFlight that this entry sent. */
   int mOwn = 0;
 };
 
-/** One customer's requests in flight as the agents' reports show them. */
-struct demand
+/** One customer's requests in flight at all agents, by the agents' reports. */
+struct customer_demand
 {
   int mInFlight = 0;
   int mOwn = 0;
 };
 
-/** What the agents of all servers told last. The agents see all entries, so
- * the entries learn of each other's load without talking. */
+/** Last reports of the agents of all servers. Agents receive requests from all
+ * entries, so each entry learns the load of the others without contacting them.
+ */
 struct shared_demand
 {
-  struct agent_rows
+  struct agent_loads
   {
-    std::vector<customer_load> mRows;
-    time_point mHeardAt;
+    std::vector<customer_load> mLoads;
+    time_point mUpdatedAt;
   };
 
-  std::map<std::string, agent_rows> mAgents;
-  std::map<std::string, demand> mCustomers;
+  std::map<std::string, agent_loads> mAgents;
+  std::map<std::string, customer_demand> mCustomers;
 };
 
-/** Takes one agent's rows in place of its last ones, and drops those of
- * agents that fell silent. */
+/** Replaces one agent's report, and removes the reports of agents that haven't
+ * sent one for some time. */
 void
-TakeRows(shared_demand& aShared,
-         const std::string& aAgent,
-         std::vector<customer_load> aRows,
-         time_point aNow);
+ApplyAgentLoads(shared_demand& aShared,
+                const std::string& aAgent,
+                std::vector<customer_load> aLoads,
+                time_point aNow);
 
-demand
+customer_demand
 DemandOf(const shared_demand& aShared, const std::string& aCustomer);
 
-/** The share of a customer's limits that one entry may use.
+/** Share of a customer's limits that one entry may use.
  *
- * Each entry counts for one request more than it has in flight, so that one
- * without requests keeps a part to begin with. The shares of all entries add
- * up to one whenever they see the same reports, and follow the demand at the
- * pace of the reports. */
+ * Each entry counts with one request more than it has in flight, so that an
+ * entry without requests still has a share to start with. The shares of all
+ * entries add up to one when they have the same reports, and follow the demand
+ * with the delay of the reports. */
 double
-ShareOf(const demand& aDemand, std::size_t aEntries);
+ShareOf(const customer_demand& aDemand, std::size_t aEntries);
 
 } // namespace lavender::admission
--- a/Duties/Admission/TestBackPressure.cpp
+++ b/Duties/Admission/TestBackPressure.cpp
@@ -12,45 +12,47 @@
 
 constexpr const char* kPool = "model-pool";
 
-struct tally
+struct traffic_counts
 {
   int mSent = 0;
-  int mTaken = 0;
-  int mRefusedHere = 0;
+  int mAccepted = 0;
+  int mRefusedLocally = 0;
 };
 
-/** Requests of one customer, of which the agents take that many a second. */
+/** Sends one customer's requests to agents that accept a fixed number of them
+ * per second. */
 struct traffic
 {
   pressure_map mPressures;
   std::mt19937_64 mRandom{ 5 };
   time_point mNow{ 1h };
 
-  tally Run(const std::string& aCustomer,
-            int aPerSecond,
-            int aTakenPerSecond,
-            std::chrono::seconds aFor)
+  traffic_counts Run(const std::string& aCustomer,
+                     int aPerSecond,
+                     int aAcceptedPerSecond,
+                     std::chrono::seconds aFor)
   {
-    tally result;
+    traffic_counts result;
     std::uniform_real_distribution<double> draw(0, 1);
     double room = 1;
     for (int i = 0; i < aPerSecond * aFor.count(); ++i) {
       mNow += std::chrono::nanoseconds(1s) / aPerSecond;
-      room =
-        std::min(room + static_cast<double>(aTakenPerSecond) / aPerSecond, 5.0);
+      room = std::min(
+        room + static_cast<double>(aAcceptedPerSecond) / aPerSecond, 5.0);
       if (CheckPressure(
             mPressures, kPool, aCustomer, {}, draw(mRandom), mNow)) {
-        ++result.mRefusedHere;
+        ++result.mRefusedLocally;
         continue;
       }
       ++result.mSent;
-      const bool isTaken = room >= 1;
-      room -= isTaken ? 1 : 0;
-      result.mTaken += isTaken ? 1 : 0;
+      const bool isAccepted = room >= 1;
+      room -= isAccepted ? 1 : 0;
+      result.mAccepted += isAccepted ? 1 : 0;
       NoteOutcome(mPressures,
                   kPool,
                   aCustomer,
-                  isTaken ? std::nullopt : std::optional<milliseconds>(700ms),
+                  isAccepted ? std::nullopt
+                             : std::optional<milliseconds>(700ms),
                   {},
                   mNow);
     }
@@ -62,30 +64,31 @@
 
 BOOST_AUTO_TEST_SUITE(TestBackPressure)
 
-// Customers ask for five times what the servers do. Each refusal costs a
-// message to several agents, and the entries spend their time on refusals.
-BOOST_AUTO_TEST_CASE(AnOverloadIsRefusedBeforeItCostsADispatch)
+// Customers send five times what the servers can run. If only the agents
+// refused requests, each refusal would cost messages to several agents, and the
+// entries would spend their time on refusals.
+BOOST_AUTO_TEST_CASE(OverloadIsRefusedBeforeDispatch)
 {
   traffic run;
   run.Run("large", 500, 100, 3s);
   const auto over = run.Run("large", 500, 100, 10s);
-  BOOST_TEST(over.mTaken >= 950);
+  BOOST_TEST(over.mAccepted >= 950);
   BOOST_TEST(over.mSent <= 1800);
-  BOOST_TEST(over.mRefusedHere > 3000);
-  // The overload ends: refusals end within seconds.
+  BOOST_TEST(over.mRefusedLocally > 3000);
+  // After the overload ends, refusals end within seconds.
   run.Run("large", 80, 100, 4s);
   const auto after = run.Run("large", 80, 100, 5s);
-  BOOST_TEST(after.mRefusedHere == 0);
+  BOOST_TEST(after.mRefusedLocally == 0);
 }
 
-// One customer's overload, and whatever its agents say to it, refuses nobody
-// else; a customer whose requests are all taken is never refused here.
-BOOST_AUTO_TEST_CASE(ACustomerWhoseRequestsAreTakenIsNeverRefused)
+// Refusals of one customer must not affect another: a customer whose requests
+// are all accepted by the agents is never refused by the entry.
+BOOST_AUTO_TEST_CASE(ACustomerWhoseRequestsAreAcceptedIsNeverRefused)
 {
-  BOOST_TEST(rc::check("pressure of one customer on another", [] {
+  BOOST_TEST(rc::check("refusals of one customer beside another", [] {
     pressure_map pressures;
     time_point now(1h);
-    int underWay = 0;
+    int inFlight = 0;
     const int steps = *rc::gen::inRange(1, 200);
     for (int step = 0; step < steps; ++step) {
       now += milliseconds(*rc::gen::inRange(0, 300));
@@ -98,10 +101,10 @@
         NoteOutcome(pressures, kPool, "large", 900ms, {}, now);
       } else if (kind == 1) {
         RC_ASSERT(!CheckPressure(pressures, kPool, "small", {}, draw, now));
-        ++underWay;
-      } else if (underWay > 0) {
+        ++inFlight;
+      } else if (inFlight > 0) {
         NoteOutcome(pressures, kPool, "small", std::nullopt, {}, now);
-        --underWay;
+        --inFlight;
       }
     }
     ForgetIdle(pressures, now + 61s);
--- a/Duties/Admission/TestFairQueue.cpp
+++ b/Duties/Admission/TestFairQueue.cpp
@@ -21,22 +21,23 @@
   return "customer-" + std::to_string(aCustomer);
 }
 
-/** Served cost by weight of one customer ahead of another since both have
- * had waiting requests, with its extremes. */
-struct pair_account
+/** How much more cost by weight was served for one customer than for another
+ * since both have had waiting requests, with its lowest and highest value. */
+struct pair_share
 {
   double mAhead = 0;
   double mLowest = 0;
   double mHighest = 0;
 };
 
-/** What must hold, told without virtual times: who waits, who went. */
+/** Independent model without virtual times: waiting and removed items, and the
+ * fairness bound of each pair of customers. */
 struct oracle
 {
   std::map<std::string, queue_item> mWaiting;
-  std::set<std::string> mGone;
+  std::set<std::string> mRemoved;
   std::array<std::size_t, kCustomers> mCount{};
-  std::array<std::array<pair_account, kCustomers>, kCustomers> mPairs{};
+  std::array<std::array<pair_share, kCustomers>, kCustomers> mPairs{};
 
   static std::size_t IndexOf(const queue_item& aItem)
   {
@@ -52,7 +53,7 @@
   void Leave(const queue_item& aItem)
   {
     RC_ASSERT(mWaiting.erase(aItem.mId) == 1u);
-    RC_ASSERT(mGone.insert(aItem.mId).second);
+    RC_ASSERT(mRemoved.insert(aItem.mId).second);
     const auto index = IndexOf(aItem);
     if (--mCount[index] == 0) {
       for (std::size_t other = 0; other < kCustomers; ++other) {
@@ -105,15 +106,15 @@
                              *rc::gen::inRange<std::int64_t>(1, kMaximumCost),
                              *rc::gen::inRange(0, 3));
   const bool isFull = aOracle.mWaiting.size() >= aQueue.mLimits.mMaximumQueued;
-  const auto answer = Push(aQueue, item, 0, time_point(0s));
-  if (answer.mDisplaced) {
+  const auto pushed = Push(aQueue, item, 0, time_point(0s));
+  if (pushed.mDisplaced) {
     RC_ASSERT(isFull);
-    RC_ASSERT(answer.mDisplaced->mCustomer != item.mCustomer);
-    aOracle.Leave(*answer.mDisplaced);
+    RC_ASSERT(pushed.mDisplaced->mCustomer != item.mCustomer);
+    aOracle.Leave(*pushed.mDisplaced);
   }
-  RC_ASSERT(answer.mIsQueued == (!isFull || answer.mDisplaced.has_value()));
-  RC_ASSERT(answer.mIsQueued || answer.mRetryAfter > 0ms);
-  if (answer.mIsQueued) {
+  RC_ASSERT(pushed.mIsQueued == (!isFull || pushed.mDisplaced.has_value()));
+  RC_ASSERT(pushed.mIsQueued || pushed.mRetryAfter > 0ms);
+  if (pushed.mIsQueued) {
     aOracle.Add(item);
   }
 }
@@ -147,7 +148,7 @@
   aOracle.Leave(item);
 }
 
-/** Waits and refusals of the small customers beside one that floods. */
+/** Waits and refusals of small customers while another one floods the queue. */
 struct flood_result
 {
   int mRefused = 0;
@@ -155,9 +156,9 @@
   int mLargeRefused = 0;
 };
 
-/** One slot that serves a token each millisecond. Seven small customers send
- * 10 tokens each 160 ms, half their eighth of the server; the eighth sends
- * ten times its share. */
+/** Simulates one slot that serves a token per millisecond. Each of seven small
+ * customers sends 10 tokens every 160 ms, half of its fair share of one eighth;
+ * the eighth customer sends ten times its share. */
 flood_result
 Flood(queue_policy aPolicy)
 {
@@ -173,12 +174,12 @@
     item.mCustomer = NameOf(aCustomer);
     item.mCost = 10;
     item.mDeadline = time_point(24h);
-    const auto answer = Push(queue, item, 0, time_point(aNow));
+    const auto pushed = Push(queue, item, 0, time_point(aNow));
     const bool isLarge = aCustomer == 0;
-    result.mRefused += !isLarge && !answer.mIsQueued;
-    result.mLargeRefused += isLarge && !answer.mIsQueued;
-    if (answer.mDisplaced) {
-      const bool isOfLarge = answer.mDisplaced->mCustomer == NameOf(0);
+    result.mRefused += !isLarge && !pushed.mIsQueued;
+    result.mLargeRefused += isLarge && !pushed.mIsQueued;
+    if (pushed.mDisplaced) {
+      const bool isOfLarge = pushed.mDisplaced->mCustomer == NameOf(0);
       result.mLargeRefused += isOfLarge;
       result.mRefused += !isOfLarge;
     }
@@ -211,9 +212,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestFairQueue)
 
-// A backlogged customer's share stays within one request of its weight, no
-// request is lost or served twice, and a slot never idles while one waits.
-BOOST_AUTO_TEST_CASE(KeepsSharesAndLosesNothing)
+// The share of a customer with waiting requests stays within one request of its
+// weight, no request is lost or served twice, and Pop returns an item whenever
+// one is waiting.
+BOOST_AUTO_TEST_CASE(SharesStayFairAndNoRequestIsLost)
 {
   BOOST_TEST(rc::check("fair queue against a list of who waits", [] {
     fair_queue queue;
@@ -236,30 +238,30 @@
     }
     RC_ASSERT(!Pop(queue));
     RC_ASSERT(queue.mCost == 0);
-    RC_ASSERT(queue.mLines.empty());
+    RC_ASSERT(queue.mFlows.empty());
   }));
 }
 
-// A secretary's request is refused or waits behind hundreds of another
-// customer's: that customer sends ten times its share, fills the line, and
-// first come first served gives it the server.
-BOOST_AUTO_TEST_CASE(OneCustomersFloodCostsOnlyItself)
+// With first come, first served, a customer that sends ten times its share
+// fills the queue, and requests of other customers are refused or wait behind
+// hundreds of its requests.
+BOOST_AUTO_TEST_CASE(AFloodOfOneCustomerAffectsOnlyThatCustomer)
 {
   const auto before = Flood(queue_policy::FirstComeFirstServed);
   BOOST_TEST(before.mRefused > 0);
   BOOST_TEST(before.mLongestWait.count() > 500);
   const auto after = Flood(queue_policy::Fair);
   BOOST_TEST(after.mRefused == 0);
-  // At most one request of each other customer goes first.
+  // At most one request of each other customer runs first.
   BOOST_TEST(after.mLongestWait.count() <= 80);
   BOOST_TEST(after.mLargeRefused > 0);
 }
 
-// After an overload, callers wait seconds for nothing but the line that it
-// left behind: the queue was bounded by a count, whatever a request takes.
-BOOST_AUTO_TEST_CASE(TheLineIsAsLongAsASecondDrains)
+// If the queue were bounded only by a count of requests, whatever they cost,
+// callers would wait seconds after an overload until its backlog is worked off.
+BOOST_AUTO_TEST_CASE(TheQueueIsBoundedByItsDelay)
 {
-  BOOST_TEST(rc::check("cost in line against the measured rate", [] {
+  BOOST_TEST(rc::check("queued cost against the measured throughput", [] {
     fair_queue queue;
     queue.mLimits.mSlots = *rc::gen::inRange<std::size_t>(1, 8);
     const auto perToken = milliseconds(*rc::gen::inRange(1, 50));
@@ -277,9 +279,9 @@
         queue.mSize < queue.mLimits.mMaximumQueued &&
         (queue.mSize < queue.mLimits.mSlots || delay <= 999ms);
       const auto size = queue.mSize;
-      const auto answer = Push(queue, item, 0, time_point(0s));
-      RC_ASSERT(answer.mIsQueued || !hasRoom);
-      RC_ASSERT(!answer.mDisplaced || !hasRoom);
+      const auto pushed = Push(queue, item, 0, time_point(0s));
+      RC_ASSERT(pushed.mIsQueued || !hasRoom);
+      RC_ASSERT(!pushed.mDisplaced || !hasRoom);
       RC_ASSERT(queue.mSize <= size || hasRoom || delay <= 1001ms);
       if (*rc::gen::inRange(0, 4) == 0) {
         Pop(queue);
@@ -288,9 +290,9 @@
   }));
 }
 
-// A request is taken in, waits past its deadline and is dropped: the caller
-// lost the time in which it could have asked elsewhere.
-BOOST_AUTO_TEST_CASE(RefusesAtOnceWhatCantMeetItsDeadline)
+// A request that is queued, waits past its deadline and is then dropped would
+// cost the caller the time in which it could have retried elsewhere.
+BOOST_AUTO_TEST_CASE(RefusesImmediatelyWhatCantMeetItsDeadline)
 {
   fair_queue queue;
   queue.mLimits.mSlots = 1;
--- a/Duties/Admission/TestSharedDemand.cpp
+++ b/Duties/Admission/TestSharedDemand.cpp
@@ -14,8 +14,8 @@
 
 constexpr int kLimit = 60;
 
-/** Requests that a customer has in flight at each entry, after that many
- * rounds of reports, when it wants that many at each. */
+/** Requests that a customer has in flight at each entry after aRounds rounds of
+ * reports, when it tries to have aWanted in flight at each. */
 std::vector<int>
 Settle(const std::vector<int>& aWanted, int aRounds)
 {
@@ -36,8 +36,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestSharedDemand)
 
-// A customer's callers all reach one of three entries. It pays for sixty
-// requests at once and is refused from the twenty-first on.
+// All callers of a customer use one of three entries. With a fixed third of the
+// limit of 60 concurrent requests, the customer would be refused from the 21st
+// request on.
 BOOST_AUTO_TEST_CASE(OneEntryMayUseNearlyTheWholeLimit)
 {
   BOOST_TEST(Settle({ 100, 0, 0 }, 1)[0] == kLimit / 3);
@@ -46,8 +47,8 @@
   BOOST_TEST(two[0] + two[1] >= kLimit * 9 / 10);
 }
 
-// The sum over all entries must not pass the limit that an even division
-// keeps, whatever they hold when they see the reports.
+// The requests admitted by all entries must not exceed the limit, whatever each
+// entry has in flight when it gets the reports.
 BOOST_AUTO_TEST_CASE(SharesAddUpToTheLimit)
 {
   BOOST_TEST(rc::check("shares of all entries", [] {
@@ -68,33 +69,33 @@
   }));
 }
 
-BOOST_AUTO_TEST_CASE(RowsOfAllAgentsAddUp)
+BOOST_AUTO_TEST_CASE(LoadsOfAllAgentsAddUp)
 {
-  BOOST_TEST(rc::check("totals against all rows", [] {
+  BOOST_TEST(rc::check("totals against all loads", [] {
     shared_demand shared;
-    std::map<std::string, shared_demand::agent_rows> oracle;
+    std::map<std::string, shared_demand::agent_loads> oracle;
     time_point now(1h);
     const int steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step < steps; ++step) {
       now += milliseconds(*rc::gen::inRange(0, 3000));
       const auto agent = std::to_string(*rc::gen::inRange(0, 4));
-      std::vector<customer_load> rows;
+      std::vector<customer_load> loads;
       for (const char* customer : { "a", "b", "c" }) {
         const int inFlight = *rc::gen::inRange(0, 9);
         if (inFlight > 0) {
-          rows.push_back(
+          loads.push_back(
             { customer, inFlight, *rc::gen::inRange(0, inFlight + 1) });
         }
       }
-      TakeRows(shared, agent, rows, now);
-      oracle[agent] = { rows, now };
+      ApplyAgentLoads(shared, agent, loads, now);
+      oracle[agent] = { loads, now };
       for (const char* customer : { "a", "b", "c" }) {
-        demand sum;
+        customer_demand sum;
         for (const auto& [name, told] : oracle) {
-          for (const auto& row : told.mRows) {
-            if (row.mCustomer == customer && now - told.mHeardAt <= 5s) {
-              sum.mInFlight += row.mInFlight;
-              sum.mOwn += row.mOwn;
+          for (const auto& load : told.mLoads) {
+            if (load.mCustomer == customer && now - told.mUpdatedAt <= 5s) {
+              sum.mInFlight += load.mInFlight;
+              sum.mOwn += load.mOwn;
             }
           }
         }
--- a/Duties/Dispatch/EntryDispatch.cpp
+++ b/Duties/Dispatch/EntryDispatch.cpp
@@ -114,11 +114,11 @@
     rows.push_back({ load.customer, load.in_flight, load.own });
   }
   std::lock_guard lock(mDemandMutex);
-  admission::TakeRows(
+  admission::ApplyAgentLoads(
     mDemand, aServer.mInstance.mName, std::move(rows), boot_clock::now());
 }
 
-admission::demand
+admission::customer_demand
 entry_dispatch::DemandOf(const std::string& aCustomer) const
 {
   std::lock_guard lock(mDemandMutex);
--- a/Duties/Dispatch/EntryDispatch.h
+++ b/Duties/Dispatch/EntryDispatch.h
@@ -98,7 +98,7 @@
 
   /** A customer's requests in flight over all entries, by the agents' reports.
    */
-  admission::demand DemandOf(const std::string& aCustomer) const;
+  admission::customer_demand DemandOf(const std::string& aCustomer) const;
 
   /** Whether the retry budget lets one more attempt be made. */
   bool TakeRetry(const std::string& aReason);
--- a/Duties/Dispatch/Ledger.cpp
+++ b/Duties/Dispatch/Ledger.cpp
@@ -142,7 +142,7 @@
 }
 
 /** Puts the order in line, or gives the reason and the time for a refusal. */
-admission::push_answer
+admission::push_result
 Enqueue(ledger& aLedger,
         const wire::dispatch_order& aOrder,
         time_point aDeadline,
