--- a/Duties/Dispatch/AgentDispatch.cpp
+++ b/Duties/Dispatch/AgentDispatch.cpp
@@ -9,11 +9,11 @@
 using wire::run_state;
 using namespace std::chrono_literals;
 
-/** By how much a wait may end before its time. */
+/** How much before its timeout a wait may end. */
 constexpr milliseconds kTimerSlack = 5ms;
 
 bool
-IsOver(run_state::type aState)
+IsEnded(run_state::type aState)
 {
   return aState != run_state::QUEUED && aState != run_state::RUNNING;
 }
@@ -34,7 +34,7 @@
   for (std::size_t i = 0; i < aLimits.mSlots; ++i) {
     mSlots.emplace_back([this] { RunSlot(); });
   }
-  mCanceller = std::thread([this] { CancelLoop(); });
+  mCancelThread = std::thread([this] { RunCancelLoop(); });
 }
 
 agent_dispatch::~agent_dispatch()
@@ -46,55 +46,55 @@
 agent_dispatch::Dispatch(const wire::dispatch_order& aOrder, milliseconds aWait)
 {
   std::unique_lock lock(mMutex);
-  const auto refused = mLedger.mRefused.size();
-  const auto answer = Admit(mLedger, aOrder, boot_clock::now());
-  if (answer.mState == run_state::QUEUED) {
-    mWorkCame.notify_one();
+  const auto refused = mLedger.mRefusals.size();
+  const auto status = Admit(mLedger, aOrder, boot_clock::now());
+  if (status.mState == run_state::QUEUED) {
+    mWorkAvailable.notify_one();
   }
-  if (mLedger.mRefused.size() != refused) {
-    // Another request may have made room; its entry hears so at once.
-    mEnded.notify_all();
+  if (mLedger.mRefusals.size() != refused) {
+    // A request may have been displaced; this wakes the call that waits for it.
+    mRequestEnded.notify_all();
   }
-  return WaitForEnd(lock, aOrder.request_id, answer, aWait);
+  return WaitForEnd(lock, aOrder.request_id, status, aWait);
 }
 
 wire::dispatch_reply
 agent_dispatch::Await(const std::string& aId, milliseconds aWait)
 {
   std::unique_lock lock(mMutex);
-  const auto answer = Ask(mLedger, aId, boot_clock::now());
-  return WaitForEnd(lock, aId, answer, aWait);
+  const auto status = Query(mLedger, aId, boot_clock::now());
+  return WaitForEnd(lock, aId, status, aWait);
 }
 
 wire::dispatch_reply
 agent_dispatch::Cancel(const std::string& aId, time_point aIssuedAt)
 {
   std::lock_guard lock(mMutex);
-  const auto answer =
+  const auto status =
     dispatch::Cancel(mLedger, aId, aIssuedAt, boot_clock::now());
-  if (answer.mState == run_state::RUNNING) {
-    StopOnServer(aId);
+  if (status.mState == run_state::RUNNING) {
+    QueueServerCancel(aId);
   }
-  mEnded.notify_all();
-  return Describe(aId, answer);
+  mRequestEnded.notify_all();
+  return MakeReply(aId, status);
 }
 
 void
-agent_dispatch::StopOnServer(const std::string& aId)
+agent_dispatch::QueueServerCancel(const std::string& aId)
 {
   if (mServer.mKind == backend_kind::Engine) {
-    // A thread of its own tells the server, since a slow server must not hold
-    // back the answer that the entry waits for.
+    // The cancel is sent by another thread, because a slow server must not
+    // delay the reply that the entry waits for.
     std::string id = aId;
-    mToCancel.TryPush(id);
+    mPendingCancels.TryPush(id);
   }
 }
 
 void
-agent_dispatch::CancelLoop()
+agent_dispatch::RunCancelLoop()
 {
-  while (!mToCancel.IsClosed()) {
-    if (const auto id = mToCancel.Pop(1000ms)) {
+  while (!mPendingCancels.IsClosed()) {
+    if (const auto id = mPendingCancels.Pop(1000ms)) {
       CancelOnServer(mServer, *id);
     }
   }
@@ -103,36 +103,36 @@
 wire::dispatch_reply
 agent_dispatch::WaitForEnd(std::unique_lock<std::mutex>& aLock,
                            const std::string& aId,
-                           ledger_answer aAnswer,
+                           request_status aStatus,
                            milliseconds aWait)
 {
   const auto end = boot_clock::now() + aWait;
-  while (!IsOver(aAnswer.mState)) {
+  while (!IsEnded(aStatus.mState)) {
     const auto now = boot_clock::now();
     if (now >= end) {
       break;
     }
-    mEnded.wait_for(aLock, end - now);
-    aAnswer = Ask(mLedger, aId, boot_clock::now());
+    mRequestEnded.wait_for(aLock, end - now);
+    aStatus = Query(mLedger, aId, boot_clock::now());
   }
-  return Describe(aId, aAnswer);
+  return MakeReply(aId, aStatus);
 }
 
 wire::dispatch_reply
-agent_dispatch::Describe(const std::string& aId, const ledger_answer& aAnswer)
+agent_dispatch::MakeReply(const std::string& aId, const request_status& aStatus)
 {
   wire::dispatch_reply reply;
   reply.echo = aId;
   reply.agent_incarnation = mLedger.mIncarnation;
-  reply.state = aAnswer.mState;
-  reply.reason = aAnswer.mReason;
+  reply.state = aStatus.mState;
+  reply.reason = aStatus.mReason;
   reply.draining = mLedger.mIsDraining;
-  if (aAnswer.mState == run_state::NOT_RUN) {
+  if (aStatus.mState == run_state::NOT_RUN) {
     reply.retry_after_ms =
-      std::max(aAnswer.mRetryAfter, EstimateQueueDelay(mLedger)).count();
+      std::max(aStatus.mRetryAfter, EstimateQueueDelay(mLedger)).count();
   }
   if (const auto row = mLedger.mRows.find(aId); row != mLedger.mRows.end()) {
-    if (aAnswer.mState == run_state::FINISHED) {
+    if (aStatus.mState == run_state::FINISHED) {
       reply.__set_result(row->second.mResult);
     }
   }
@@ -147,11 +147,11 @@
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
-    const auto order = TakeNext(mLedger, boot_clock::now());
+    const auto order = StartNext(mLedger, boot_clock::now());
     if (!order) {
-      // Wakes now and then so that abandoned and late requests are dropped.
-      mWorkCame.wait_for(lock, 500ms);
-      Sweep(mLedger, boot_clock::now());
+      // Wakes periodically to remove expired rows.
+      mWorkAvailable.wait_for(lock, 500ms);
+      RemoveExpired(mLedger, boot_clock::now());
       continue;
     }
     const auto deadline = mLedger.mRows.at(order->request_id).mDeadline;
@@ -165,14 +165,15 @@
       mObserver(*order, run.mResult);
     } else {
       if (run.mState == run_state::OUTCOME_UNKNOWN) {
-        // The server doesn't notice that nobody waits any more.
-        StopOnServer(order->request_id);
+        // The server doesn't notice by itself that nobody waits for the result.
+        QueueServerCancel(order->request_id);
         const bool isLate = boot_clock::now() + kTimerSlack >= deadline;
         run.mReason = isLate ? kDeadline : run.mReason;
       }
       Log(log_level::Warning,
           "dispatch",
-          "Run ended without an answer: " + run.mReason,
+          "Run on the backend server ended without a usable response: " +
+            run.mReason,
           order->request_id);
     }
     lock.lock();
@@ -182,7 +183,7 @@
            run.mReason,
            std::move(run.mResult),
            boot_clock::now());
-    mEnded.notify_all();
+    mRequestEnded.notify_all();
   }
 }
 
@@ -240,24 +241,24 @@
     mLedger.mIsDraining = true;
     RefuseQueued(mLedger, "draining", boot_clock::now());
   }
-  mWorkCame.notify_all();
-  mEnded.notify_all();
+  mWorkAvailable.notify_all();
+  mRequestEnded.notify_all();
   for (auto& slot : mSlots) {
     slot.join();
   }
-  mToCancel.Close();
-  mCanceller.join();
+  mPendingCancels.Close();
+  mCancelThread.join();
   WaitUntilFetched();
 }
 
 void
 agent_dispatch::WaitUntilFetched()
 {
-  const auto mayBeAsked = [this] {
+  const auto mayBeQueried = [this] {
     std::lock_guard lock(mMutex);
-    return MayBeAskedForEnd(mLedger, boot_clock::now());
+    return MayBeQueriedForOutcome(mLedger, boot_clock::now());
   };
-  while (mayBeAsked()) {
+  while (mayBeQueried()) {
     std::this_thread::sleep_for(20ms);
   }
 }
--- a/Duties/Dispatch/AgentDispatch.h
+++ b/Duties/Dispatch/AgentDispatch.h
@@ -13,15 +13,16 @@
 
 namespace lavender::dispatch {
 
-/** Told after each run that the server answered, for billing. */
+/** Called for billing after each run for which the server sent a response. */
 using run_observer =
   std::function<void(const wire::dispatch_order&, wire::run_result&)>;
 
-/** Runs one order on the server and waits for its end. */
+/** Runs one order on the server and blocks until the run has ended. */
 using server_runner =
   std::function<backend_run(const wire::dispatch_order&, milliseconds)>;
 
-/** Runs the ledger with real threads: one for each slot of the server. */
+/** Runs the orders in the agent's ledger on the server, with one thread for
+ * each of the server's slots. */
 class agent_dispatch
 {
 public:
@@ -34,53 +35,56 @@
   agent_dispatch(const agent_dispatch&) = delete;
   agent_dispatch& operator=(const agent_dispatch&) = delete;
 
-  /** Takes an order in and waits at most that long for its end. */
+  /** Admits or refuses an order, and waits at most aWait for its end. */
   wire::dispatch_reply Dispatch(const wire::dispatch_order& aOrder,
                                 milliseconds aWait);
-  /** Waits at most that long for a request's end and tells its state. */
+  /** Waits at most aWait for a request's end, and returns its state. */
   wire::dispatch_reply Await(const std::string& aId, milliseconds aWait);
   wire::dispatch_reply Cancel(const std::string& aId, time_point aIssuedAt);
 
-  /** From now on new orders are refused as "not run". */
+  /** Starts a graceful drain: new orders are refused as "not run". */
   void StartDrain();
   bool IsDraining() const;
   /** Requests queued or running. */
   std::size_t RequestsLeft() const;
   wire::load_figures Load() const;
-  /** Customers with requests here, as the entry of that incarnation is told. */
+  /** Customers with requests at this agent.
+   * @param aEntry incarnation of the entry whose own requests are counted
+   *   separately */
   std::vector<wire::customer_load> CustomerLoads(
     const std::string& aEntry) const;
-  /** Refuses queued requests as "not run", waits for the running ones and for
-   * the entries that fetch their ends, and ends the threads. */
+  /** Refuses queued requests as "not run", waits until the running ones have
+   * ended and entries have had time to fetch the outcomes, and joins the
+   * threads. */
   void Stop();
 
 private:
   void RunSlot();
-  /** Has the server told to stop working on a request. */
-  void StopOnServer(const std::string& aId);
-  void CancelLoop();
+  /** Queues a cancel of a running request for the cancel thread. */
+  void QueueServerCancel(const std::string& aId);
+  void RunCancelLoop();
   void WaitUntilFetched();
-  wire::dispatch_reply Describe(const std::string& aId,
-                                const ledger_answer& aAnswer);
+  wire::dispatch_reply MakeReply(const std::string& aId,
+                                 const request_status& aStatus);
   wire::dispatch_reply WaitForEnd(std::unique_lock<std::mutex>& aLock,
                                   const std::string& aId,
-                                  ledger_answer aAnswer,
+                                  request_status aStatus,
                                   milliseconds aWait);
 
   const backend_server mServer;
   const run_observer mObserver;
   const server_runner mRunner;
   mutable std::mutex mMutex;
-  /** Work for a slot came, or the process ends. */
-  std::condition_variable mWorkCame;
-  /** A request ended. */
-  std::condition_variable mEnded;
+  /** A request was queued, or the process is stopping. */
+  std::condition_variable mWorkAvailable;
+  std::condition_variable mRequestEnded;
   ledger mLedger;
   bool mIsStopping = false;
   std::vector<std::thread> mSlots;
-  /** Running requests that the server is asked to stop. */
-  bounded_ring<std::string> mToCancel{ 256 };
-  std::thread mCanceller;
+  /** Ids of running requests for which the server has yet to be told to stop.
+   */
+  bounded_ring<std::string> mPendingCancels{ 256 };
+  std::thread mCancelThread;
 };
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/AttemptDecision.cpp
+++ b/Duties/Dispatch/AttemptDecision.cpp
@@ -9,7 +9,7 @@
 using wire::wire_state;
 using namespace std::chrono_literals;
 
-/** Margin by which the agent answers before the caller's deadline. */
+/** How much before the caller's deadline the agent replies. */
 constexpr milliseconds kAnswerMargin = 100ms;
 
 attempt_decision
@@ -23,54 +23,55 @@
 }
 
 attempt_decision
-Ask(const attempt_limits& aLimits,
-    attempt_state& aState,
-    attempt_step aStep,
-    time_point aNow,
-    milliseconds aPause)
+MakeStep(const attempt_limits& aLimits,
+         attempt_state& aState,
+         attempt_step aStep,
+         time_point aNow,
+         milliseconds aPause)
 {
   const auto left =
     std::chrono::duration_cast<milliseconds>(aState.mDeadline - aNow) - aPause;
   attempt_decision decision;
   decision.mStep = aStep;
   decision.mPause = aPause;
-  decision.mWait = std::clamp(left - kAnswerMargin, 0ms, aLimits.mWaitSlice);
-  decision.mTimeout = std::clamp(left, kAnswerMargin, aLimits.mSilence);
+  decision.mWait = std::clamp(left - kAnswerMargin, 0ms, aLimits.mMaxWait);
+  decision.mTimeout = std::clamp(left, kAnswerMargin, aLimits.mReplyTimeout);
   aState.mLastStep = aStep;
   return decision;
 }
 
 attempt_decision
-Withdraw(const attempt_limits& aLimits,
-         attempt_state& aState,
-         std::string aReason,
-         time_point aNow,
-         milliseconds aPause)
+MakeCancel(const attempt_limits& aLimits,
+           attempt_state& aState,
+           std::string aReason,
+           time_point aNow,
+           milliseconds aPause)
 {
   if (aState.mCancelReason.empty()) {
     aState.mCancelReason = std::move(aReason);
   }
-  auto decision = Ask(aLimits, aState, attempt_step::Cancel, aNow, aPause);
+  auto decision = MakeStep(aLimits, aState, attempt_step::Cancel, aNow, aPause);
   decision.mWait = 0ms;
-  decision.mTimeout = std::max(decision.mTimeout, aLimits.mLastWord);
+  decision.mTimeout = std::max(decision.mTimeout, aLimits.mMinCancelTimeout);
   return decision;
 }
 
-/** Reason for a caller whose attempt the agent refused or took back. */
+/** Reason told to a caller whose attempt the agent refused or cancelled. */
 std::string
 RefusalReason(const attempt_state& aState, const wire::dispatch_reply& aReply)
 {
   return aState.mCancelReason.empty() ? aReply.reason : aState.mCancelReason;
 }
 
-/** Verdict on a reply of another incarnation than the order was meant for. */
+/** Decides on a reply by another incarnation than the order was addressed to.
+ */
 attempt_decision
 DecideOnOtherIncarnation(const attempt_state& aState,
                          const wire::dispatch_reply& aReply)
 {
-  // The order went out once, on one connection, and the process that answers
-  // on that connection is the one that read it: it refused, so nothing ran.
-  // Any later question may reach a successor of a process that ran it.
+  // The order was sent once, on one connection, and the process that replies on
+  // that connection is the one that read it. It refused the order, so nothing
+  // ran. Any later call may reach the successor of a process that ran it.
   if (aState.mLastStep == attempt_step::Dispatch &&
       aReply.state == run_state::NOT_RUN) {
     return Finish(ran::NotRun, kServerRestarted);
@@ -78,7 +79,8 @@
   return Finish(ran::OutcomeUnknown, kServerRestarted);
 }
 
-/** Verdict on a reply that ends the attempt; Await when it doesn't. */
+/** Decides on a reply of the addressed incarnation; returns step Await if the
+ * attempt hasn't ended. */
 attempt_decision
 DecideOnEnd(const attempt_state& aState, wire::dispatch_reply aReply)
 {
@@ -96,46 +98,47 @@
     return Finish(ran::OutcomeUnknown, aReply.reason);
   }
   if (aState.mLastStep == attempt_step::Cancel) {
-    // It runs and can't be taken back.
+    // The request is already running and can't be cancelled.
     return Finish(ran::OutcomeUnknown, aState.mCancelReason);
   }
-  attempt_decision open;
-  open.mStep = attempt_step::Await;
-  return open;
+  attempt_decision pending;
+  pending.mStep = attempt_step::Await;
+  return pending;
 }
 
-/** Next step while the agent gave no word. */
+/** Next step after a call without a reply. */
 attempt_decision
-DecideOnSilence(const attempt_limits& aLimits,
+DecideOnNoReply(const attempt_limits& aLimits,
                 attempt_state& aState,
                 const attempt_event& aEvent)
 {
   const bool isRefused = aEvent.mWire == wire_state::Refused;
-  const bool hasLeft = !isRefused && aEvent.mWire != wire_state::NotSent;
-  if (aState.mLastStep == attempt_step::Dispatch && !hasLeft) {
+  const bool mayHaveBeenSent =
+    !isRefused && aEvent.mWire != wire_state::NotSent;
+  if (aState.mLastStep == attempt_step::Dispatch && !mayHaveBeenSent) {
     return Finish(ran::NotRun, "server_unreachable");
   }
   if (isRefused) {
-    // The only process that knew the outcome is gone; asking on is no use.
+    // The only process that knew the outcome no longer runs.
     return Finish(ran::OutcomeUnknown, kServerGone);
   }
-  if (aEvent.mNow - aState.mHeardAt > aLimits.mGiveUpAfter) {
+  if (aEvent.mNow - aState.mLastReplyAt > aLimits.mGiveUpAfter) {
     return Finish(ran::OutcomeUnknown, "server_silent");
   }
   if (aState.mLastStep == attempt_step::Cancel) {
     if (aEvent.mNow >= aState.mDeadline) {
       return Finish(ran::OutcomeUnknown, aState.mCancelReason);
     }
-    return Withdraw(aLimits, aState, "", aEvent.mNow, aLimits.mPause);
+    return MakeCancel(aLimits, aState, "", aEvent.mNow, aLimits.mPause);
   }
-  return Ask(aLimits,
-             aState,
-             attempt_step::Await,
-             aEvent.mNow,
-             hasLeft ? 0ms : aLimits.mPause);
+  return MakeStep(aLimits,
+                  aState,
+                  attempt_step::Await,
+                  aEvent.mNow,
+                  mayHaveBeenSent ? 0ms : aLimits.mPause);
 }
 
-/** Why the caller can't wait any longer; empty when it can. */
+/** Why the caller stops waiting; empty if it still waits. */
 std::string
 FindStopReason(const attempt_state& aState, const attempt_event& aEvent)
 {
@@ -148,10 +151,10 @@
 Begin(const attempt_limits& aLimits, attempt_state& aState, time_point aNow)
 {
   aState.mStartedAt = aNow;
-  aState.mHeardAt = aNow;
+  aState.mLastReplyAt = aNow;
   const auto step = aState.mRole == attempt_role::Owner ? attempt_step::Dispatch
                                                         : attempt_step::Await;
-  return Ask(aLimits, aState, step, aNow, 0ms);
+  return MakeStep(aLimits, aState, step, aNow, 0ms);
 }
 
 attempt_decision
@@ -163,36 +166,36 @@
   const auto runState = aEvent.mReply.state;
   attempt_decision next;
   if (!isAnswered) {
-    next = DecideOnSilence(aLimits, aState, aEvent);
+    next = DecideOnNoReply(aLimits, aState, aEvent);
   } else if (aEvent.mReply.agent_incarnation != aState.mIncarnation) {
     next = DecideOnOtherIncarnation(aState, aEvent.mReply);
   } else {
-    aState.mHeardAt = aEvent.mNow;
+    aState.mLastReplyAt = aEvent.mNow;
     next = DecideOnEnd(aState, std::move(aEvent.mReply));
   }
   if (next.mStep != attempt_step::Await) {
     return next;
   }
   if (const auto reason = FindStopReason(aState, aEvent); !reason.empty()) {
-    // A follower's caller may not take back what another caller waits for.
+    // A follower must not cancel an attempt that another caller waits for.
     return aState.mRole == attempt_role::Follower
              ? Finish(ran::OutcomeUnknown, reason)
-             : Withdraw(aLimits, aState, reason, aEvent.mNow, 0ms);
+             : MakeCancel(aLimits, aState, reason, aEvent.mNow, 0ms);
   }
   if (isAnswered && runState == run_state::UNKNOWN_ID) {
     const bool mayStillArrive =
       aState.mRole == attempt_role::Follower &&
       aEvent.mNow - aState.mStartedAt < aLimits.mArrivalGrace;
     if (!mayStillArrive) {
-      // The order was lost or is still on its way; the tombstone that a
-      // cancel leaves makes sure that it never runs.
-      return Withdraw(aLimits, aState, "dispatch_lost", aEvent.mNow, 0ms);
+      // The order was lost or is still in transit. The tombstone that a cancel
+      // leaves at the agent guarantees that the order never runs.
+      return MakeCancel(aLimits, aState, "dispatch_lost", aEvent.mNow, 0ms);
     }
-    return Ask(
+    return MakeStep(
       aLimits, aState, attempt_step::Await, aEvent.mNow, aLimits.mPause);
   }
   return isAnswered
-           ? Ask(aLimits, aState, attempt_step::Await, aEvent.mNow, 0ms)
+           ? MakeStep(aLimits, aState, attempt_step::Await, aEvent.mNow, 0ms)
            : next;
 }
 
--- a/Duties/Dispatch/AttemptDecision.h
+++ b/Duties/Dispatch/AttemptDecision.h
@@ -5,31 +5,31 @@
 
 #include <string>
 
-/** How an entry follows one attempt on one server to its end. No I/O: the
- * caller of Decide carries out each step and reports what came of it. */
+/** State machine by which an entry follows one attempt on one server until it
+ * has ended. No I/O: the caller of Decide executes each step and passes the
+ * result to the next call. */
 namespace lavender::dispatch {
 
-/** Reasons that other decisions depend on. */
+/** Stable reason codes that other decisions depend on. */
 constexpr const char* kServerRestarted = "server_restarted";
 constexpr const char* kServerGone = "server_gone";
 constexpr const char* kDeadline = "deadline";
 
-/** Times that bound one attempt. */
+/** Timeouts of one attempt. */
 struct attempt_limits
 {
-  /** How long one message to an agent waits for the request's end. */
-  milliseconds mWaitSlice{ 500 };
-  /** Silence after which a connection counts as dead. */
-  milliseconds mSilence{ 1500 };
-  /** How long an agent that gives no word is asked before the outcome is
-   * called unknown. */
+  /** How long one call to an agent waits for the request's end. */
+  milliseconds mMaxWait{ 500 };
+  /** A connection without a reply for this long counts as dead. */
+  milliseconds mReplyTimeout{ 1500 };
+  /** The outcome is unknown when the agent hasn't replied for this long. */
   milliseconds mGiveUpAfter{ 5000 };
-  /** Longest wait for a cancel's answer when the deadline has passed. */
-  milliseconds mLastWord{ 500 };
-  /** Pause after a failed connection. */
+  /** Minimum timeout of a cancel, which also applies after the deadline. */
+  milliseconds mMinCancelTimeout{ 500 };
+  /** Pause before retrying a failed connection. */
   milliseconds mPause{ 50 };
-  /** How long a follower lets an order arrive that its owner has recorded and
-   * may just be sending. */
+  /** How long a follower waits for an order to arrive at the agent: the owner
+   * records the attempt before it sends the order. */
   milliseconds mArrivalGrace{ 500 };
 };
 
@@ -43,9 +43,10 @@
 
 enum class attempt_role
 {
-  /** Sends the order, and withdraws it when its own caller can't wait. */
+  /** Sends the order, and cancels it when its caller stops waiting. */
   Owner,
-  /** Fetches the end of another process's attempt and leaves it alone. */
+  /** Waits for the outcome of another request's attempt, and doesn't cancel it
+   * when its own caller stops waiting. */
   Follower
 };
 
@@ -56,21 +57,21 @@
   std::string mIncarnation;
   time_point mDeadline;
   time_point mStartedAt;
-  /** Last word from the agent. */
-  time_point mHeardAt;
+  /** When the agent last replied. */
+  time_point mLastReplyAt;
   attempt_step mLastStep = attempt_step::Dispatch;
-  /** Why the attempt is being withdrawn; empty while it isn't. */
+  /** Why the attempt is being cancelled; empty if it isn't. */
   std::string mCancelReason;
 };
 
-/** What came of the last step. */
+/** Result of the last step. */
 struct attempt_event
 {
   wire::wire_state mWire = wire::wire_state::NotSent;
-  /** The agent's reply, when it answered. */
+  /** The agent's reply; valid if mWire is Answered. */
   wire::dispatch_reply mReply;
   time_point mNow;
-  /** Why the caller's request must stop, such as a withdrawn key. */
+  /** Why the caller's request must stop, such as a revoked key; else empty. */
   std::string mStopReason;
 };
 
@@ -79,21 +80,21 @@
   attempt_step mStep = attempt_step::Finish;
   /** Pause before the step. */
   milliseconds mPause{ 0 };
-  /** How long the agent may hold its answer back. */
+  /** How long the agent may wait for the request's end before it replies. */
   milliseconds mWait{ 0 };
-  /** Silence after which the step counts as unanswered. */
+  /** Without a reply for this long the step has failed. */
   milliseconds mTimeout{ 0 };
-  /** With Finish. */
+  /** Valid with step Finish. */
   call_outcome mOutcome;
 };
 
-/** First step: the owner dispatches, a follower asks. */
+/** First step: an owner dispatches the order, a follower awaits its outcome. */
 attempt_decision
 Begin(const attempt_limits& aLimits, attempt_state& aState, time_point aNow);
 
-/** Next step after what came of the last one. "Not run" is decided only when
- * the order can't have left, or on the word of the agent that it was meant
- * for; everything else that stays open is an unknown outcome. */
+/** Next step after the result of the last one. The outcome is "not run" only if
+ * the order can't have been sent or the agent that it was addressed to says so;
+ * an outcome that can't be determined is unknown. */
 attempt_decision
 Decide(const attempt_limits& aLimits,
        attempt_state& aState,
--- a/Duties/Dispatch/BackendServer.cpp
+++ b/Duties/Dispatch/BackendServer.cpp
@@ -26,11 +26,11 @@
   return request;
 }
 
-/** Reads counts and weight versions from an engine's answer. False when the
- * body isn't a whole document, or when the engine stopped on a cancel: an
- * answer cut short is no answer. */
+/** Reads token counts and weight versions from an engine's response. False when
+ * the body isn't a complete JSON document or the engine stopped because of a
+ * cancel; a partial response isn't used. */
 bool
-ReadEngineAnswer(wire::run_result& aResult)
+ReadEngineResponse(wire::run_result& aResult)
 {
   const auto body = json::Parse(aResult.body);
   if (!body || !body->Find("text") ||
@@ -73,7 +73,7 @@
   run.mResult.content_type = outcome.mResponse.mContentType;
   run.mResult.body = outcome.mResponse.mBody;
   if (aServer.mKind == backend_kind::Engine && run.mResult.http_status == 200 &&
-      !ReadEngineAnswer(run.mResult)) {
+      !ReadEngineResponse(run.mResult)) {
     run.mReason = "answer_cut_short";
     return run;
   }
--- a/Duties/Dispatch/BackendServer.h
+++ b/Duties/Dispatch/BackendServer.h
@@ -14,7 +14,7 @@
   Service
 };
 
-/** The one backend server that an agent stands beside. */
+/** The backend server that an agent sends requests to. */
 struct backend_server
 {
   backend_kind mKind = backend_kind::Engine;
@@ -29,19 +29,19 @@
   wire::run_result mResult;
 };
 
-/** Runs one order on the server and waits for the whole answer.
- * A connection that can't be opened is a truthful "not run"; silence or a cut
- * after that is an unknown outcome. */
+/** Runs one order on the server and blocks until the complete response arrived.
+ * If the connection can't be opened, the request did not run; if no response
+ * arrives or it is cut short, the outcome is unknown. */
 backend_run
 RunOnServer(const backend_server& aServer,
             const wire::dispatch_order& aOrder,
             milliseconds aTimeout);
 
-/** Tells an engine to stop generating for a request; best effort. */
+/** Tells an engine to stop generating for a request. Errors are ignored. */
 void
 CancelOnServer(const backend_server& aServer, const std::string& aRequestId);
 
-/** What the server says of its own load. */
+/** Load as reported by the server itself. */
 struct server_load
 {
   bool mIsReachable = false;
@@ -51,7 +51,8 @@
 server_load
 ReadLoad(const backend_server& aServer);
 
-/** The weights that an engine truly holds; version 0 when it doesn't tell. */
+/** Weights that an engine reports as loaded; version 0 if it doesn't report
+ * any. */
 struct held_weights
 {
   std::string mModel;
@@ -61,8 +62,8 @@
 held_weights
 ReadWeights(const backend_server& aServer);
 
-/** Orders an engine to load a weight version.
- * @return reason of a failure, empty when the engine took the order */
+/** Requests that an engine load a weight version.
+ * @return reason code of a failure; empty if the engine accepted the request */
 std::string
 OrderWeights(const backend_server& aServer,
              const std::string& aModel,
--- a/Duties/Dispatch/CallOutcome.h
+++ b/Duties/Dispatch/CallOutcome.h
@@ -7,7 +7,7 @@
 
 namespace lavender::dispatch {
 
-/** Whether a request ran; told to the caller with every refusal. */
+/** Whether a request ran; sent to the caller with every refusal. */
 enum class ran
 {
   NotRun,
@@ -15,7 +15,7 @@
   Ran
 };
 
-/** Stable word for JSON bodies. */
+/** Stable name used in JSON bodies. */
 inline const char*
 WordFor(ran aRan)
 {
@@ -30,24 +30,24 @@
   return "outcome_unknown";
 }
 
-/** Whose run an answer comes from. */
+/** Which request made the run that a result comes from. */
 enum class answer_source
 {
   OwnRun,
-  /** Another request with the same Idempotency-Key made the run, and it is
-   * billed there. */
+  /** Another request with the same Idempotency-Key made the run and is billed
+   * for it. */
   SharedRun
 };
 
-/** The end of one request as the entry knows it. */
+/** Outcome of one request as known to the entry. */
 struct call_outcome
 {
   ran mRan = ran::NotRun;
-  /** Stable reason code; empty with an answer. */
+  /** Stable reason code; empty with a result. */
   std::string mReason;
-  /** When coming back makes sense; zero when it doesn't. */
+  /** Time until a retry makes sense; zero if it doesn't. */
   milliseconds mRetryAfter{ 0 };
-  /** The whole answer, when mRan is Ran. */
+  /** The complete result; valid if mRan is Ran. */
   wire::run_result mResult;
   std::string mServerName;
   std::string mServerIncarnation;
--- a/Duties/Dispatch/CallRecord.h
+++ b/Duties/Dispatch/CallRecord.h
@@ -9,18 +9,18 @@
 
 namespace lavender::dispatch {
 
-/** Kind of the objects that hold one record for each Idempotency-Key. */
+/** Object kind of the records, of which there is one per Idempotency-Key. */
 constexpr const char* kCallKind = "Call";
 
-/** What the Object API keeps for the Idempotency-Key of a call that may not
- * be repeated: the one attempt that may run. */
+/** Record stored in the Object API for the Idempotency-Key of a call that may
+ * not be repeated; names the one attempt that may run. */
 struct call_record
 {
   attempt_ticket mTicket;
   /** Digest of the request that the key was first used with. */
   std::string mFingerprint;
-  /** Until then the record stays; later than the request's own deadline, so
-   * that no run outlives the memory of its key. */
+  /** When the record may be removed; later than the request's deadline, so that
+   * the record exists for as long as the request may run. */
   std::chrono::system_clock::time_point mKeepUntil;
 };
 
--- a/Duties/Dispatch/EntryDispatch.cpp
+++ b/Duties/Dispatch/EntryDispatch.cpp
@@ -14,14 +14,14 @@
 using wire::wire_state;
 using namespace std::chrono_literals;
 
-/** Silence after which a server gets no new requests. */
 constexpr membership::heartbeat_limits kHeartbeatLimits;
 constexpr milliseconds kDefaultRetryAfter = 1000ms;
-/** Two clocks drift less than this apart between two reports of an agent. */
+/** Upper bound of the drift between the entry's and the agent's clock between
+ * two reports of the agent. */
 constexpr milliseconds kClockMargin = 10ms;
 
 milliseconds
-Left(time_point aDeadline)
+TimeLeft(time_point aDeadline)
 {
   return std::chrono::duration_cast<milliseconds>(aDeadline -
                                                   boot_clock::now());
@@ -43,7 +43,7 @@
   order.payload = aCall.mPayload;
   order.weight = aCall.mWeight;
   order.cost_tokens = aCall.mCostTokens;
-  order.deadline_left_ms = Left(aCall.mDeadline).count();
+  order.deadline_left_ms = TimeLeft(aCall.mDeadline).count();
   order.repeatable = aCall.mIsRepeatable;
   order.priority = aCall.mPriority;
   order.oldest_weight_version = aCall.mOldestWeightVersion;
@@ -69,9 +69,9 @@
          membership::server_state::Live;
 }
 
-/** What an attempt's end says about its server. */
+/** What the outcome of an attempt says about the server's health. */
 routing::evidence
-EvidenceOf(const call_outcome& aOutcome)
+HealthSignalOf(const call_outcome& aOutcome)
 {
   constexpr int kServerError = 500;
   if (aOutcome.mRan == ran::Ran) {
@@ -84,7 +84,8 @@
              ? routing::evidence::Failure
              : routing::evidence::Neutral;
   }
-  // Given up by the caller's deadline or a withdrawn key: not its fault.
+  // Other unknown outcomes, such as the caller's deadline or a revoked key,
+  // aren't caused by the server.
   return aOutcome.mReason == "server_silent" ||
              aOutcome.mReason == "answer_cut_short"
            ? routing::evidence::Failure
@@ -107,7 +108,7 @@
 }
 
 void
-entry_dispatch::TakeDemand(const server_view& aServer)
+entry_dispatch::ApplyDemand(const server_view& aServer)
 {
   std::vector<admission::customer_load> rows;
   for (const auto& load : aServer.mCustomers) {
@@ -137,9 +138,9 @@
   report.mTakesWork = IsUsable(aServer, boot_clock::now());
   report.mMadeAt = aServer.mReportedAt;
   report.mCachedPrefixes = aServer.mLoad.cached_prefixes;
-  TakeDemand(aServer);
-  std::lock_guard lock(mRoutesMutex);
-  auto [table, isNew] = mRoutes.try_emplace(aServer.mInstance.mPool);
+  ApplyDemand(aServer);
+  std::lock_guard lock(mRoutingMutex);
+  auto [table, isNew] = mRoutingTables.try_emplace(aServer.mInstance.mPool);
   if (isNew) {
     table->second.mLimits = mOptions.mRouting;
   }
@@ -155,9 +156,9 @@
   while (true) {
     std::optional<std::string> chosen;
     {
-      std::lock_guard lock(mRoutesMutex);
-      const auto table = mRoutes.find(aPool);
-      if (table != mRoutes.end()) {
+      std::lock_guard lock(mRoutingMutex);
+      const auto table = mRoutingTables.find(aPool);
+      if (table != mRoutingTables.end()) {
         chosen =
           routing::Choose(table->second, request, mRandom, boot_clock::now());
       }
@@ -170,9 +171,10 @@
         IsUsable(*server, boot_clock::now())) {
       return server;
     }
-    // It left or fell silent since its report; one row fewer each time.
-    std::lock_guard lock(mRoutesMutex);
-    routing::TakeOut(mRoutes.at(aPool), *chosen);
+    // The server has left or stopped responding since its report. Each
+    // iteration excludes one server, so the loop ends.
+    std::lock_guard lock(mRoutingMutex);
+    routing::TakeOut(mRoutingTables.at(aPool), *chosen);
   }
 }
 
@@ -181,27 +183,32 @@
                                   const std::string& aServer,
                                   const wire::load_figures& aLoad)
 {
-  // A request sent in this while before may not have reached the agent when it
-  // answered; it then counts as not shown.
-  constexpr milliseconds kOnItsWay = 1ms;
-  const auto madeAt = boot_clock::now() - kOnItsWay;
-  std::lock_guard lock(mRoutesMutex);
-  if (const auto table = mRoutes.find(aPool); table != mRoutes.end()) {
+  // A request sent this shortly before the reply arrived may not have reached
+  // the agent when it replied, and counts as not included in the figures.
+  constexpr milliseconds kTransitTime = 1ms;
+  const auto madeAt = boot_clock::now() - kTransitTime;
+  std::lock_guard lock(mRoutingMutex);
+  if (const auto table = mRoutingTables.find(aPool);
+      table != mRoutingTables.end()) {
     routing::ApplyRequestCount(
       table->second, aServer, aLoad.queued + aLoad.running, madeAt);
   }
 }
 
 void
-entry_dispatch::TakeEvidence(const call& aCall,
-                             const std::string& aServer,
-                             time_point aSentAt,
-                             const call_outcome& aOutcome)
+entry_dispatch::RecordAttemptEnd(const call& aCall,
+                                 const std::string& aServer,
+                                 time_point aSentAt,
+                                 const call_outcome& aOutcome)
 {
-  std::lock_guard lock(mRoutesMutex);
-  if (const auto table = mRoutes.find(aCall.mPool); table != mRoutes.end()) {
-    routing::NoteEnded(
-      table->second, aServer, aSentAt, EvidenceOf(aOutcome), boot_clock::now());
+  std::lock_guard lock(mRoutingMutex);
+  if (const auto table = mRoutingTables.find(aCall.mPool);
+      table != mRoutingTables.end()) {
+    routing::NoteEnded(table->second,
+                       aServer,
+                       aSentAt,
+                       HealthSignalOf(aOutcome),
+                       boot_clock::now());
   }
 }
 
@@ -215,20 +222,20 @@
   auto outcome = Refuse(ran::NotRun, "no_server");
   CountFirstAttempt();
   while (true) {
-    if (Left(aCall.mDeadline) <= 0ms) {
-      return Conclude(progress, Refuse(ran::NotRun, kDeadline));
+    if (TimeLeft(aCall.mDeadline) <= 0ms) {
+      return FinalOutcome(progress, Refuse(ran::NotRun, kDeadline));
     }
     const auto server = Pick(aCall.mPool, tried, aCall.mPrefix);
     if (!server) {
-      return Conclude(progress, std::move(outcome));
+      return FinalOutcome(progress, std::move(outcome));
     }
     const auto number = std::to_string(progress.mAttempts + 1);
     const auto ticket = Issue(aCall.mRequestId + "." + number, *server);
     outcome = Attempt(aCall, ticket);
-    const bool mayGoOn = TakeAttempt(progress, outcome);
+    const bool mayRetry = ApplyAttemptOutcome(progress, outcome);
     const bool isStopped = aCall.mStopReason && !aCall.mStopReason().empty();
-    if (!mayGoOn || isStopped || !TakeRetry(outcome.mReason)) {
-      return Conclude(progress, std::move(outcome));
+    if (!mayRetry || isStopped || !TryConsumeRetry(outcome.mReason)) {
+      return FinalOutcome(progress, std::move(outcome));
     }
     if (outcome.mRan == ran::OutcomeUnknown && mOptions.mOnSuperseded) {
       mOptions.mOnSuperseded(ticket);
@@ -245,12 +252,12 @@
 }
 
 bool
-entry_dispatch::TakeRetry(const std::string& aReason)
+entry_dispatch::TryConsumeRetry(const std::string& aReason)
 {
   bool isAllowed = false;
   {
     std::lock_guard lock(mBudgetMutex);
-    isAllowed = dispatch::TakeRetry(mBudget, boot_clock::now());
+    isAllowed = dispatch::TryConsumeRetry(mBudget, boot_clock::now());
   }
   mMetrics.Count(isAllowed ? "lavender_retries_total"
                            : "lavender_retries_refused_total",
@@ -262,9 +269,9 @@
 entry_dispatch::Issue(const std::string& aAttemptId,
                       const server_view& aServer) const
 {
-  // The agent told its clock before the entry heard it, and the margin covers
-  // what the two clocks drift apart until the next report, so that the sum is
-  // never ahead of the agent's true time.
+  // The agent read its clock before the entry received the report, and the
+  // margin covers the drift of the two clocks until the next report, so the sum
+  // is never ahead of the agent's true time.
   const auto sinceHeard = std::chrono::duration_cast<milliseconds>(
     boot_clock::now() - *aServer.mHeardAt);
   return { aAttemptId,
@@ -282,27 +289,27 @@
   const auto& name = aTicket.mServerName;
   const auto sentAt = boot_clock::now();
   {
-    std::lock_guard lock(mRoutesMutex);
-    routing::NoteSent(mRoutes[aCall.mPool], name, aCall.mPrefix, sentAt);
+    std::lock_guard lock(mRoutingMutex);
+    routing::NoteSent(mRoutingTables[aCall.mPool], name, aCall.mPrefix, sentAt);
   }
   call_outcome outcome;
-  scope_guard guard([&] { TakeEvidence(aCall, name, sentAt, outcome); });
-  outcome = Follow(aCall, aTicket, attempt_role::Owner);
+  scope_guard guard([&] { RecordAttemptEnd(aCall, name, sentAt, outcome); });
+  outcome = FollowAttempt(aCall, aTicket, attempt_role::Owner);
   return outcome;
 }
 
 call_outcome
 entry_dispatch::Fetch(const call& aCall, const attempt_ticket& aTicket)
 {
-  auto outcome = Follow(aCall, aTicket, attempt_role::Follower);
+  auto outcome = FollowAttempt(aCall, aTicket, attempt_role::Follower);
   outcome.mSource = answer_source::SharedRun;
   return outcome;
 }
 
 call_outcome
-entry_dispatch::Follow(const call& aCall,
-                       const attempt_ticket& aTicket,
-                       attempt_role aRole)
+entry_dispatch::FollowAttempt(const call& aCall,
+                              const attempt_ticket& aTicket,
+                              attempt_role aRole)
 {
   attempt_state state;
   state.mRole = aRole;
@@ -312,7 +319,7 @@
   while (decision.mStep != attempt_step::Finish) {
     std::this_thread::sleep_for(decision.mPause);
     decision =
-      Decide(mOptions.mLimits, state, TakeStep(aCall, aTicket, decision));
+      Decide(mOptions.mLimits, state, RunStep(aCall, aTicket, decision));
   }
   auto& outcome = decision.mOutcome;
   outcome.mServerName = aTicket.mServerName;
@@ -321,12 +328,12 @@
 }
 
 attempt_event
-entry_dispatch::TakeStep(const call& aCall,
-                         const attempt_ticket& aTicket,
-                         const attempt_decision& aDecision)
+entry_dispatch::RunStep(const call& aCall,
+                        const attempt_ticket& aTicket,
+                        const attempt_decision& aDecision)
 {
   attempt_event event;
-  // Looked up for each step: a restarted agent may listen elsewhere.
+  // Looked up in each step, because a restarted agent may have another address.
   if (const auto server = mDirectory.Find(aTicket.mServerName)) {
     const auto wait = static_cast<std::int32_t>(aDecision.mWait.count());
     auto result = server->mConnections->Run<wire::dispatch_reply>(
--- a/Duties/Dispatch/EntryDispatch.h
+++ b/Duties/Dispatch/EntryDispatch.h
@@ -19,7 +19,7 @@
 
 namespace lavender::dispatch {
 
-/** A request that has been admitted and wants a server. */
+/** An admitted request that is to run on a server. */
 struct call
 {
   std::string mRequestId;
@@ -30,24 +30,26 @@
   std::string mMethod;
   std::string mPath;
   std::string mPayload;
-  /** Digest of what the caller sent; tells a repeated request from another
-   * one under the same Idempotency-Key. */
+  /** Digest of what the caller sent; distinguishes a repeated request from a
+   * different one with the same Idempotency-Key. */
   std::string mFingerprint;
   double mWeight = 1;
   std::int64_t mCostTokens = 1;
   int mPriority = 0;
   time_point mDeadline;
-  /** Of the prompt, for affinity to a server that cached it; 0 for none. */
+  /** Digest of the prompt's prefix, for affinity to a server that has cached
+   * it; 0 for none. */
   std::int64_t mPrefix = 0;
   bool mIsRepeatable = true;
-  /** For samples: oldest acceptable weight version, 0 for none. */
+  /** For samples: oldest acceptable weight version; 0 accepts any. */
   std::int64_t mOldestWeightVersion = 0;
-  /** Asked while the request waits: a reason to stop it, or empty. */
+  /** Polled while the request waits; returns a reason to stop the request, or
+   * an empty string. */
   std::function<std::string()> mStopReason;
-  /** The same, asked only while the request is queued: work that already runs
-   * isn't stopped for it. */
+  /** Like mStopReason, but polled only while the request is queued; a running
+   * request isn't stopped for it. */
   std::function<std::string()> mQueuedStopReason;
-  /** Told the server's name before each attempt; may be empty. */
+  /** Called with the server's name before each attempt; may be empty. */
   std::function<void(const std::string&)> mOnAttempt;
 };
 
@@ -59,16 +61,16 @@
   int mMaximumAttempts = 3;
   retry_budget_limits mRetryBudget;
   routing::table_limits mRouting;
-  /** Told of an attempt that may have run, and may yet be counted by its
-   * agent, when the call is repeated at another. */
+  /** Called when a call is repeated on another server, with the earlier attempt
+   * if that may have run and its agent may still count it. */
   std::function<void(const attempt_ticket&)> mOnSuperseded;
 };
 
-/** Brings one request to one server and its answer back.
+/** Dispatches requests to the agents of servers and returns their outcomes.
  *
- * Each attempt has an id of its own. A call that may not be repeated goes
- * elsewhere only after the agent's word that the attempt did not run and
- * never will. */
+ * Each attempt has its own id. A call that may not be repeated is sent to
+ * another server only after the agent has confirmed that the attempt did not
+ * run and never will. */
 class entry_dispatch
 {
 public:
@@ -76,60 +78,60 @@
                  membership::server_directory& aDirectory,
                  metrics::registry& aMetrics);
 
-  /** Runs the call to its end. */
+  /** Dispatches the call, retries it if allowed, and blocks until it ends. */
   call_outcome Run(const call& aCall);
 
-  /** Picks a server for the pool; none when no server can take the call. */
+  /** Selects a server of the pool; none when no server can take the call. */
   std::optional<membership::server_view> Pick(
     const std::string& aPool,
     const std::vector<std::string>& aExcluded,
     std::int64_t aPrefix = 0);
 
-  /** Names an attempt on a server as issued now. */
+  /** Creates the ticket of an attempt on a server, issued now. */
   attempt_ticket Issue(const std::string& aAttemptId,
                        const membership::server_view& aServer) const;
 
-  /** Sends the call once under the ticket and follows it to its end. */
+  /** Dispatches the call once under the ticket and blocks until it ends. */
   call_outcome Attempt(const call& aCall, const attempt_ticket& aTicket);
 
-  /** Fetches the end of an attempt that another request made. Never sends it
-   * anew, and takes it back only when its order never arrived. */
+  /** Blocks until another request's attempt ends, and returns its outcome.
+   * Never sends the order, and cancels it only if it never arrived. */
   call_outcome Fetch(const call& aCall, const attempt_ticket& aTicket);
 
-  /** A customer's requests in flight over all entries, by the agents' reports.
+  /** A customer's requests in flight from all entries, by the agents' reports.
    */
   admission::customer_demand DemandOf(const std::string& aCustomer) const;
 
-  /** Whether the retry budget lets one more attempt be made. */
-  bool TakeRetry(const std::string& aReason);
+  /** Consumes one retry of the budget; false if the budget is used up. */
+  bool TryConsumeRetry(const std::string& aReason);
   void CountFirstAttempt();
   int MaximumAttempts() const { return mOptions.mMaximumAttempts; }
 
 private:
   void TakeReport(const membership::server_view& aServer);
-  void TakeDemand(const membership::server_view& aServer);
+  void ApplyDemand(const membership::server_view& aServer);
   void ApplyRequestCount(const std::string& aPool,
                          const std::string& aServer,
                          const wire::load_figures& aLoad);
-  void TakeEvidence(const call& aCall,
-                    const std::string& aServer,
-                    time_point aSentAt,
-                    const call_outcome& aOutcome);
-  call_outcome Follow(const call& aCall,
-                      const attempt_ticket& aTicket,
-                      attempt_role aRole);
-  attempt_event TakeStep(const call& aCall,
-                         const attempt_ticket& aTicket,
-                         const attempt_decision& aDecision);
+  void RecordAttemptEnd(const call& aCall,
+                        const std::string& aServer,
+                        time_point aSentAt,
+                        const call_outcome& aOutcome);
+  call_outcome FollowAttempt(const call& aCall,
+                             const attempt_ticket& aTicket,
+                             attempt_role aRole);
+  attempt_event RunStep(const call& aCall,
+                        const attempt_ticket& aTicket,
+                        const attempt_decision& aDecision);
 
   const entry_dispatch_options mOptions;
   membership::server_directory& mDirectory;
   metrics::registry& mMetrics;
   mutable std::mutex mDemandMutex;
   admission::shared_demand mDemand;
-  std::mutex mRoutesMutex;
+  std::mutex mRoutingMutex;
   std::mt19937_64 mRandom;
-  std::map<std::string, routing::pool_table> mRoutes;
+  std::map<std::string, routing::pool_table> mRoutingTables;
   std::mutex mBudgetMutex;
   retry_budget mBudget;
 };
--- a/Duties/Dispatch/IdempotentCall.cpp
+++ b/Duties/Dispatch/IdempotentCall.cpp
@@ -12,19 +12,19 @@
 using std::chrono::system_clock;
 using namespace std::chrono_literals;
 
-/** Longest wait for one answer of the platform; a request must not hang on a
- * store that gives no word. */
+/** Timeout of one call to the platform, so that an unresponsive store doesn't
+ * block requests. */
 constexpr milliseconds kPlatformTimeout = 1000ms;
-/** After silence, requests are refused at once for this long; then one of
- * them asks again. */
-constexpr milliseconds kSilencePause = 1000ms;
+/** After a failed call to the platform, requests are refused immediately for
+ * this long; then one request calls the platform again. */
+constexpr milliseconds kPlatformPause = 1000ms;
 constexpr std::size_t kMaximumRecords = 200000;
 
-/** How long a record outlives the deadline of its request at least. */
+/** A record is kept at least this long after its request's deadline. */
 constexpr milliseconds kKeepAfterDeadline = 1000ms;
 
 milliseconds
-Left(const call& aCall)
+TimeLeft(const call& aCall)
 {
   return std::chrono::duration_cast<milliseconds>(aCall.mDeadline -
                                                   boot_clock::now());
@@ -45,7 +45,7 @@
   : mOptions(std::move(aOptions))
   , mDispatch(aDispatch)
   , mMetrics(aMetrics)
-  , mRemover([this] { RemoveLoop(); })
+  , mRemovalThread([this] { RunRemovalLoop(); })
 {
 }
 
@@ -62,8 +62,8 @@
     mIsStopping = true;
   }
   mStopped.notify_all();
-  if (mRemover.joinable()) {
-    mRemover.join();
+  if (mRemovalThread.joinable()) {
+    mRemovalThread.join();
   }
 }
 
@@ -75,16 +75,16 @@
   auto step = Begin(state, aCall.mFingerprint);
   mDispatch.CountFirstAttempt();
   while (step != record_step::Finish) {
-    step = TakeStep(step, state, aName, aCall);
+    step = RunStep(step, state, aName, aCall);
   }
   return std::move(state.mOutcome);
 }
 
 record_step
-idempotent_calls::TakeStep(record_step aStep,
-                           idempotent_state& aState,
-                           const std::string& aName,
-                           const call& aCall)
+idempotent_calls::RunStep(record_step aStep,
+                          idempotent_state& aState,
+                          const std::string& aName,
+                          const call& aCall)
 {
   switch (aStep) {
     case record_step::WriteNew:
@@ -94,10 +94,12 @@
     case record_step::ReadBack:
       return ReadBack(aState, aName, aCall);
     case record_step::RunOwn:
-      return TakeOwnEnd(aState, mDispatch.Attempt(aCall, aState.mOwn.mTicket));
-    case record_step::FollowKept:
+      return HandleOwnOutcome(
+        aState, mDispatch.Attempt(aCall, aState.mOwnRecord.mTicket));
+    case record_step::FollowExisting:
       mMetrics.Count("lavender_shared_calls_total", {});
-      return TakeKeptEnd(aState, mDispatch.Fetch(aCall, aState.mKept.mTicket));
+      return HandleExistingOutcome(
+        aState, mDispatch.Fetch(aCall, aState.mExistingRecord.mTicket));
     case record_step::Finish:
       break;
   }
@@ -112,11 +114,11 @@
   const auto attempts = aState.mProgress.mAttempts;
   if (attempts > 0) {
     const bool isStopped = aCall.mStopReason && !aCall.mStopReason().empty();
-    if (isStopped || !mDispatch.TakeRetry(aState.mOutcome.mReason)) {
+    if (isStopped || !mDispatch.TryConsumeRetry(aState.mOutcome.mReason)) {
       return record_step::Finish;
     }
   }
-  if (IsPlatformSilent()) {
+  if (IsPlatformUnresponsive()) {
     return StopWithoutRecord(aState);
   }
   std::vector<std::string> tried;
@@ -128,16 +130,18 @@
     server = mDispatch.Pick(aCall.mPool, {});
   }
   if (!server) {
-    return TakeNoServer(aState);
+    return HandleNoServer(aState);
   }
-  // Issued before anybody can learn of the attempt: whoever takes it back
-  // does so after the stamp, and the tombstone outlives an order of that age.
-  aState.mOwn.mTicket = mDispatch.Issue(
+  // Issued before anyone else can learn of the attempt, so that any cancel is
+  // later than the issue time, and its tombstone is kept until the order is too
+  // old to be accepted.
+  aState.mOwnRecord.mTicket = mDispatch.Issue(
     aCall.mRequestId + "." + std::to_string(attempts + 1), *server);
-  aState.mOwn.mFingerprint = aCall.mFingerprint;
-  aState.mOwn.mKeepUntil =
+  aState.mOwnRecord.mFingerprint = aCall.mFingerprint;
+  aState.mOwnRecord.mKeepUntil =
     system_clock::now() +
-    std::max<milliseconds>(mOptions.mKeep, Left(aCall) + kKeepAfterDeadline);
+    std::max<milliseconds>(mOptions.mRetention,
+                           TimeLeft(aCall) + kKeepAfterDeadline);
   return WriteOwn(aState, aName, aCall);
 }
 
@@ -150,14 +154,15 @@
                                        kCallKind,
                                        aName,
                                        aState.mExpectedRevision,
-                                       ToValue(aState.mOwn));
-  NotePlatform(IsAnswered(written));
-  const auto next = TakeWrite(aState, written);
+                                       ToValue(aState.mOwnRecord));
+  RecordPlatformState(IsAnswered(written));
+  const auto next = HandleWrite(aState, written);
   if (next == record_step::RunOwn) {
     std::lock_guard lock(mMutex);
-    if (mRecords.size() < kMaximumRecords) {
-      mRecords.emplace(aState.mOwn.mKeepUntil,
-                       old_record{ aName, aState.mExpectedRevision });
+    if (mExpiringRecords.size() < kMaximumRecords) {
+      mExpiringRecords.emplace(
+        aState.mOwnRecord.mKeepUntil,
+        expiring_record{ aName, aState.mExpectedRevision });
     }
   }
   return next;
@@ -169,8 +174,8 @@
                            const call& aCall)
 {
   const auto read = platform::Read(ClientFor(aCall), kCallKind, aName);
-  NotePlatform(read.mState != read_state::Failed);
-  return TakeRead(aState, read);
+  RecordPlatformState(read.mState != read_state::Failed);
+  return HandleRead(aState, read);
 }
 
 platform::client
@@ -184,84 +189,87 @@
 }
 
 bool
-idempotent_calls::IsPlatformSilent()
+idempotent_calls::IsPlatformUnresponsive()
 {
   std::lock_guard lock(mMutex);
   const auto now = boot_clock::now();
-  if (now < mPlatformSilentUntil) {
+  if (now < mPlatformPausedUntil) {
     return true;
   }
-  if (mPlatformSilentUntil != time_point{}) {
-    // This request asks; the others go on being refused until it knows.
-    mPlatformSilentUntil = now + kSilencePause;
+  if (mPlatformPausedUntil != time_point{}) {
+    // This request calls the platform; others are refused until it has an
+    // answer.
+    mPlatformPausedUntil = now + kPlatformPause;
   }
   return false;
 }
 
 void
-idempotent_calls::NotePlatform(bool aIsAnswering)
+idempotent_calls::RecordPlatformState(bool aIsAnswering)
 {
   std::lock_guard lock(mMutex);
-  mPlatformSilentUntil =
-    aIsAnswering ? time_point{} : boot_clock::now() + kSilencePause;
+  mPlatformPausedUntil =
+    aIsAnswering ? time_point{} : boot_clock::now() + kPlatformPause;
 }
 
 void
-idempotent_calls::RemoveLoop()
+idempotent_calls::RunRemovalLoop()
 {
   auto adoptAt = boot_clock::now();
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
     lock.unlock();
     if (boot_clock::now() >= adoptAt) {
-      AdoptLeftRecords();
-      adoptAt = boot_clock::now() + mOptions.mKeep;
+      AdoptOrphanedRecords();
+      adoptAt = boot_clock::now() + mOptions.mRetention;
     }
-    RemoveOldRecords();
+    RemoveExpiredRecords();
     lock.lock();
     mStopped.wait_for(lock, 1000ms, [this] { return mIsStopping; });
   }
 }
 
 void
-idempotent_calls::AdoptLeftRecords()
+idempotent_calls::AdoptOrphanedRecords()
 {
-  const auto left = platform::List(mOptions.mPlatform, kCallKind);
-  if (!left) {
+  const auto listed = platform::List(mOptions.mPlatform, kCallKind);
+  if (!listed) {
     Log(log_level::Warning,
         "dispatch",
-        "Old call records weren't listed: " + left.mLastReason);
+        "Could not list call records to remove expired ones: " +
+          listed.mLastReason);
     return;
   }
-  // A living entry removes its own records in time, so that those well over
-  // it have none.
-  const auto leftBefore = system_clock::now() - mOptions.mKeep / 2;
+  // A running entry removes its records soon after they expire, so a record
+  // that expired long ago belongs to an entry that no longer runs.
+  const auto orphanedBefore = system_clock::now() - mOptions.mRetention / 2;
   std::lock_guard lock(mMutex);
-  for (const auto& object : left->mObjects) {
+  for (const auto& object : listed->mObjects) {
     const auto record = ReadCallRecord(object.mValue);
-    if (record && record->mKeepUntil < leftBefore) {
-      mRecords.emplace(record->mKeepUntil,
-                       old_record{ object.mName, object.mRevision });
+    if (record && record->mKeepUntil < orphanedBefore) {
+      mExpiringRecords.emplace(
+        record->mKeepUntil, expiring_record{ object.mName, object.mRevision });
     }
   }
 }
 
 void
-idempotent_calls::RemoveOldRecords()
+idempotent_calls::RemoveExpiredRecords()
 {
   for (int i = 0; i < mOptions.mRemovalsPerSecond; ++i) {
-    old_record oldest;
+    expiring_record oldest;
     {
       std::lock_guard lock(mMutex);
-      const auto first = mRecords.begin();
-      if (mIsStopping || first == mRecords.end() ||
+      const auto first = mExpiringRecords.begin();
+      if (mIsStopping || first == mExpiringRecords.end() ||
           system_clock::now() < first->first) {
         return;
       }
       oldest = std::move(first->second);
-      mRecords.erase(first);
+      mExpiringRecords.erase(first);
     }
-    // Conditional: a record that another request took over stays.
+    // Conditional on the revision, so that a record that another request has
+    // replaced isn't removed.
     const auto removed = platform::Delete(
       mOptions.mPlatform, kCallKind, oldest.mName, oldest.mRevision);
     mMetrics.Count(
--- a/Duties/Dispatch/IdempotentCall.h
+++ b/Duties/Dispatch/IdempotentCall.h
@@ -14,19 +14,19 @@
 struct idempotent_call_options
 {
   platform::client mPlatform;
-  /** How long a key is remembered. Afterwards its record is removed, and the
-   * key counts as a new one. */
-  std::chrono::milliseconds mKeep{ 3600000 };
-  /** Records that one entry removes in a second at most. */
+  /** How long the record of a key is kept. After its removal, the key counts as
+   * new. */
+  std::chrono::milliseconds mRetention{ 3600000 };
+  /** Maximum number of records that one entry removes per second. */
   int mRemovalsPerSecond = 20;
 };
 
-/** Runs calls that may not be repeated and carry an Idempotency-Key: one
- * conditional create in the Object API decides which attempt may run, whatever
- * entries the caller asks.
+/** Runs calls that may not be repeated and carry an Idempotency-Key. A
+ * conditional create in the Object API decides which attempt may run, even if
+ * the caller sends the request to several entries.
  *
- * A thread removes the records that this entry wrote once they are old, and
- * those that dead entries left behind. */
+ * A thread removes expired records, both those that this entry wrote and those
+ * of entries that no longer run. */
 class idempotent_calls
 {
 public:
@@ -43,16 +43,16 @@
   void Stop();
 
 private:
-  struct old_record
+  struct expiring_record
   {
     std::string mName;
     std::int64_t mRevision = 0;
   };
 
-  record_step TakeStep(record_step aStep,
-                       idempotent_state& aState,
-                       const std::string& aName,
-                       const call& aCall);
+  record_step RunStep(record_step aStep,
+                      idempotent_state& aState,
+                      const std::string& aName,
+                      const call& aCall);
   record_step WriteNew(idempotent_state& aState,
                        const std::string& aName,
                        const call& aCall);
@@ -63,24 +63,26 @@
                        const std::string& aName,
                        const call& aCall);
   platform::client ClientFor(const call& aCall) const;
-  bool IsPlatformSilent();
-  void NotePlatform(bool aIsAnswering);
-  void RemoveLoop();
-  /** Takes over the records that dead entries should have removed. */
-  void AdoptLeftRecords();
-  void RemoveOldRecords();
+  bool IsPlatformUnresponsive();
+  void RecordPlatformState(bool aIsAnswering);
+  void RunRemovalLoop();
+  /** Schedules the removal of records that entries which no longer run should
+   * have removed. */
+  void AdoptOrphanedRecords();
+  void RemoveExpiredRecords();
 
   const idempotent_call_options mOptions;
   entry_dispatch& mDispatch;
   metrics::registry& mMetrics;
   std::mutex mMutex;
-  /** Until then requests are refused without asking the platform. */
-  time_point mPlatformSilentUntil;
-  /** Records to remove, by the time until which they stay. */
-  std::multimap<std::chrono::system_clock::time_point, old_record> mRecords;
+  /** Until this time requests are refused without a call to the platform. */
+  time_point mPlatformPausedUntil;
+  /** Records to remove, by their expiry time. */
+  std::multimap<std::chrono::system_clock::time_point, expiring_record>
+    mExpiringRecords;
   bool mIsStopping = false;
   std::condition_variable mStopped;
-  std::thread mRemover;
+  std::thread mRemovalThread;
 };
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/IdempotentDecision.cpp
+++ b/Duties/Dispatch/IdempotentDecision.cpp
@@ -9,25 +9,26 @@
 constexpr int kMaximumWrites = 6;
 constexpr const char* kNoServer = "no_server";
 
-/** The object that the platform showed decides: it is this request's own
- * record, whose write's answer was lost, or another's. */
+/** Decides on the record that the platform returned: it is either this
+ * request's own, if the response to its write was lost, or another request's.
+ */
 record_step
-TakeRecord(idempotent_state& aState, const platform::stored_object& aObject)
+HandleRecord(idempotent_state& aState, const platform::stored_object& aObject)
 {
   const auto record = ReadCallRecord(aObject.mValue);
   if (!record) {
     return Stop(aState, ran::OutcomeUnknown, "call_record_unreadable");
   }
-  if (record->mTicket.mId == aState.mOwn.mTicket.mId) {
+  if (record->mTicket.mId == aState.mOwnRecord.mTicket.mId) {
     aState.mExpectedRevision = aObject.mRevision;
     return record_step::RunOwn;
   }
   if (record->mFingerprint != aState.mFingerprint) {
     return Stop(aState, ran::NotRun, "idempotency_key_reused");
   }
-  aState.mKept = *record;
-  aState.mKeptRevision = aObject.mRevision;
-  return record_step::FollowKept;
+  aState.mExistingRecord = *record;
+  aState.mExistingRevision = aObject.mRevision;
+  return record_step::FollowExisting;
 }
 
 } // namespace
@@ -41,7 +42,7 @@
 }
 
 record_step
-TakeNoServer(idempotent_state& aState)
+HandleNoServer(idempotent_state& aState)
 {
   return aState.mProgress.mAttempts == 0
            ? record_step::ReadBack
@@ -49,7 +50,7 @@
 }
 
 record_step
-TakeWrite(idempotent_state& aState, const platform::write_result& aWritten)
+HandleWrite(idempotent_state& aState, const platform::write_result& aWritten)
 {
   ++aState.mWrites;
   if (aWritten.mState == write_state::Done) {
@@ -57,10 +58,11 @@
     return record_step::RunOwn;
   }
   if (aWritten.mState == write_state::Conflict && aWritten.mCurrent) {
-    return TakeRecord(aState, *aWritten.mCurrent);
+    return HandleRecord(aState, *aWritten.mCurrent);
   }
   if (aWritten.mState == write_state::Conflict) {
-    // The record to be replaced was removed meanwhile: the key is too old.
+    // The record to be replaced was removed in the meantime, because it
+    // expired.
     return Stop(aState, ran::OutcomeUnknown, "call_record_removed");
   }
   if (aWritten.mState == write_state::Unknown) {
@@ -70,43 +72,43 @@
 }
 
 record_step
-TakeRead(idempotent_state& aState, const platform::read_result& aRead)
+HandleRead(idempotent_state& aState, const platform::read_result& aRead)
 {
   if (aRead.mState == read_state::Failed) {
-    // Whether or not the record was written, its attempt is never sent.
+    // Whether or not the record was written, its attempt is never dispatched.
     return StopWithoutRecord(aState);
   }
   const bool isOldRecord = aRead.mState == read_state::Found &&
                            aState.mExpectedRevision != 0 &&
                            aRead.mObject.mRevision == aState.mExpectedRevision;
   if (aRead.mState == read_state::Found && !isOldRecord) {
-    return TakeRecord(aState, aRead.mObject);
+    return HandleRecord(aState, aRead.mObject);
   }
-  if (aState.mOwn.mTicket.mId.empty()) {
-    // Another request's write may still be on its way.
+  if (aState.mOwnRecord.mTicket.mId.empty()) {
+    // Another request's write may still be in transit.
     return Stop(aState, ran::OutcomeUnknown, kNoServer);
   }
-  // The write may still take effect later. It names the same attempt, so
-  // writing it again is harmless.
+  // The earlier write may still take effect. Both writes name the same attempt,
+  // so writing it again is harmless.
   return aState.mWrites < kMaximumWrites ? record_step::WriteAgain
                                          : StopWithoutRecord(aState);
 }
 
 record_step
-TakeOwnEnd(idempotent_state& aState, const call_outcome& aOutcome)
+HandleOwnOutcome(idempotent_state& aState, const call_outcome& aOutcome)
 {
   aState.mOutcome = aOutcome;
-  const bool mayGoOn = TakeAttempt(aState.mProgress, aOutcome) &&
-                       aOutcome.mRan == ran::NotRun &&
-                       aState.mWrites < kMaximumWrites;
-  return mayGoOn ? record_step::WriteNew : record_step::Finish;
+  const bool mayRetry = ApplyAttemptOutcome(aState.mProgress, aOutcome) &&
+                        aOutcome.mRan == ran::NotRun &&
+                        aState.mWrites < kMaximumWrites;
+  return mayRetry ? record_step::WriteNew : record_step::Finish;
 }
 
 record_step
-TakeKeptEnd(idempotent_state& aState, const call_outcome& aOutcome)
+HandleExistingOutcome(idempotent_state& aState, const call_outcome& aOutcome)
 {
-  aState.mExpectedRevision = aState.mKeptRevision;
-  return TakeOwnEnd(aState, aOutcome);
+  aState.mExpectedRevision = aState.mExistingRevision;
+  return HandleOwnOutcome(aState, aOutcome);
 }
 
 record_step
--- a/Duties/Dispatch/IdempotentDecision.h
+++ b/Duties/Dispatch/IdempotentDecision.h
@@ -8,22 +8,22 @@
 #include <cstdint>
 #include <string>
 
-/** How one request with an Idempotency-Key finds the one attempt that may run
- * for its key. No I/O: the caller carries out each step and reports what came
- * of it. */
+/** State machine by which a request with an Idempotency-Key determines the one
+ * attempt that may run for its key. No I/O: the caller executes each step and
+ * passes the result to the next call. */
 namespace lavender::dispatch {
 
 enum class record_step
 {
-  /** Pick a server, issue an attempt, set mOwn and write it. */
+  /** Select a server, issue an attempt, set mOwnRecord and write it. */
   WriteNew,
-  /** Write mOwn once more, under the same condition. */
+  /** Write mOwnRecord again, under the same condition. */
   WriteAgain,
   ReadBack,
-  /** Send mOwn's attempt. */
+  /** Dispatch the attempt of mOwnRecord. */
   RunOwn,
-  /** Fetch the end of mKept's attempt. */
-  FollowKept,
+  /** Wait for the outcome of the attempt of mExistingRecord. */
+  FollowExisting,
   Finish
 };
 
@@ -31,53 +31,55 @@
 {
   std::string mFingerprint;
   /** The record that this request wrote or tries to write. */
-  call_record mOwn;
-  /** Condition of the write: the revision to replace, 0 to create. */
+  call_record mOwnRecord;
+  /** Condition of the write: the revision to replace; 0 to create. */
   std::int64_t mExpectedRevision = 0;
-  /** The record found, written by another request. */
-  call_record mKept;
-  std::int64_t mKeptRevision = 0;
+  /** The existing record of the key, written by another request. */
+  call_record mExistingRecord;
+  std::int64_t mExistingRevision = 0;
   int mWrites = 0;
   call_progress mProgress;
-  /** With Finish. */
+  /** Valid with step Finish. */
   call_outcome mOutcome;
 };
 
-/** Where each request with an Idempotency-Key begins. */
+/** First step of each request with an Idempotency-Key. */
 record_step
 Begin(idempotent_state& aState, const std::string& aFingerprint);
 
-/** No server is known that could take an attempt. One that an earlier request
- * recorded can be followed all the same. */
+/** After no server could be selected. An attempt recorded by an earlier request
+ * can still be followed. */
 record_step
-TakeNoServer(idempotent_state& aState);
+HandleNoServer(idempotent_state& aState);
 
-/** After a write. An unknown outcome is read back. */
+/** After a write. If the outcome of the write is unknown, the record is read
+ * back. */
 record_step
-TakeWrite(idempotent_state& aState, const platform::write_result& aWritten);
+HandleWrite(idempotent_state& aState, const platform::write_result& aWritten);
 
 /** After a read-back. */
 record_step
-TakeRead(idempotent_state& aState, const platform::read_result& aRead);
+HandleRead(idempotent_state& aState, const platform::read_result& aRead);
 
-/** After this request's own attempt. Only a proven "not run" lets another
- * attempt be recorded, by replacing the record under its revision. */
+/** After this request's own attempt. Only if it provably did not run, another
+ * attempt is recorded, by replacing the record conditionally on its revision.
+ */
 record_step
-TakeOwnEnd(idempotent_state& aState, const call_outcome& aOutcome);
+HandleOwnOutcome(idempotent_state& aState, const call_outcome& aOutcome);
 
-/** After following the recorded attempt. When it provably never ran and never
- * will, this request takes the record over under its revision; of several
- * requests that try, one succeeds and the others follow it. */
+/** After following the recorded attempt. If it provably did not run and never
+ * will, this request replaces the record conditionally on its revision; of
+ * several requests that try, one succeeds and the others follow its attempt. */
 record_step
-TakeKeptEnd(idempotent_state& aState, const call_outcome& aOutcome);
+HandleExistingOutcome(idempotent_state& aState, const call_outcome& aOutcome);
 
 /** Ends the request without another attempt. */
 record_step
 Stop(idempotent_state& aState, ran aRan, const std::string& aReason);
 
-/** Ends a request whose record can't be read. This submission isn't sent, but
- * an earlier one with the same key may have run, and "not run" would make the
- * caller look elsewhere: the outcome is unknown until the store is back. */
+/** Ends a request whose record can't be read or written. This request isn't
+ * dispatched, but an earlier one with the same key may have run. After "not
+ * run" the caller might send it elsewhere, so the outcome is unknown. */
 record_step
 StopWithoutRecord(idempotent_state& aState);
 
--- a/Duties/Dispatch/Ledger.cpp
+++ b/Duties/Dispatch/Ledger.cpp
@@ -9,16 +9,16 @@
 using wire::run_state;
 using namespace std::chrono_literals;
 
-constexpr milliseconds kLeastRetryAfter = 50ms;
-constexpr milliseconds kMostRetryAfter = 30000ms;
-/** Taken as a run's time before one was measured. */
+constexpr milliseconds kMinRetryAfter = 50ms;
+constexpr milliseconds kMaxRetryAfter = 30000ms;
+/** Assumed duration of a run before the first one has ended. */
 constexpr milliseconds kAssumedServiceTime = 1000ms;
-/** An entry that lives asks for an end within this while: longer than the
- * silence after which it drops a connection. */
-constexpr milliseconds kFetchWithin = 2500ms;
+/** A running entry queries an outcome within this time, which is longer than
+ * the timeout after which it drops a connection. */
+constexpr milliseconds kFetchTimeout = 2500ms;
 
-ledger_answer
-Describe(const ledger_row& aRow)
+request_status
+GetStatus(const ledger_row& aRow)
 {
   return { aRow.mState, aRow.mReason, aRow.mRetryAfter };
 }
@@ -34,18 +34,18 @@
   aRow.mChangedAt = aNow;
 }
 
-/** Counts a request that comes or goes with its customer and its entry. */
+/** Adds aChange to the number of requests of the order's customer and entry. */
 void
-CountHeld(ledger& aLedger, const wire::dispatch_order& aOrder, int aChange)
+CountInFlight(ledger& aLedger, const wire::dispatch_order& aOrder, int aChange)
 {
-  auto& entries = aLedger.mHeld[aOrder.customer];
+  auto& entries = aLedger.mInFlight[aOrder.customer];
   auto& count = entries[aOrder.entry_incarnation];
   count += aChange;
   if (count == 0) {
     entries.erase(aOrder.entry_incarnation);
   }
   if (entries.empty()) {
-    aLedger.mHeld.erase(aOrder.customer);
+    aLedger.mInFlight.erase(aOrder.customer);
   }
 }
 
@@ -57,57 +57,58 @@
 {
   auto& row = aLedger.mRows[aId];
   if (row.mState == run_state::QUEUED || row.mState == run_state::RUNNING) {
-    CountHeld(aLedger, row.mOrder, -1);
+    CountInFlight(aLedger, row.mOrder, -1);
   }
   SetState(row, run_state::NOT_RUN, aReason, aNow);
   row.mOrder = {};
-  aLedger.mRefused.emplace_back(aNow, aId);
+  aLedger.mRefusals.emplace_back(aNow, aId);
 }
 
 std::size_t
-SizeOf(const ledger_row& aRow)
+ResultSize(const ledger_row& aRow)
 {
   return aRow.mResult.body.size();
 }
 
 void
-Forget(ledger& aLedger, ended_list& aList)
+RemoveOldest(ledger& aLedger, ended_list& aList)
 {
   const auto row = aLedger.mRows.find(aList.front().second);
-  aLedger.mAnswerBytes -= SizeOf(row->second);
+  aLedger.mResultBytes -= ResultSize(row->second);
   aLedger.mRows.erase(row);
   aList.pop_front();
 }
 
-/** Whether an id without a row may have had one. Such an id must neither be
- * run nor be called "not run": a caller who asks again after its answer was
- * forgotten would otherwise get a second run. */
+/** Whether an unknown id may have had a row that was evicted. Such a request
+ * must neither run nor be reported as "not run"; otherwise a request repeated
+ * after its result was evicted would run twice. */
 bool
-IsPerhapsForgotten(const ledger& aLedger, time_point aIssuedAt)
+MayHaveBeenEvicted(const ledger& aLedger, time_point aIssuedAt)
 {
-  return aLedger.mForgottenThrough && aIssuedAt <= *aLedger.mForgottenThrough;
+  return aLedger.mEvictedThrough && aIssuedAt <= *aLedger.mEvictedThrough;
 }
 
-/** Forgets the oldest row, and remembers up to which time rows were. */
+/** Removes the oldest row, and records up to which end time rows have been
+ * evicted. */
 void
-ForgetForGood(ledger& aLedger, ended_list& aList)
+EvictOldest(ledger& aLedger, ended_list& aList)
 {
   const auto endedAt = aList.front().first;
-  aLedger.mForgottenThrough =
-    std::max(aLedger.mForgottenThrough.value_or(endedAt), endedAt);
-  Forget(aLedger, aList);
+  aLedger.mEvictedThrough =
+    std::max(aLedger.mEvictedThrough.value_or(endedAt), endedAt);
+  RemoveOldest(aLedger, aList);
 }
 
-/** Refusal of an order that this process can never take, whenever it comes;
- * none when it might. Such a refusal needs no row: a second copy of the order
- * is refused for the same reason. */
-std::optional<ledger_answer>
-FindLastingRefusal(const ledger& aLedger,
-                   const wire::dispatch_order& aOrder,
-                   time_point aNow)
+/** Refusal of an order that this process will never admit; none if it may. Such
+ * a refusal needs no row, because a second copy of the order is refused for the
+ * same reason. */
+std::optional<request_status>
+FindPermanentRefusal(const ledger& aLedger,
+                     const wire::dispatch_order& aOrder,
+                     time_point aNow)
 {
   const auto refuse = [](const char* aReason) {
-    return ledger_answer{ run_state::NOT_RUN, aReason };
+    return request_status{ run_state::NOT_RUN, aReason };
   };
   if (aOrder.agent_incarnation != aLedger.mIncarnation) {
     return refuse("other_incarnation");
@@ -116,16 +117,16 @@
     return refuse("deadline");
   }
   const time_point issuedAt{ milliseconds(aOrder.issued_at_ms) };
-  if (IsPerhapsForgotten(aLedger, issuedAt)) {
-    // An earlier copy of it may have run.
-    return ledger_answer{ run_state::OUTCOME_UNKNOWN, "forgotten" };
+  if (MayHaveBeenEvicted(aLedger, issuedAt)) {
+    // An earlier copy of the order may have run.
+    return request_status{ run_state::OUTCOME_UNKNOWN, "forgotten" };
   }
   if (issuedAt > aNow) {
     return refuse("order_from_future");
   }
-  // A dispatch can wait for minutes on a connection that went silent, and
-  // arrive after the tombstone of its cancel was forgotten. It would then run
-  // although its caller was told "not run". Its age gives it away.
+  // An order may be delayed for minutes on a stalled connection and arrive
+  // after the tombstone of its cancel was removed. Without the check of its age
+  // it would run although its caller was told "not run".
   if (aNow - issuedAt > aLedger.mLimits.mMaximumOrderAge) {
     return refuse("order_too_old");
   }
@@ -141,7 +142,7 @@
   return std::max<std::int64_t>(aOrder.cost_tokens, 1);
 }
 
-/** Puts the order in line, or gives the reason and the time for a refusal. */
+/** Queues the order, or returns the reason and retry time of a refusal. */
 admission::push_result
 Enqueue(ledger& aLedger,
         const wire::dispatch_order& aOrder,
@@ -170,15 +171,15 @@
 
 } // namespace
 
-ledger_answer
+request_status
 Admit(ledger& aLedger, const wire::dispatch_order& aOrder, time_point aNow)
 {
   if (const auto known = aLedger.mRows.find(aOrder.request_id);
       known != aLedger.mRows.end()) {
-    known->second.mAskedAt = aNow;
-    return Describe(known->second);
+    known->second.mQueriedAt = aNow;
+    return GetStatus(known->second);
   }
-  if (auto refusal = FindLastingRefusal(aLedger, aOrder, aNow)) {
+  if (auto refusal = FindPermanentRefusal(aLedger, aOrder, aNow)) {
     return std::move(*refusal);
   }
   const auto deadline = aNow + milliseconds(aOrder.deadline_left_ms);
@@ -186,31 +187,31 @@
       !pushed.mIsQueued) {
     RefuseRow(aLedger, aOrder.request_id, pushed.mReason, aNow);
     aLedger.mRows.at(aOrder.request_id).mRetryAfter = pushed.mRetryAfter;
-    Sweep(aLedger, aNow);
+    RemoveExpired(aLedger, aNow);
     return { run_state::NOT_RUN, pushed.mReason, pushed.mRetryAfter };
   }
   auto& row = aLedger.mRows[aOrder.request_id];
   row.mOrder = aOrder;
-  row.mAskedAt = aNow;
+  row.mQueriedAt = aNow;
   row.mDeadline = deadline;
   SetState(row, run_state::QUEUED, "", aNow);
-  CountHeld(aLedger, aOrder, 1);
-  Sweep(aLedger, aNow);
-  return Describe(row);
+  CountInFlight(aLedger, aOrder, 1);
+  RemoveExpired(aLedger, aNow);
+  return GetStatus(row);
 }
 
-ledger_answer
-Ask(ledger& aLedger, const std::string& aId, time_point aNow)
+request_status
+Query(ledger& aLedger, const std::string& aId, time_point aNow)
 {
   const auto found = aLedger.mRows.find(aId);
   if (found == aLedger.mRows.end()) {
     return {};
   }
-  found->second.mAskedAt = aNow;
-  return Describe(found->second);
+  found->second.mQueriedAt = aNow;
+  return GetStatus(found->second);
 }
 
-ledger_answer
+request_status
 Cancel(ledger& aLedger,
        const std::string& aId,
        time_point aIssuedAt,
@@ -218,22 +219,22 @@
 {
   const auto found = aLedger.mRows.find(aId);
   if (found == aLedger.mRows.end()) {
-    if (IsPerhapsForgotten(aLedger, aIssuedAt)) {
+    if (MayHaveBeenEvicted(aLedger, aIssuedAt)) {
       return { run_state::OUTCOME_UNKNOWN, "forgotten" };
     }
     RefuseRow(aLedger, aId, "cancelled_before_arrival", aNow);
-    Sweep(aLedger, aNow);
+    RemoveExpired(aLedger, aNow);
     return { run_state::NOT_RUN, "cancelled_before_arrival" };
   }
   if (found->second.mState == run_state::QUEUED) {
     admission::Remove(aLedger.mQueue, found->second.mOrder.customer, aId);
     RefuseRow(aLedger, aId, "cancelled", aNow);
   }
-  return Describe(found->second);
+  return GetStatus(found->second);
 }
 
 std::optional<wire::dispatch_order>
-TakeNext(ledger& aLedger, time_point aNow)
+StartNext(ledger& aLedger, time_point aNow)
 {
   while (aLedger.mRunning < aLedger.mLimits.mSlots) {
     const auto item = admission::Pop(aLedger.mQueue);
@@ -246,7 +247,7 @@
       RefuseRow(aLedger, id, "deadline", aNow);
       continue;
     }
-    if (aNow - row.mAskedAt > aLedger.mLimits.mAbandonAfter) {
+    if (aNow - row.mQueriedAt > aLedger.mLimits.mAbandonAfter) {
       RefuseRow(aLedger, id, "abandoned", aNow);
       continue;
     }
@@ -275,22 +276,23 @@
     RefuseRow(aLedger, aId, aReason, aNow);
     return;
   }
-  CountHeld(aLedger, row.mOrder, -1);
+  CountInFlight(aLedger, row.mOrder, -1);
   SetState(row, aState, aReason, aNow);
   row.mResult = std::move(aResult);
   row.mOrder = {};
-  aLedger.mRan.emplace_back(aNow, aId);
-  aLedger.mAnswerBytes += SizeOf(row);
+  aLedger.mEndedRuns.emplace_back(aNow, aId);
+  aLedger.mResultBytes += ResultSize(row);
   const auto took =
     std::chrono::duration_cast<milliseconds>(aNow - row.mStartedAt);
   constexpr int kServerError = 500;
   if (aState == run_state::FINISHED && row.mResult.http_status < kServerError) {
-    // A server that fails at once must not look like one that drains fast.
+    // Excludes errors, because a server that fails immediately would appear to
+    // have a high throughput.
     admission::RecordRun(aLedger.mQueue, cost, aNow - row.mStartedAt);
   }
   auto& smoothed = aLedger.mServiceTime;
   smoothed = smoothed == 0ms ? took : (smoothed * 7 + took) / 8;
-  Sweep(aLedger, aNow);
+  RemoveExpired(aLedger, aNow);
 }
 
 void
@@ -302,35 +304,36 @@
 }
 
 void
-Sweep(ledger& aLedger, time_point aNow)
+RemoveExpired(ledger& aLedger, time_point aNow)
 {
   const auto& limits = aLedger.mLimits;
-  auto& refused = aLedger.mRefused;
-  auto& ran = aLedger.mRan;
+  auto& refused = aLedger.mRefusals;
+  auto& runs = aLedger.mEndedRuns;
   while (!refused.empty() &&
-         aNow - refused.front().first > limits.mKeepRefusal) {
-    Forget(aLedger, refused);
+         aNow - refused.front().first > limits.mRefusalRetention) {
+    RemoveOldest(aLedger, refused);
   }
-  while (!ran.empty() && aNow - ran.front().first > limits.mKeepAnswer) {
-    ForgetForGood(aLedger, ran);
+  while (!runs.empty() && aNow - runs.front().first > limits.mResultRetention) {
+    EvictOldest(aLedger, runs);
   }
-  // The newest answer stays, however large: its entry is about to fetch it.
-  while (ran.size() > 1 && aLedger.mAnswerBytes > limits.mMaximumAnswerBytes) {
-    ForgetForGood(aLedger, ran);
+  // The newest result is kept whatever its size, because its entry is about to
+  // fetch it.
+  while (runs.size() > 1 && aLedger.mResultBytes > limits.mMaximumResultBytes) {
+    EvictOldest(aLedger, runs);
   }
-  while (refused.size() + ran.size() > limits.mMaximumEnded) {
+  while (refused.size() + runs.size() > limits.mMaximumEnded) {
     const bool isRefusalOlder =
-      ran.empty() || (!refused.empty() && refused.front() < ran.front());
-    ForgetForGood(aLedger, isRefusalOlder ? refused : ran);
+      runs.empty() || (!refused.empty() && refused.front() < runs.front());
+    EvictOldest(aLedger, isRefusalOlder ? refused : runs);
   }
 }
 
 std::vector<wire::customer_load>
 CustomerLoads(const ledger& aLedger, const std::string& aEntry)
 {
-  constexpr std::size_t kMost = 64;
+  constexpr std::size_t kMaxCustomers = 64;
   std::vector<wire::customer_load> loads;
-  for (const auto& [customer, entries] : aLedger.mHeld) {
+  for (const auto& [customer, entries] : aLedger.mInFlight) {
     wire::customer_load load;
     load.customer = customer;
     for (const auto& [entry, count] : entries) {
@@ -343,7 +346,7 @@
     return aLeft.in_flight > aRight.in_flight;
   };
   std::sort(loads.begin(), loads.end(), isBusier);
-  loads.resize(std::min(loads.size(), kMost));
+  loads.resize(std::min(loads.size(), kMaxCustomers));
   return loads;
 }
 
@@ -355,17 +358,16 @@
   const auto waiting = static_cast<std::int64_t>(aLedger.mQueue.mSize) + 1;
   const auto slots =
     static_cast<std::int64_t>(std::max<std::size_t>(aLedger.mLimits.mSlots, 1));
-  return std::clamp(
-    service * waiting / slots, kLeastRetryAfter, kMostRetryAfter);
+  return std::clamp(service * waiting / slots, kMinRetryAfter, kMaxRetryAfter);
 }
 
 bool
-MayBeAskedForEnd(const ledger& aLedger, time_point aNow)
+MayBeQueriedForOutcome(const ledger& aLedger, time_point aNow)
 {
   const auto isRecent = [&](const ended_list& aList) {
-    return !aList.empty() && aNow - aList.back().first < kFetchWithin;
+    return !aList.empty() && aNow - aList.back().first < kFetchTimeout;
   };
-  return isRecent(aLedger.mRefused) || isRecent(aLedger.mRan);
+  return isRecent(aLedger.mRefusals) || isRecent(aLedger.mEndedRuns);
 }
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/Ledger.h
+++ b/Duties/Dispatch/Ledger.h
@@ -12,54 +12,59 @@
 #include <utility>
 #include <vector>
 
-/** The agent's run-once gate: what became of each request id. */
+/** The agent's ledger: the state of each request id, which guarantees that no
+ * request runs more than once. */
 namespace lavender::dispatch {
 
 /** Limits of one agent's ledger. */
 struct ledger_limits
 {
-  /** Requests that may wait; more are refused at once. */
+  /** Maximum number of waiting requests; more are refused immediately. */
   std::size_t mMaximumQueued = 64;
-  /** Requests that may run side by side. */
+  /** Maximum number of requests that run concurrently. */
   std::size_t mSlots = 16;
-  /** An unknown order issued longer ago is refused. Orders leave as soon as
-   * they are issued, so only delayed ones get this old. */
+  /** An unknown order issued longer ago than this is refused. Orders are sent
+   * as soon as they are issued, so only delayed ones become this old. */
   milliseconds mMaximumOrderAge{ 30000 };
-  /** How long a refusal or tombstone is kept; longer than mMaximumOrderAge,
-   * so that no order can arrive after its tombstone was forgotten. */
-  milliseconds mKeepRefusal{ 60000 };
-  /** How long an answer is kept for whoever asks for it. */
-  milliseconds mKeepAnswer{ 600000 };
-  /** A queued request whose entry has stopped asking is dropped after this. */
+  /** How long a refusal or tombstone is kept; longer than mMaximumOrderAge, so
+   * that an order that arrives after its tombstone was removed is refused as
+   * too old. */
+  milliseconds mRefusalRetention{ 60000 };
+  /** How long a result is kept for entries that query it. */
+  milliseconds mResultRetention{ 600000 };
+  /** A queued request is refused when its entry hasn't queried it for this
+   * long. */
   milliseconds mAbandonAfter{ 10000 };
-  /** Time in which what waits should be drained. */
+  /** Maximum estimated queue delay. */
   milliseconds mMaximumDelay{ 1000 };
   admission::queue_policy mPolicy = admission::queue_policy::Fair;
-  /** Rows of ended requests; beyond it the oldest are forgotten early. */
+  /** Maximum number of rows of ended requests; above it the oldest are evicted
+   * early. */
   std::size_t mMaximumEnded = 8000;
-  /** Bytes of kept answers; beyond it the oldest are forgotten early. */
-  std::size_t mMaximumAnswerBytes = 8u << 20;
+  /** Maximum size of all kept results; above it the oldest are evicted early.
+   */
+  std::size_t mMaximumResultBytes = 8u << 20;
 };
 
 struct ledger_row
 {
   wire::run_state::type mState = wire::run_state::UNKNOWN_ID;
   std::string mReason;
-  /** Told with a refusal for want of room: when to come back. */
+  /** Retry time of a refusal for lack of capacity. */
   milliseconds mRetryAfter{ 0 };
   wire::dispatch_order mOrder;
   wire::run_result mResult;
   time_point mDeadline;
   time_point mChangedAt;
-  time_point mAskedAt;
+  time_point mQueriedAt;
   time_point mStartedAt;
 };
 
-/** Ended requests of one sort, oldest first. */
+/** End times and ids of ended requests, oldest first. */
 using ended_list = std::deque<std::pair<time_point, std::string>>;
 
-/** Everything that the gate remembers. Its incarnation is new with each
- * process, so that orders meant for a predecessor are refused. */
+/** State of all requests of one agent process. Each process has a new
+ * incarnation, so that orders addressed to its predecessor are refused. */
 struct ledger
 {
   std::string mIncarnation;
@@ -67,58 +72,61 @@
   std::map<std::string, ledger_row> mRows;
   admission::fair_queue mQueue;
   std::size_t mRunning = 0;
-  /** Expected tokens of the requests that run. */
+  /** Expected tokens of the running requests. */
   std::int64_t mRunningCost = 0;
-  /** Requests queued or running, by customer and by the entry that sent them.
-   */
-  std::map<std::string, std::map<std::string, int>> mHeld;
+  /** Number of requests queued or running, by customer and by the incarnation
+   * of the entry that sent them. */
+  std::map<std::string, std::map<std::string, int>> mInFlight;
   bool mIsDraining = false;
-  /** Rows that say "not run", and rows of requests that ran. */
-  ended_list mRefused;
-  ended_list mRan;
-  std::size_t mAnswerBytes = 0;
-  /** Requests that ran, or early ones of any sort, were forgotten when they
-   * had ended up to here. An unknown id issued later was never seen; one
-   * issued earlier may have run. */
-  std::optional<time_point> mForgottenThrough;
-  /** Smoothed time that a run takes; zero before the first one ended. */
+  /** Requests that did not run, tombstones included. */
+  ended_list mRefusals;
+  /** Requests that ran or may have run. */
+  ended_list mEndedRuns;
+  std::size_t mResultBytes = 0;
+  /** Latest end time of the evicted rows, except of refusals that reached their
+   * retention time. An unknown id issued later was never received; one issued
+   * earlier may have run. */
+  std::optional<time_point> mEvictedThrough;
+  /** Smoothed duration of a run; zero before the first run has ended. */
   milliseconds mServiceTime{ 0 };
 };
 
-/** What the asking entry is told. */
-struct ledger_answer
+/** State of a request as returned to an entry. */
+struct request_status
 {
   wire::run_state::type mState = wire::run_state::UNKNOWN_ID;
   std::string mReason;
   milliseconds mRetryAfter{ 0 };
 };
 
-/** Takes an order in, or refuses it. An id that is already known is never
- * queued again, whatever became of it: its present state is told instead. */
-ledger_answer
+/** Queues an order or refuses it. An order with a known id is never queued
+ * again, whatever its state; the current state is returned instead. */
+request_status
 Admit(ledger& aLedger, const wire::dispatch_order& aOrder, time_point aNow);
 
-/** State of an id, and a sign that its entry still waits for it. */
-ledger_answer
-Ask(ledger& aLedger, const std::string& aId, time_point aNow);
+/** Returns the state of an id, and records that its entry still waits for it.
+ */
+request_status
+Query(ledger& aLedger, const std::string& aId, time_point aNow);
 
-/** Takes a queued request out. An id not seen gets a tombstone, so that a
- * dispatch which arrives after its cancel is refused; only therefore may the
- * entry say "not run". A running or finished request is left as it is. An id
- * of which the ledger may have forgotten that it ran is an unknown outcome.
+/** Cancels a queued request. An unknown id gets a tombstone, so that an order
+ * which arrives after its cancel is refused; without it the entry couldn't tell
+ * its caller "not run". A running or ended request isn't changed. The outcome
+ * of an id whose row may have been evicted is unknown.
  * @param aIssuedAt when the request's order was issued */
-ledger_answer
+request_status
 Cancel(ledger& aLedger,
        const std::string& aId,
        time_point aIssuedAt,
        time_point aNow);
 
-/** Next request to run, when a slot is free. Requests past their deadline or
- * abandoned by their entry become "not run" on the way. */
+/** Starts the next queued request if a slot is free. Refuses queued requests
+ * that are past their deadline or abandoned by their entry. */
 std::optional<wire::dispatch_order>
-TakeNext(ledger& aLedger, time_point aNow);
+StartNext(ledger& aLedger, time_point aNow);
 
-/** Ends a run with a whole answer, or with an unknown outcome. */
+/** Records how a run ended: with a complete response, with an unknown outcome,
+ * or as "not run" if the server couldn't be reached. */
 void
 Finish(ledger& aLedger,
        const std::string& aId,
@@ -127,28 +135,31 @@
        wire::run_result aResult,
        time_point aNow);
 
-/** Refuses all queued requests for good, when the process ends. */
+/** Refuses all queued requests, when the process stops. */
 void
 RefuseQueued(ledger& aLedger, const std::string& aReason, time_point aNow);
 
-/** Forgets rows older than the limits, or the oldest ones over the bounds. */
+/** Removes rows of ended requests that reached their retention time, and the
+ * oldest ones while the size limits are exceeded. */
 void
-Sweep(ledger& aLedger, time_point aNow);
+RemoveExpired(ledger& aLedger, time_point aNow);
 
-/** Customers with requests here, the busiest first; at most 64.
- * @param aEntry incarnation of the entry whose own requests are told apart */
+/** Customers with requests at this agent, those with most requests first; at
+ * most 64.
+ * @param aEntry incarnation of the entry whose own requests are counted
+ *   separately */
 std::vector<wire::customer_load>
 CustomerLoads(const ledger& aLedger, const std::string& aEntry);
 
-/** When a request that finds the queue as it is now would start, by the
- * measured service time; told with a refusal. */
+/** Estimated time until a request added to the queue now would start, by the
+ * smoothed service time; returned with a refusal. */
 milliseconds
 EstimateQueueDelay(const ledger& aLedger);
 
-/** Whether an entry may still be about to ask how a request ended. A reply
- * that was written may never arrive, because its connection went silent; the
- * entry finds that out by the silence and asks again on a new one. */
+/** Whether an entry may still query the outcome of a request. A reply may be
+ * lost with its connection; the entry notices by a timeout and queries the
+ * outcome again on a new connection. */
 bool
-MayBeAskedForEnd(const ledger& aLedger, time_point aNow);
+MayBeQueriedForOutcome(const ledger& aLedger, time_point aNow);
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/RecentCalls.cpp
+++ b/Duties/Dispatch/RecentCalls.cpp
@@ -17,7 +17,7 @@
                   const std::function<call_outcome()>& aRun)
 {
   std::unique_lock lock(mMutex);
-  ForgetOld(boot_clock::now());
+  RemoveExpired(boot_clock::now());
   if (const auto known = mCalls.find(aName); known != mCalls.end()) {
     const auto shared = known->second;
     if (shared->mFingerprint != aFingerprint) {
@@ -25,49 +25,49 @@
       refused.mReason = "idempotency_key_reused";
       return refused;
     }
-    return WaitFor(lock, shared, aDeadline);
+    return WaitForOutcome(lock, shared, aDeadline);
   }
   if (mCalls.size() >= mLimits.mMaximumKeys) {
     lock.unlock();
     return aRun();
   }
-  const auto made = std::make_shared<recent_call>();
-  made->mFingerprint = aFingerprint;
-  mCalls[aName] = made;
+  const auto created = std::make_shared<recent_call>();
+  created->mFingerprint = aFingerprint;
+  mCalls[aName] = created;
   lock.unlock();
-  return RunAndRemember(aName, made, aRun);
+  return RunAndStore(aName, created, aRun);
 }
 
 call_outcome
-recent_calls::RunAndRemember(const std::string& aName,
-                             const shared_call& aCall,
-                             const std::function<call_outcome()>& aRun)
+recent_calls::RunAndStore(const std::string& aName,
+                          const shared_call& aCall,
+                          const std::function<call_outcome()>& aRun)
 {
   call_outcome outcome;
   outcome.mRan = ran::OutcomeUnknown;
   outcome.mReason = "entry_failed";
-  // Also when the run throws: those who wait must not wait for ever.
+  // Stores an outcome even when aRun throws, so that no request waits forever.
   scope_guard end([&] {
     std::lock_guard lock(mMutex);
     aCall->mOutcome = outcome;
-    const bool isWorthKeeping =
+    const bool isCacheable =
       outcome.mRan == ran::Ran &&
-      outcome.mResult.body.size() <= mLimits.mMaximumAnswerBytes;
-    if (isWorthKeeping) {
-      mRemembered.emplace_back(boot_clock::now(), aName);
+      outcome.mResult.body.size() <= mLimits.mMaximumResultBytes;
+    if (isCacheable) {
+      mExpiryQueue.emplace_back(boot_clock::now(), aName);
     } else {
       mCalls.erase(aName);
     }
-    mEnded.notify_all();
+    mCallEnded.notify_all();
   });
   outcome = aRun();
   return outcome;
 }
 
 call_outcome
-recent_calls::WaitFor(std::unique_lock<std::mutex>& aLock,
-                      const shared_call& aCall,
-                      time_point aDeadline)
+recent_calls::WaitForOutcome(std::unique_lock<std::mutex>& aLock,
+                             const shared_call& aCall,
+                             time_point aDeadline)
 {
   while (!aCall->mOutcome) {
     const auto now = boot_clock::now();
@@ -77,7 +77,7 @@
       late.mReason = kDeadline;
       return late;
     }
-    mEnded.wait_for(aLock, aDeadline - now);
+    mCallEnded.wait_for(aLock, aDeadline - now);
   }
   auto outcome = *aCall->mOutcome;
   outcome.mSource = answer_source::SharedRun;
@@ -85,12 +85,12 @@
 }
 
 void
-recent_calls::ForgetOld(time_point aNow)
+recent_calls::RemoveExpired(time_point aNow)
 {
-  while (!mRemembered.empty() &&
-         aNow - mRemembered.front().first > mLimits.mKeep) {
-    mCalls.erase(mRemembered.front().second);
-    mRemembered.pop_front();
+  while (!mExpiryQueue.empty() &&
+         aNow - mExpiryQueue.front().first > mLimits.mRetention) {
+    mCalls.erase(mExpiryQueue.front().second);
+    mExpiryQueue.pop_front();
   }
 }
 
--- a/Duties/Dispatch/RecentCalls.h
+++ b/Duties/Dispatch/RecentCalls.h
@@ -15,26 +15,28 @@
 
 struct recent_calls_limits
 {
-  /** Keys remembered at once; beyond it calls aren't joined. */
+  /** Maximum number of keys; above it calls aren't joined. */
   std::size_t mMaximumKeys = 4096;
-  /** Answers longer than this aren't remembered. */
-  std::size_t mMaximumAnswerBytes = 64u << 10;
-  /** How long an answer is given again. */
-  milliseconds mKeep{ 60000 };
+  /** Results larger than this aren't cached. */
+  std::size_t mMaximumResultBytes = 64u << 10;
+  /** How long a result is cached. */
+  milliseconds mRetention{ 60000 };
 };
 
-/** Joins requests that reach one entry under the same Idempotency-Key: the
- * later ones wait for the first one's end, and get its answer for a while.
+/** Joins requests that reach one entry with the same Idempotency-Key: later
+ * ones wait for the outcome of the first one or get its cached result.
  *
- * It spares runs and platform calls, but guards nothing: another entry knows
- * nothing of it, and an entry that restarts forgets it. */
+ * This saves runs and calls to the platform, but doesn't guarantee that a
+ * request runs once: the cache isn't shared between entries and is lost when
+ * the entry restarts. */
 class recent_calls
 {
 public:
   explicit recent_calls(recent_calls_limits aLimits = {});
 
-  /** Runs the call, or waits for the one under way with that name.
-   * @param aFingerprint digest that tells another request under the name */
+  /** Runs the call, or waits for the running call of the same name.
+   * @param aFingerprint digest of the request; a different request with the
+   *   same name is refused */
   call_outcome Run(const std::string& aName,
                    const std::string& aFingerprint,
                    time_point aDeadline,
@@ -48,19 +50,19 @@
   };
   using shared_call = std::shared_ptr<recent_call>;
 
-  call_outcome RunAndRemember(const std::string& aName,
+  call_outcome RunAndStore(const std::string& aName,
+                           const shared_call& aCall,
+                           const std::function<call_outcome()>& aRun);
+  call_outcome WaitForOutcome(std::unique_lock<std::mutex>& aLock,
                               const shared_call& aCall,
-                              const std::function<call_outcome()>& aRun);
-  call_outcome WaitFor(std::unique_lock<std::mutex>& aLock,
-                       const shared_call& aCall,
-                       time_point aDeadline);
-  void ForgetOld(time_point aNow);
+                              time_point aDeadline);
+  void RemoveExpired(time_point aNow);
 
   const recent_calls_limits mLimits;
   std::mutex mMutex;
-  std::condition_variable mEnded;
+  std::condition_variable mCallEnded;
   std::map<std::string, shared_call> mCalls;
-  std::deque<std::pair<time_point, std::string>> mRemembered;
+  std::deque<std::pair<time_point, std::string>> mExpiryQueue;
 };
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/RetryBudget.cpp
+++ b/Duties/Dispatch/RetryBudget.cpp
@@ -6,12 +6,13 @@
 namespace {
 
 std::int64_t
-NumberOf(const retry_budget& aBudget, time_point aNow)
+PartNumber(const retry_budget& aBudget, time_point aNow)
 {
-  return aNow.time_since_epoch() / aBudget.mLimits.mPart;
+  return aNow.time_since_epoch() / aBudget.mLimits.mPartLength;
 }
 
-/** The part that counts now; what it held one window ago is dropped. */
+/** Returns the part with that number, and resets it if it still has the counts
+ * of an earlier window. */
 retry_budget::part&
 PartAt(retry_budget& aBudget, std::int64_t aNumber)
 {
@@ -28,26 +29,26 @@
 void
 CountFirstAttempt(retry_budget& aBudget, time_point aNow)
 {
-  ++PartAt(aBudget, NumberOf(aBudget, aNow)).mFirst;
+  ++PartAt(aBudget, PartNumber(aBudget, aNow)).mFirstAttempts;
 }
 
 bool
-TakeRetry(retry_budget& aBudget, time_point aNow)
+TryConsumeRetry(retry_budget& aBudget, time_point aNow)
 {
-  const auto number = NumberOf(aBudget, aNow);
+  const auto number = PartNumber(aBudget, aNow);
   auto& current = PartAt(aBudget, number);
   const auto window = static_cast<std::int64_t>(aBudget.mParts.size());
   std::int64_t first = 0;
   std::int64_t retries = 0;
   for (const auto& part : aBudget.mParts) {
     if (part.mNumber > number - window) {
-      first += part.mFirst;
+      first += part.mFirstAttempts;
       retries += part.mRetries;
     }
   }
   const auto allowed =
-    std::max(aBudget.mLimits.mLeast,
-             static_cast<std::int64_t>(aBudget.mLimits.mShare *
+    std::max(aBudget.mLimits.mMinRetries,
+             static_cast<std::int64_t>(aBudget.mLimits.mRatio *
                                        static_cast<double>(first)));
   if (retries >= allowed) {
     return false;
--- a/Duties/Dispatch/RetryBudget.h
+++ b/Duties/Dispatch/RetryBudget.h
@@ -7,38 +7,37 @@
 
 namespace lavender::dispatch {
 
-/** Share of first attempts that may be retried. Without it, servers that
- * refuse under overload get each request several times over, which keeps
- * them overloaded. */
+/** Limits retries to a ratio of first attempts. Without such a limit, servers
+ * that refuse requests because of overload would get each request several
+ * times, which would keep them overloaded. */
 struct retry_budget_limits
 {
-  double mShare = 0.1;
-  /** Retries allowed in a window whatever the share, so that an entry with
-   * little traffic can go to another server at all. */
-  std::int64_t mLeast = 10;
-  /** Length of one of the window's parts. */
-  milliseconds mPart{ 1000 };
+  double mRatio = 0.1;
+  /** Retries allowed per window regardless of the ratio, so that an entry with
+   * little traffic can retry at all. */
+  std::int64_t mMinRetries = 10;
+  /** Length of each of the ten parts of the window. */
+  milliseconds mPartLength{ 1000 };
 };
 
-/** Counts over a sliding window of ten parts. */
+/** Counts of attempts in a sliding window of ten parts. */
 struct retry_budget
 {
   struct part
   {
     std::int64_t mNumber = -1;
-    std::int64_t mFirst = 0;
+    std::int64_t mFirstAttempts = 0;
     std::int64_t mRetries = 0;
   };
   retry_budget_limits mLimits;
   std::array<part, 10> mParts;
 };
 
-/** Counts a call's first attempt. */
 void
 CountFirstAttempt(retry_budget& aBudget, time_point aNow);
 
-/** Takes one retry out of the budget; false when it is used up. */
+/** Consumes one retry of the budget; false if the budget is used up. */
 bool
-TakeRetry(retry_budget& aBudget, time_point aNow);
+TryConsumeRetry(retry_budget& aBudget, time_point aNow);
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/RetryDecision.cpp
+++ b/Duties/Dispatch/RetryDecision.cpp
@@ -5,7 +5,7 @@
 namespace lavender::dispatch {
 
 bool
-TakeAttempt(call_progress& aProgress, const call_outcome& aOutcome)
+ApplyAttemptOutcome(call_progress& aProgress, const call_outcome& aOutcome)
 {
   ++aProgress.mAttempts;
   if (aOutcome.mRan == ran::Ran || aOutcome.mReason == kDeadline) {
@@ -23,7 +23,7 @@
 }
 
 call_outcome
-Conclude(const call_progress& aProgress, call_outcome aLast)
+FinalOutcome(const call_progress& aProgress, call_outcome aLast)
 {
   if (aProgress.mMayHaveRun && aLast.mRan == ran::NotRun) {
     aLast.mRan = ran::OutcomeUnknown;
--- a/Duties/Dispatch/RetryDecision.h
+++ b/Duties/Dispatch/RetryDecision.h
@@ -2,30 +2,31 @@
 
 #include "Duties/Dispatch/CallOutcome.h"
 
-/** Whether a call goes to another server after an attempt ended. */
+/** Decides whether a call is retried on another server after an attempt. */
 namespace lavender::dispatch {
 
-/** What earlier attempts of one call left behind. */
+/** State of a call after its attempts so far. */
 struct call_progress
 {
   bool mIsRepeatable = true;
   int mAttempts = 0;
   int mMaximumAttempts = 3;
-  /** An earlier attempt may have run, so the call can't be called "not run"
-   * any more, whatever later attempts say. */
+  /** An earlier attempt may have run, so the call's outcome can't be "not run",
+   * whatever the outcome of later attempts. */
   bool mMayHaveRun = false;
 };
 
-/** Takes an attempt's end in. True when another attempt may be made: after a
- * proven "not run", or, for a repeatable call only, when the process that
- * held the attempt seems gone. Its count is gone with it, or, when it was only
- * out of reach, is taken out when the window is collected. */
+/** Applies the outcome of an attempt. True if another attempt may be made:
+ * after a proven "not run" or, for a repeatable call only, if the agent process
+ * with the attempt seems to have ended. Then the attempt isn't billed twice:
+ * its usage is lost with that process or, if the process was only unreachable,
+ * is subtracted when the usage window is collected. */
 bool
-TakeAttempt(call_progress& aProgress, const call_outcome& aOutcome);
+ApplyAttemptOutcome(call_progress& aProgress, const call_outcome& aOutcome);
 
-/** What the caller is told: the last attempt's end, weakened by what earlier
- * attempts left open. */
+/** Outcome of the call: that of the last attempt, but unknown instead of "not
+ * run" if an earlier attempt may have run. */
 call_outcome
-Conclude(const call_progress& aProgress, call_outcome aLast);
+FinalOutcome(const call_progress& aProgress, call_outcome aLast);
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/TestHistoryModel.cpp
+++ b/Duties/Dispatch/TestHistoryModel.cpp
@@ -11,8 +11,9 @@
 
 constexpr std::size_t kMaximumCalls = 12;
 constexpr int kKeys = 2;
-/** Longer than any deadline in the model, as in the binaries. */
-constexpr milliseconds kKeepRecords = 3600000ms;
+/** Retention of records; longer than any deadline in the simulation, as in the
+ * binaries. */
+constexpr milliseconds kRecordRetention = 3600000ms;
 
 std::string
 IncarnationOf(std::size_t aServer, int aProcess)
@@ -22,7 +23,7 @@
 
 } // namespace
 
-world::world(fault_counts& aFaults)
+simulation::simulation(fault_counts& aFaults)
   : mFaults(aFaults)
   , mNow(1000s)
 {
@@ -32,49 +33,49 @@
 }
 
 agent
-world::MakeAgent(std::size_t aServer, int aProcess) const
+simulation::MakeAgent(std::size_t aServer, int aProcess) const
 {
-  agent made;
-  made.mProcess = aProcess;
-  made.mLedger.mIncarnation = IncarnationOf(aServer, aProcess);
-  auto& limits = made.mLedger.mLimits;
+  agent created;
+  created.mProcess = aProcess;
+  created.mLedger.mIncarnation = IncarnationOf(aServer, aProcess);
+  auto& limits = created.mLedger.mLimits;
   limits.mMaximumQueued = 2;
   limits.mSlots = 1;
   limits.mMaximumEnded = 2;
-  limits.mMaximumAnswerBytes = 16;
-  return made;
+  limits.mMaximumResultBytes = 16;
+  return created;
 }
 
 void
-world::Step(std::uint32_t aChoice)
+simulation::Step(std::uint32_t aChoice)
 {
   struct weighted
   {
     std::uint32_t mWeight;
-    void (world::*mHandler)(std::uint32_t);
+    void (simulation::*mHandler)(std::uint32_t);
   };
-  // Common things stand several times, so that histories get somewhere.
+  // Common steps have higher weights, so that calls make progress.
   static constexpr weighted kSteps[] = {
-    { 8, &world::StartCall },       { 30, &world::Progress },
-    { 30, &world::DeliverMessage }, { 12, &world::RunServer },
-    { 12, &world::EndRun },         { 6, &world::TimeOut },
-    { 8, &world::DisturbNetwork },  { 3, &world::Advance },
-    { 2, &world::Restart },         { 1, &world::EndEntry },
-    { 1, &world::StopCall }
+    { 8, &simulation::StartCall },       { 30, &simulation::AdvanceCall },
+    { 30, &simulation::DeliverMessage }, { 12, &simulation::RunServer },
+    { 12, &simulation::EndRun },         { 6, &simulation::TimeOut },
+    { 8, &simulation::DisturbNetwork },  { 3, &simulation::AdvanceTime },
+    { 2, &simulation::Restart },         { 1, &simulation::EndEntry },
+    { 1, &simulation::StopCall }
   };
   constexpr std::uint32_t kWeights = 113;
-  auto ticket = aChoice % kWeights;
+  auto remaining = aChoice % kWeights;
   for (const auto& step : kSteps) {
-    if (ticket < step.mWeight) {
+    if (remaining < step.mWeight) {
       (this->*step.mHandler)(aChoice / kWeights);
       return;
     }
-    ticket -= step.mWeight;
+    remaining -= step.mWeight;
   }
 }
 
 void
-world::StartCall(std::uint32_t aChoice)
+simulation::StartCall(std::uint32_t aChoice)
 {
   if (mCalls.size() >= kMaximumCalls) {
     return;
@@ -89,21 +90,21 @@
   call.mIsRepeatable = sort == 0;
   call.mProgress.mIsRepeatable = call.mIsRepeatable;
   mCalls.push_back(call);
-  auto& made = mCalls.back();
-  Issue(made, aChoice / 8);
-  if (made.mKey) {
-    TakeRecordStep(made, Begin(made.mIdempotent, "same request"));
+  auto& created = mCalls.back();
+  Issue(created, aChoice / 8);
+  if (created.mKey) {
+    ApplyRecordStep(created, Begin(created.mIdempotent, "same request"));
   } else {
-    BeginAttempt(made, attempt_role::Owner);
+    BeginAttempt(created, attempt_role::Owner);
   }
 }
 
 void
-world::Issue(submission& aCall, std::uint32_t aChoice)
+simulation::Issue(submission& aCall, std::uint32_t aChoice)
 {
   const std::size_t server = aChoice % mAgents.size();
-  // The entry may still believe in a process that is gone, and reckons the
-  // agent's clock a little late.
+  // The entry may address an agent process that no longer runs, and its
+  // estimate of the agent's clock may be behind the true time.
   auto process = mAgents[server].mProcess;
   if (aChoice / 2 % 8 == 0 && process > 1) {
     --process;
@@ -117,11 +118,11 @@
 }
 
 void
-world::BeginAttempt(submission& aCall, attempt_role aRole)
+simulation::BeginAttempt(submission& aCall, attempt_role aRole)
 {
   const auto& ticket = aRole == attempt_role::Owner
                          ? aCall.mTicket
-                         : aCall.mIdempotent.mKept.mTicket;
+                         : aCall.mIdempotent.mExistingRecord.mTicket;
   aCall.mAttempt = {};
   aCall.mAttempt.mRole = aRole;
   aCall.mAttempt.mIncarnation = ticket.mIncarnation;
@@ -131,7 +132,7 @@
 }
 
 void
-world::Progress(std::uint32_t aChoice)
+simulation::AdvanceCall(std::uint32_t aChoice)
 {
   if (mCalls.empty()) {
     return;
@@ -144,28 +145,29 @@
   } else if (call.mPhase == call_phase::Writing) {
     Write(call, choice);
   } else if (call.mPhase == call_phase::Written) {
-    TakeRecordStep(call, TakeWrite(call.mIdempotent, call.mWritten));
+    ApplyRecordStep(call, HandleWrite(call.mIdempotent, call.mWritten));
   } else if (call.mPhase == call_phase::Reading) {
     ReadBack(call, choice);
   }
 }
 
 void
-world::Send(std::size_t aCall, std::uint32_t aChoice)
+simulation::Send(std::size_t aCall, std::uint32_t aChoice)
 {
   auto& call = mCalls[aCall];
   const bool isOwner = call.mAttempt.mRole == attempt_role::Owner;
-  const auto& ticket = isOwner ? call.mTicket : call.mIdempotent.mKept.mTicket;
+  const auto& ticket =
+    isOwner ? call.mTicket : call.mIdempotent.mExistingRecord.mTicket;
   const std::size_t server = std::stoul(ticket.mServerName);
   if (!mAgents[server].mIsListening) {
     ++mFaults["connection_refused"];
-    TakeEvent(call, wire_state::Refused, {});
+    HandleEvent(call, wire_state::Refused, {});
     return;
   }
   if (aChoice % 16 == 0) {
     ++mFaults["connection_timed_out"];
     mNow += 1s;
-    TakeEvent(call, wire_state::NotSent, {});
+    HandleEvent(call, wire_state::NotSent, {});
     return;
   }
   message sent;
@@ -184,7 +186,7 @@
 }
 
 void
-world::DeliverMessage(std::uint32_t aChoice)
+simulation::DeliverMessage(std::uint32_t aChoice)
 {
   if (mMessages.empty()) {
     return;
@@ -211,46 +213,46 @@
   const bool isAwaited =
     call.mPhase == call_phase::Waiting && call.mNumber == arrived.mNumber;
   if (isAwaited) {
-    TakeEvent(call, wire_state::Answered, *arrived.mReply);
+    HandleEvent(call, wire_state::Answered, *arrived.mReply);
   } else {
-    // Its connection was closed when the entry stopped waiting.
+    // The entry closed the connection when it stopped waiting.
     ++mFaults["late_answer"];
   }
 }
 
 wire::dispatch_reply
-world::Serve(const message& aMessage)
+simulation::Serve(const message& aMessage)
 {
   auto& ledger = mAgents[aMessage.mServer].mLedger;
   const auto& order = aMessage.mOrder;
   wire::dispatch_reply reply;
   reply.agent_incarnation = ledger.mIncarnation;
-  ledger_answer answer;
+  request_status status;
   if (aMessage.mStep == attempt_step::Dispatch) {
-    answer = Admit(ledger, order, mNow);
+    status = Admit(ledger, order, mNow);
   } else if (order.agent_incarnation != ledger.mIncarnation) {
     ++mFaults["asked_a_successor"];
   } else if (aMessage.mStep == attempt_step::Await) {
-    answer = Ask(ledger, order.request_id, mNow);
+    status = Query(ledger, order.request_id, mNow);
   } else {
     const time_point issuedAt{ milliseconds(order.issued_at_ms) };
-    answer = Cancel(ledger, order.request_id, issuedAt, mNow);
+    status = Cancel(ledger, order.request_id, issuedAt, mNow);
   }
-  reply.state = answer.mState;
-  reply.reason = answer.mReason;
-  if (answer.mState == run_state::FINISHED) {
+  reply.state = status.mState;
+  reply.reason = status.mReason;
+  if (status.mState == run_state::FINISHED) {
     reply.__set_result(ledger.mRows.at(order.request_id).mResult);
   }
-  if (!answer.mReason.empty()) {
-    ++mFaults[answer.mReason];
+  if (!status.mReason.empty()) {
+    ++mFaults[status.mReason];
   }
   return reply;
 }
 
 void
-world::TakeEvent(submission& aCall,
-                 wire_state aState,
-                 wire::dispatch_reply aReply)
+simulation::HandleEvent(submission& aCall,
+                        wire_state aState,
+                        wire::dispatch_reply aReply)
 {
   attempt_event event;
   event.mWire = aState;
@@ -265,29 +267,31 @@
 }
 
 void
-world::EndAttempt(submission& aCall, const call_outcome& aOutcome)
+simulation::EndAttempt(submission& aCall, const call_outcome& aOutcome)
 {
   const bool isOwner = aCall.mAttempt.mRole == attempt_role::Owner;
   if (aOutcome.mRan == ran::OutcomeUnknown) {
     ++aCall.mUnknown;
   }
   if (aCall.mKey) {
-    TakeRecordStep(aCall,
-                   isOwner ? TakeOwnEnd(aCall.mIdempotent, aOutcome)
-                           : TakeKeptEnd(aCall.mIdempotent, aOutcome));
+    ApplyRecordStep(aCall,
+                    isOwner
+                      ? HandleOwnOutcome(aCall.mIdempotent, aOutcome)
+                      : HandleExistingOutcome(aCall.mIdempotent, aOutcome));
     return;
   }
-  if (TakeAttempt(aCall.mProgress, aOutcome) && aCall.mStopReason.empty()) {
+  if (ApplyAttemptOutcome(aCall.mProgress, aOutcome) &&
+      aCall.mStopReason.empty()) {
     ++mFaults["retried"];
     Issue(aCall, static_cast<std::uint32_t>(aCall.mIssued) + 2);
     BeginAttempt(aCall, attempt_role::Owner);
     return;
   }
-  EndCall(aCall, Conclude(aCall.mProgress, aOutcome));
+  EndCall(aCall, FinalOutcome(aCall.mProgress, aOutcome));
 }
 
 void
-world::TakeRecordStep(submission& aCall, record_step aStep)
+simulation::ApplyRecordStep(submission& aCall, record_step aStep)
 {
   aCall.mRecordStep = aStep;
   switch (aStep) {
@@ -296,8 +300,9 @@
         ++mFaults["record_replaced"];
         Issue(aCall, static_cast<std::uint32_t>(aCall.mIssued) + 2);
       }
-      aCall.mIdempotent.mOwn.mTicket = aCall.mTicket;
-      aCall.mIdempotent.mOwn.mFingerprint = aCall.mIdempotent.mFingerprint;
+      aCall.mIdempotent.mOwnRecord.mTicket = aCall.mTicket;
+      aCall.mIdempotent.mOwnRecord.mFingerprint =
+        aCall.mIdempotent.mFingerprint;
       [[fallthrough]];
     case record_step::WriteAgain:
       aCall.mPhase = call_phase::Writing;
@@ -308,7 +313,7 @@
     case record_step::RunOwn:
       BeginAttempt(aCall, attempt_role::Owner);
       return;
-    case record_step::FollowKept:
+    case record_step::FollowExisting:
       ++mFaults["followed_another"];
       BeginAttempt(aCall, attempt_role::Follower);
       return;
@@ -319,7 +324,7 @@
 }
 
 void
-world::Write(submission& aCall, std::uint32_t aChoice)
+simulation::Write(submission& aCall, std::uint32_t aChoice)
 {
   aCall.mPhase = call_phase::Written;
   auto& written = aCall.mWritten;
@@ -346,7 +351,7 @@
   }
   auto& object = mStore[*aCall.mKey];
   object.mRevision = ++mRevision;
-  object.mValue = ToValue(aCall.mIdempotent.mOwn);
+  object.mValue = ToValue(aCall.mIdempotent.mOwnRecord);
   if (!isLost) {
     written.mState = platform::write_state::Done;
     written.mRevision = object.mRevision;
@@ -354,7 +359,7 @@
 }
 
 void
-world::ReadBack(submission& aCall, std::uint32_t aChoice)
+simulation::ReadBack(submission& aCall, std::uint32_t aChoice)
 {
   platform::read_result read;
   if (aChoice % 8 != 0) {
@@ -365,14 +370,14 @@
       read.mObject = found->second;
     }
   }
-  TakeRecordStep(aCall, TakeRead(aCall.mIdempotent, read));
+  ApplyRecordStep(aCall, HandleRead(aCall.mIdempotent, read));
 }
 
 void
-world::RunServer(std::uint32_t aChoice)
+simulation::RunServer(std::uint32_t aChoice)
 {
   auto& agent = mAgents[aChoice % mAgents.size()];
-  const auto order = TakeNext(agent.mLedger, mNow);
+  const auto order = StartNext(agent.mLedger, mNow);
   if (!order) {
     return;
   }
@@ -391,7 +396,7 @@
 }
 
 void
-world::EndRun(std::uint32_t aChoice)
+simulation::EndRun(std::uint32_t aChoice)
 {
   auto& agent = mAgents[aChoice % mAgents.size()];
   if (agent.mRunning.empty()) {
@@ -412,7 +417,7 @@
 }
 
 void
-world::DisturbNetwork(std::uint32_t aChoice)
+simulation::DisturbNetwork(std::uint32_t aChoice)
 {
   if (mMessages.empty()) {
     return;
@@ -428,7 +433,7 @@
 }
 
 void
-world::TimeOut(std::uint32_t aChoice)
+simulation::TimeOut(std::uint32_t aChoice)
 {
   if (mCalls.empty()) {
     return;
@@ -438,12 +443,12 @@
     ++mFaults["silence"];
     mNow += call.mDecision.mTimeout;
     ++call.mNumber;
-    TakeEvent(call, wire_state::Unknown, {});
+    HandleEvent(call, wire_state::Unknown, {});
   }
 }
 
 void
-world::Advance(std::uint32_t aChoice)
+simulation::AdvanceTime(std::uint32_t aChoice)
 {
   static constexpr milliseconds kSpans[] = { 10ms,     600ms,   6000ms,
                                              40000ms,  70000ms, 700000ms,
@@ -452,26 +457,26 @@
   const auto span = kSpans[aChoice % kCount];
   mNow += span;
   for (auto& agent : mAgents) {
-    Sweep(agent.mLedger, mNow);
+    RemoveExpired(agent.mLedger, mNow);
   }
-  if (span > kKeepRecords && !mStore.empty()) {
+  if (span > kRecordRetention && !mStore.empty()) {
     RemoveRecords();
   }
 }
 
 void
-world::RemoveRecords()
+simulation::RemoveRecords()
 {
   ++mFaults["records_removed"];
   mStore.clear();
   mRunsByKey.clear();
   for (auto& call : mCalls) {
-    call.mIsKeyForgotten = true;
+    call.mIsRecordExpired = true;
   }
 }
 
 void
-world::Restart(std::uint32_t aChoice)
+simulation::Restart(std::uint32_t aChoice)
 {
   const std::size_t server = aChoice / 4 % mAgents.size();
   auto& agent = mAgents[server];
@@ -489,18 +494,18 @@
 }
 
 void
-world::EndEntry(std::uint32_t aChoice)
+simulation::EndEntry(std::uint32_t aChoice)
 {
   for (std::size_t i = aChoice % 2; i < mCalls.size(); i += 2) {
-    if (mCalls[i].mPhase != call_phase::Over) {
+    if (mCalls[i].mPhase != call_phase::Ended) {
       ++mFaults["entry_died"];
-      mCalls[i].mPhase = call_phase::Over;
+      mCalls[i].mPhase = call_phase::Ended;
     }
   }
 }
 
 void
-world::StopCall(std::uint32_t aChoice)
+simulation::StopCall(std::uint32_t aChoice)
 {
   if (!mCalls.empty()) {
     ++mFaults["stopped"];
@@ -509,52 +514,58 @@
 }
 
 std::string
-world::RequestOf(const std::string& aAttempt) const
+simulation::RequestOf(const std::string& aAttempt) const
 {
   return aAttempt.substr(0, aAttempt.find('.'));
 }
 
 void
-world::CountRun(const std::string& aAttempt)
+simulation::CountRun(const std::string& aAttempt)
 {
   const auto request = RequestOf(aAttempt);
   const auto call = std::find_if(mCalls.begin(), mCalls.end(), [&](auto& aOne) {
     return aOne.mId == request;
   });
-  Claim(++mRunsByAttempt[aAttempt] <= 1, "attempt ran twice: " + aAttempt);
+  CheckInvariant(++mRunsByAttempt[aAttempt] <= 1,
+                 "attempt ran twice: " + aAttempt);
   const int runs = ++mRunsByRequest[request];
-  Claim(runs <= 1 || call->mIsRepeatable,
-        "request ran twice though it may not be repeated: " + request);
-  Claim(runs <= 1 + call->mUnknown,
-        "request ran again without an unknown outcome before: " + request);
+  CheckInvariant(runs <= 1 || call->mIsRepeatable,
+                 "request ran twice though it may not be repeated: " + request);
+  CheckInvariant(runs <= 1 + call->mUnknown,
+                 "request ran again without an unknown outcome before: " +
+                   request);
   if (call->mKey) {
-    Claim(++mRunsByKey[*call->mKey] <= 1,
-          "two runs for one Idempotency-Key, second by " + aAttempt);
+    CheckInvariant(++mRunsByKey[*call->mKey] <= 1,
+                   "two runs for one Idempotency-Key, second by " + aAttempt);
   }
   const bool isToldNotRun =
     call->mOutcome && call->mOutcome->mRan == ran::NotRun;
-  Claim(!isToldNotRun, "ran after its caller was told not run: " + aAttempt);
+  CheckInvariant(!isToldNotRun,
+                 "ran after its caller was told not run: " + aAttempt);
 }
 
 void
-world::EndCall(submission& aCall, const call_outcome& aOutcome)
+simulation::EndCall(submission& aCall, const call_outcome& aOutcome)
 {
-  aCall.mPhase = call_phase::Over;
+  aCall.mPhase = call_phase::Ended;
   aCall.mOutcome = aOutcome;
   const int runs = mRunsByRequest[aCall.mId];
   if (aOutcome.mRan == ran::NotRun) {
     ++mFaults["told_not_run"];
-    Claim(runs == 0, "told not run though it ran: " + aCall.mId);
+    CheckInvariant(runs == 0, "told not run though it ran: " + aCall.mId);
   } else if (aOutcome.mRan == ran::Ran) {
     ++mFaults["told_answer"];
     const auto& body = aOutcome.mResult.body;
-    if (aCall.mKey && aCall.mIsKeyForgotten) {
-      Claim(body.rfind("answer to r", 0) == 0, "no answer: " + aCall.mId);
+    if (aCall.mKey && aCall.mIsRecordExpired) {
+      CheckInvariant(body.rfind("answer to r", 0) == 0,
+                     "no answer: " + aCall.mId);
     } else if (aCall.mKey) {
-      Claim(mRunsByKey[*aCall.mKey] == 1 && body.rfind("answer to r", 0) == 0,
-            "answer without a run for the key: " + aCall.mId);
+      CheckInvariant(mRunsByKey[*aCall.mKey] == 1 &&
+                       body.rfind("answer to r", 0) == 0,
+                     "answer without a run for the key: " + aCall.mId);
     } else {
-      Claim(body == "answer to " + aCall.mId, "another's answer: " + aCall.mId);
+      CheckInvariant(body == "answer to " + aCall.mId,
+                     "another's answer: " + aCall.mId);
     }
   } else {
     ++mFaults["told_unknown"];
@@ -562,15 +573,15 @@
 }
 
 void
-world::Claim(bool aHolds, const std::string& aPromise)
+simulation::CheckInvariant(bool aHolds, const std::string& aViolation)
 {
-  if (!aHolds && mFault.empty()) {
-    mFault = aPromise;
+  if (!aHolds && mViolation.empty()) {
+    mViolation = aViolation;
   }
 }
 
 std::string
-world::Check()
+simulation::Check()
 {
   for (int i = 0; i < 400 && !mMessages.empty(); ++i) {
     DeliverMessage(0);
@@ -579,7 +590,7 @@
     EndRun(2);
     EndRun(3);
   }
-  return mFault;
+  return mViolation;
 }
 
 } // namespace lavender::dispatch::model
--- a/Duties/Dispatch/TestHistoryModel.h
+++ b/Duties/Dispatch/TestHistoryModel.h
@@ -10,16 +10,16 @@
 #include <string>
 #include <vector>
 
-/** A model of two entries, two agents with their servers, the network and the
- * Object API, driven by a generated list of numbers. The decision code is the
- * one that the binaries run; only transport and time are modelled. */
+/** A simulation of two entries, two agents with their servers, the network and
+ * the Object API, driven by a generated list of numbers. It runs the same
+ * decision code as the binaries; only transport and time are simulated. */
 namespace lavender::dispatch::model {
 
-/** How often each fault came about over all histories of one test. */
+/** How often each fault occurred in all histories of a test. */
 using fault_counts = std::map<std::string, std::int64_t>;
 
-/** One remote call in flight, or its reply. It belongs to one connection, so
- * it can reach only the process that the connection was opened to. */
+/** One remote call in flight or its reply. It belongs to one connection, so it
+ * reaches only the process that the connection was opened to. */
 struct message
 {
   std::size_t mCall = 0;
@@ -36,7 +36,7 @@
   int mProcess = 1;
   bool mIsListening = true;
   ledger mLedger;
-  /** Attempts that run on the server for the present process. */
+  /** Attempts that the current process is running on the server. */
   std::vector<std::string> mRunning;
 };
 
@@ -45,24 +45,24 @@
   Sending,
   Waiting,
   Writing,
-  /** The platform carried the write out, and its answer is on the way. */
+  /** The platform has executed the write, and its response is in transit. */
   Written,
   Reading,
-  Over
+  Ended
 };
 
 /** One request at one entry. */
 struct submission
 {
   std::string mId;
-  /** Requests with the same Idempotency-Key; none without one. */
+  /** The Idempotency-Key; none without one. */
   std::optional<int> mKey;
   bool mIsRepeatable = false;
-  /** The record of its key was removed after its time. */
-  bool mIsKeyForgotten = false;
+  /** The record of the key expired and was removed. */
+  bool mIsRecordExpired = false;
   time_point mDeadline;
   std::string mStopReason;
-  call_phase mPhase = call_phase::Over;
+  call_phase mPhase = call_phase::Ended;
   record_step mRecordStep = record_step::Finish;
   call_progress mProgress;
   idempotent_state mIdempotent;
@@ -77,27 +77,28 @@
   int mUnknown = 0;
 };
 
-class world
+class simulation
 {
 public:
-  explicit world(fault_counts& aFaults);
+  explicit simulation(fault_counts& aFaults);
 
-  /** Does one thing, chosen by the number. */
+  /** Performs one simulation step, chosen by the number. */
   void Step(std::uint32_t aChoice);
-  /** Delivers all that is still under way and runs all that is queued, then
-   * holds every promise made against the runs. Empty when all were kept. */
+  /** Delivers all messages in flight and runs all queued requests, while each
+   * run is checked against the outcomes told to callers.
+   * @return the first violated invariant; empty if there is none */
   std::string Check();
-  /** First broken promise so far; empty when there is none. */
-  const std::string& Fault() const { return mFault; }
+  /** First violated invariant so far; empty if there is none. */
+  const std::string& Violation() const { return mViolation; }
 
 private:
   void StartCall(std::uint32_t aChoice);
-  void Advance(std::uint32_t aChoice);
+  void AdvanceTime(std::uint32_t aChoice);
   void RemoveRecords();
   void Restart(std::uint32_t aChoice);
   void RunServer(std::uint32_t aChoice);
   void EndRun(std::uint32_t aChoice);
-  void Progress(std::uint32_t aChoice);
+  void AdvanceCall(std::uint32_t aChoice);
   void DeliverMessage(std::uint32_t aChoice);
   void DisturbNetwork(std::uint32_t aChoice);
   void TimeOut(std::uint32_t aChoice);
@@ -108,21 +109,21 @@
   void Issue(submission& aCall, std::uint32_t aChoice);
   void BeginAttempt(submission& aCall, attempt_role aRole);
   void Send(std::size_t aCall, std::uint32_t aChoice);
-  void TakeEvent(submission& aCall,
-                 wire::wire_state aState,
-                 wire::dispatch_reply aReply);
+  void HandleEvent(submission& aCall,
+                   wire::wire_state aState,
+                   wire::dispatch_reply aReply);
   void EndAttempt(submission& aCall, const call_outcome& aOutcome);
-  void TakeRecordStep(submission& aCall, record_step aStep);
+  void ApplyRecordStep(submission& aCall, record_step aStep);
   void Write(submission& aCall, std::uint32_t aChoice);
   void ReadBack(submission& aCall, std::uint32_t aChoice);
   void EndCall(submission& aCall, const call_outcome& aOutcome);
   wire::dispatch_reply Serve(const message& aMessage);
   void CountRun(const std::string& aAttempt);
-  void Claim(bool aHolds, const std::string& aPromise);
+  void CheckInvariant(bool aHolds, const std::string& aViolation);
   std::string RequestOf(const std::string& aAttempt) const;
 
   fault_counts& mFaults;
-  std::string mFault;
+  std::string mViolation;
   time_point mNow;
   attempt_limits mLimits;
   std::vector<agent> mAgents;
@@ -130,7 +131,7 @@
   std::vector<message> mMessages;
   std::map<int, platform::stored_object> mStore;
   std::int64_t mRevision = 0;
-  /** The oracle: what truly ran. */
+  /** Oracle: the runs that actually took place. */
   std::map<std::string, int> mRunsByAttempt;
   std::map<std::string, int> mRunsByRequest;
   std::map<int, int> mRunsByKey;
--- a/Duties/Dispatch/TestIdempotentDecision.cpp
+++ b/Duties/Dispatch/TestIdempotentDecision.cpp
@@ -21,33 +21,36 @@
 
 BOOST_AUTO_TEST_SUITE(TestIdempotentDecision)
 
-// A booking's outcome is called unknown though its record names the attempt:
-// all agents were silent to the entry for a moment, and it didn't look.
-BOOST_AUTO_TEST_CASE(ARecordedAttemptIsFollowedThoughNoServerIsKnown)
+// When no agent responds to the entry for a moment, the entry must still read
+// the record and follow its attempt. Otherwise the outcome of a recorded
+// request would be reported as unknown.
+BOOST_AUTO_TEST_CASE(ARecordedAttemptIsFollowedWithoutAKnownServer)
 {
   idempotent_state state;
   BOOST_TEST((Begin(state, "fingerprint") == record_step::WriteNew));
-  BOOST_TEST((TakeNoServer(state) == record_step::ReadBack));
-  call_record kept;
-  kept.mTicket.mId = "other.1";
-  kept.mTicket.mServerName = "desk-1";
-  kept.mTicket.mIncarnation = "life";
-  kept.mTicket.mIssuedAt = std::chrono::milliseconds(1);
-  kept.mKeepUntil = std::chrono::system_clock::now();
-  kept.mFingerprint = "fingerprint";
-  BOOST_TEST((TakeRead(state, ReadOf(kept)) == record_step::FollowKept));
-  BOOST_TEST(state.mKept.mTicket.mId == "other.1");
+  BOOST_TEST((HandleNoServer(state) == record_step::ReadBack));
+  call_record existing;
+  existing.mTicket.mId = "other.1";
+  existing.mTicket.mServerName = "desk-1";
+  existing.mTicket.mIncarnation = "life";
+  existing.mTicket.mIssuedAt = std::chrono::milliseconds(1);
+  existing.mKeepUntil = std::chrono::system_clock::now();
+  existing.mFingerprint = "fingerprint";
+  BOOST_TEST(
+    (HandleRead(state, ReadOf(existing)) == record_step::FollowExisting));
+  BOOST_TEST(state.mExistingRecord.mTicket.mId == "other.1");
 }
 
-// Without a record nothing was proven, and nothing may be written for it.
+// Without a server and without a record the outcome is unknown, because another
+// request's write may still be in transit; no record may be written.
 BOOST_AUTO_TEST_CASE(WithoutServerAndRecordTheOutcomeIsUnknown)
 {
   idempotent_state state;
   Begin(state, "fingerprint");
-  TakeNoServer(state);
+  HandleNoServer(state);
   platform::read_result missing;
   missing.mState = platform::read_state::Absent;
-  BOOST_TEST((TakeRead(state, missing) == record_step::Finish));
+  BOOST_TEST((HandleRead(state, missing) == record_step::Finish));
   BOOST_TEST((state.mOutcome.mRan == ran::OutcomeUnknown));
   BOOST_TEST(state.mOutcome.mReason == "no_server");
 }
--- a/Duties/Dispatch/TestLedgerBounds.cpp
+++ b/Duties/Dispatch/TestLedgerBounds.cpp
@@ -25,10 +25,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestLedgerBounds)
 
-// An overloaded agent refuses thousands of requests a second and must not grow
-// by a row for each. What it forgets early must still never run: a second copy
-// of an order, late by a few seconds, finds no row any more.
-BOOST_AUTO_TEST_CASE(FloodOfRefusalsStaysBoundedAndGuarded)
+// An overloaded agent refuses thousands of requests per second, and its ledger
+// must not grow with each. An order whose row was evicted early must still
+// never run: a second copy, delayed by a few seconds, no longer finds the row.
+BOOST_AUTO_TEST_CASE(RefusalsStayBoundedAndEvictedOrdersNeverRun)
 {
   ledger ledger;
   auto now = time_point(5000s);
@@ -36,27 +36,27 @@
   constexpr int kOrders = 200000;
   for (int i = 0; i < kOrders; ++i) {
     now += 50us;
-    const auto answer = Admit(ledger, OrderAt(i, now), now);
-    refused += answer.mState == run_state::NOT_RUN ? 1 : 0;
+    const auto status = Admit(ledger, OrderAt(i, now), now);
+    refused += status.mState == run_state::NOT_RUN ? 1 : 0;
   }
   BOOST_TEST(refused > kOrders - 100);
   BOOST_TEST(ledger.mRows.size() <= ledger.mLimits.mMaximumEnded + 100);
-  // Room again: the queue is emptied, so that only the guard refuses.
+  // Empties the queue, so that only the check for evicted rows refuses orders.
   RefuseQueued(ledger, "draining", now);
   int queuedCopies = 0;
   for (int i = 0; i < kOrders; i += 97) {
     const auto issuedAt = time_point(5000s) + 50us * (i + 1);
-    const auto answer = Admit(ledger, OrderAt(i, issuedAt), now);
-    queuedCopies += answer.mState == run_state::QUEUED ? 1 : 0;
+    const auto status = Admit(ledger, OrderAt(i, issuedAt), now);
+    queuedCopies += status.mState == run_state::QUEUED ? 1 : 0;
   }
   BOOST_TEST(queuedCopies == 0);
   const auto fresh = Admit(ledger, OrderAt(kOrders, now), now);
   BOOST_TEST(fresh.mState == run_state::QUEUED);
 }
 
-// Answers of a megabyte each aren't all kept; one that was dropped is an
-// unknown outcome for whoever asks, never "not run".
-BOOST_AUTO_TEST_CASE(LargeAnswersAreDroppedTruthfully)
+// Results of 1 MiB each aren't all kept. The outcome of a request whose result
+// was evicted is unknown, never "not run".
+BOOST_AUTO_TEST_CASE(EvictedResultsAreUnknownOutcomes)
 {
   ledger ledger;
   auto now = time_point(5000s);
@@ -64,13 +64,13 @@
   for (int i = 0; i < 40; ++i) {
     now += 1s;
     Admit(ledger, OrderAt(i, now), now);
-    const auto order = TakeNext(ledger, now);
+    const auto order = StartNext(ledger, now);
     BOOST_REQUIRE(order);
     wire::run_result result;
     result.body.assign(1u << 20, 'x');
     Finish(ledger, order->request_id, run_state::FINISHED, "", result, now);
   }
-  BOOST_TEST(ledger.mAnswerBytes <= ledger.mLimits.mMaximumAnswerBytes);
+  BOOST_TEST(ledger.mResultBytes <= ledger.mLimits.mMaximumResultBytes);
   const auto dropped = Cancel(ledger, "request 0", first + 1s, now);
   BOOST_TEST(dropped.mState == run_state::OUTCOME_UNKNOWN);
   const auto kept = Cancel(ledger, "request 39", now, now);
--- a/Duties/Dispatch/TestLedgerHistories.cpp
+++ b/Duties/Dispatch/TestLedgerHistories.cpp
@@ -14,25 +14,27 @@
 
 BOOST_AUTO_TEST_SUITE(TestLedgerHistories)
 
-// A caller sees its booking made twice, or made after it was told "not run".
-// Messages between entry and agent come late, twice, out of order or never;
-// agents and entries die; the platform loses answers. Any order may come, so
-// histories are generated and an oracle counts what truly ran.
-BOOST_AUTO_TEST_CASE(KeepsItsPromisesInAnyOrderOfMessages)
+// A request that may not be repeated must not run twice, nor after its caller
+// was told "not run". Messages between entry and agent may be delayed,
+// duplicated, reordered or lost, agents and entries may crash, and responses of
+// the platform may be lost. Histories of such events are generated, and an
+// oracle counts the actual runs.
+BOOST_AUTO_TEST_CASE(InvariantsHoldInAnyOrderOfMessages)
 {
   model::fault_counts faults;
   const bool isKept = rc::check("promises hold in every history", [&] {
-    // The full size from the first history on: short ones get nowhere.
+    // Full size from the first history on, because short ones rarely get past
+    // the first attempts.
     const auto choices =
       *rc::gen::resize(kLongestHistory,
                        rc::gen::container<std::vector<std::uint32_t>>(
                          rc::gen::inRange<std::uint32_t>(0, 1u << 24)));
-    model::world world(faults);
+    model::simulation simulation(faults);
     for (const auto choice : choices) {
-      world.Step(choice);
-      RC_ASSERT(world.Fault() == "");
+      simulation.Step(choice);
+      RC_ASSERT(simulation.Violation() == "");
     }
-    RC_ASSERT(world.Check() == "");
+    RC_ASSERT(simulation.Check() == "");
   });
   BOOST_TEST(isKept);
   for (const char* fault : { "reordered",
--- a/Duties/Dispatch/TestLedgerQueue.cpp
+++ b/Duties/Dispatch/TestLedgerQueue.cpp
@@ -25,10 +25,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestLedgerQueue)
 
-// A small customer finds the line full of another's requests and is told that
-// the server is busy, though its own share stands unused. The one that makes
-// room is told "not run", and it must be true: it never starts afterwards.
-BOOST_AUTO_TEST_CASE(AFullLineMakesRoomAndTheDisplacedNeverRuns)
+// When the queue is full of one customer's requests, a customer below its share
+// would be refused. Instead a request of the first customer is displaced; it is
+// reported as "not run" and must never start afterwards.
+BOOST_AUTO_TEST_CASE(ADisplacedRequestNeverRuns)
 {
   ledger_limits limits;
   limits.mMaximumQueued = 3;
@@ -47,13 +47,13 @@
   BOOST_TEST((refused.mRetryAfter > 0ms));
   BOOST_TEST(
     (Admit(ledger, MakeOrder("b1", "small"), now).mState == run_state::QUEUED));
-  const auto displaced = Ask(ledger, "a3", now);
+  const auto displaced = Query(ledger, "a3", now);
   BOOST_TEST((displaced.mState == run_state::NOT_RUN));
   BOOST_TEST(displaced.mReason == "displaced");
   BOOST_TEST((displaced.mRetryAfter > 0ms));
 
   std::vector<std::string> ran;
-  while (const auto order = TakeNext(ledger, now)) {
+  while (const auto order = StartNext(ledger, now)) {
     ran.push_back(order->request_id);
     Finish(ledger, order->request_id, run_state::FINISHED, "", {}, now);
   }
@@ -61,8 +61,8 @@
   BOOST_TEST(ledger.mRunningCost == 0);
 }
 
-// The dispatch arrives after its cancel, or the cancel reaches it in line:
-// "not run" was promised, so neither may start.
+// A request that was cancelled while queued, or whose order arrives after the
+// cancel, was reported as "not run" and must never start.
 BOOST_AUTO_TEST_CASE(CancelledRequestsNeverStart)
 {
   ledger ledger;
@@ -73,7 +73,7 @@
   BOOST_TEST((Cancel(ledger, "a2", now, now).mState == run_state::NOT_RUN));
   BOOST_TEST((Admit(ledger, MakeOrder("a2", "large"), now).mState ==
               run_state::NOT_RUN));
-  BOOST_TEST(!TakeNext(ledger, now).has_value());
+  BOOST_TEST(!StartNext(ledger, now).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/Dispatch/TestRecentCalls.cpp
+++ b/Duties/Dispatch/TestRecentCalls.cpp
@@ -30,9 +30,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestRecentCalls)
 
-// A client's library sends a request eight times at once. One run is made,
-// and it is billed once.
-BOOST_AUTO_TEST_CASE(JoinsRequestsUnderWay)
+// A client sends the same request eight times concurrently. It must run once
+// and be billed once.
+BOOST_AUTO_TEST_CASE(JoinsConcurrentRequests)
 {
   recent_calls calls;
   std::atomic<int> runs{ 0 };
@@ -55,8 +55,9 @@
   BOOST_TEST(shared == 7);
 }
 
-// A refusal isn't remembered: asking again runs the request.
-BOOST_AUTO_TEST_CASE(ForgetsWhatDidNotRun)
+// Refusals and unknown outcomes aren't cached, so a repeated request runs
+// again.
+BOOST_AUTO_TEST_CASE(DoesNotCacheWhatDidNotRun)
 {
   recent_calls calls;
   int runs = 0;
@@ -73,8 +74,8 @@
   BOOST_TEST(runs == 3);
 }
 
-// Another body under the key is refused, and those who wait for a run that
-// throws aren't left waiting.
+// A request with another body but the same key is refused, and a run that
+// throws doesn't block later requests with its key.
 BOOST_AUTO_TEST_CASE(RefusesAnotherBodyAndSurvivesAThrow)
 {
   recent_calls calls;
--- a/Duties/Dispatch/TestRetryBudget.cpp
+++ b/Duties/Dispatch/TestRetryBudget.cpp
@@ -11,10 +11,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestRetryBudget)
 
-// Under overload every server refuses, and each refusal is tried elsewhere:
-// the servers get several times the load that overloads them. Whatever the
-// pattern of arrivals, retries must stay within their share.
-BOOST_AUTO_TEST_CASE(RetriesStayWithinTheirShare)
+// During an overload every server refuses requests. If each refusal were
+// retried, the servers would get several times the load that overloads them.
+// Retries must stay within their ratio for any pattern of arrivals.
+BOOST_AUTO_TEST_CASE(RetriesStayWithinTheirRatio)
 {
   std::int64_t refusals = 0;
   const bool isKept = rc::check("share holds over every window", [&] {
@@ -26,7 +26,7 @@
     auto now = time_point(5000s);
     std::vector<time_point> firsts;
     std::vector<time_point> retries;
-    // The window is the present second and the nine before it.
+    // The window consists of the current second and the nine before it.
     const auto countRecent = [&](const std::vector<time_point>& aTimes) {
       const auto second = now.time_since_epoch() / 1s;
       return std::count_if(aTimes.begin(), aTimes.end(), [&](auto aTime) {
@@ -37,12 +37,12 @@
       now += milliseconds(gap);
       CountFirstAttempt(budget, now);
       firsts.push_back(now);
-      // Every attempt fails, and asks for two retries.
+      // Every attempt fails and requests two retries.
       for (int i = 0; i < 2; ++i) {
         const auto allowed =
           std::max<std::int64_t>(10, countRecent(firsts) / 10);
         const bool isDue = countRecent(retries) < allowed;
-        RC_ASSERT(TakeRetry(budget, now) == isDue);
+        RC_ASSERT(TryConsumeRetry(budget, now) == isDue);
         if (isDue) {
           retries.push_back(now);
         } else {
@@ -55,12 +55,12 @@
   BOOST_TEST(refusals > 0);
 }
 
-// A quiet entry meets one server that refuses; it must still go elsewhere.
-BOOST_AUTO_TEST_CASE(QuietEntryMayRetry)
+// An entry with little traffic must be able to retry a refused request.
+BOOST_AUTO_TEST_CASE(AnEntryWithLittleTrafficMayRetry)
 {
   retry_budget budget;
   CountFirstAttempt(budget, time_point(1s));
-  BOOST_TEST(TakeRetry(budget, time_point(1s)));
+  BOOST_TEST(TryConsumeRetry(budget, time_point(1s)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
