--- a/Duties/Admission/BackPressure.h
+++ b/Duties/Admission/BackPressure.h
@@ -37,7 +37,7 @@
 };
 
 /** By pool and customer. */
-using pressure_map =
+using back_pressure_map =
   std::map<std::pair<std::string, std::string>, back_pressure>;
 
 /** Decides whether this entry refuses a request before dispatching it.
@@ -50,26 +50,26 @@
  * @param aDraw uniformly distributed in [0, 1)
  * @return time until a retry makes sense if the request is refused */
 std::optional<milliseconds>
-CheckPressure(pressure_map& aPressures,
-              const std::string& aPool,
-              const std::string& aCustomer,
-              const back_pressure_limits& aLimits,
-              double aDraw,
-              time_point aNow);
+CheckBackPressure(back_pressure_map& aPressures,
+                  const std::string& aPool,
+                  const std::string& aCustomer,
+                  const back_pressure_limits& aLimits,
+                  double aDraw,
+                  time_point aNow);
 
 /** Records how a dispatched request ended.
  * @param aRetryAfter the agent's retry time if it refused the request for lack
  *   of capacity; none if it accepted the request */
 void
-NoteOutcome(pressure_map& aPressures,
-            const std::string& aPool,
-            const std::string& aCustomer,
-            std::optional<milliseconds> aRetryAfter,
-            const back_pressure_limits& aLimits,
-            time_point aNow);
+RecordOutcome(back_pressure_map& aPressures,
+              const std::string& aPool,
+              const std::string& aCustomer,
+              std::optional<milliseconds> aRetryAfter,
+              const back_pressure_limits& aLimits,
+              time_point aNow);
 
 /** Removes customers without recent requests. */
 void
-ForgetIdle(pressure_map& aPressures, time_point aNow);
+RemoveIdle(back_pressure_map& aPressures, time_point aNow);
 
 } // namespace lavender::admission
--- a/Duties/Admission/CustomerLimits.h
+++ b/Duties/Admission/CustomerLimits.h
@@ -19,13 +19,13 @@
   bool mIsNew = true;
 };
 
-struct limit_state
+struct customer_limit_state
 {
   std::map<std::string, customer_usage> mCustomers;
 };
 
 /** Admission decision on one request. */
-struct admission_answer
+struct admission_decision
 {
   bool mIsAdmitted = false;
   /** Stable reason code of a refusal. */
@@ -36,14 +36,14 @@
 /** Checks a request against the customer's limits on concurrency and rate, and
  * counts it as in flight if it is admitted.
  * @param aShare share of the customer's limits that this entry may use */
-admission_answer
-Enter(limit_state& aState,
-      const configuration::customer& aCustomer,
-      double aShare,
-      time_point aNow);
+admission_decision
+AdmitRequest(customer_limit_state& aState,
+             const configuration::customer& aCustomer,
+             double aShare,
+             time_point aNow);
 
 /** Ends an admitted request. */
 void
-Leave(limit_state& aState, const std::string& aCustomer);
+ReleaseRequest(customer_limit_state& aState, const std::string& aCustomer);
 
 } // namespace lavender::admission
--- a/Duties/Admission/FairQueue.cpp
+++ b/Duties/Admission/FairQueue.cpp
@@ -38,7 +38,7 @@
 milliseconds
 EstimateTime(const fair_queue& aQueue, double aCost)
 {
-  const double rate = DrainRate(aQueue);
+  const double rate = MeasuredThroughput(aQueue);
   return rate > 0 ? std::chrono::duration_cast<milliseconds>(
                       seconds(std::max(aCost, 0.0) / rate))
                   : 0ms;
@@ -47,7 +47,7 @@
 milliseconds
 RetryAfter(const fair_queue& aQueue, double aCost)
 {
-  if (DrainRate(aQueue) <= 0) {
+  if (MeasuredThroughput(aQueue) <= 0) {
     return kDefaultRetryAfter;
   }
   return std::clamp(
@@ -196,7 +196,7 @@
 } // namespace
 
 double
-DrainRate(const fair_queue& aQueue)
+MeasuredThroughput(const fair_queue& aQueue)
 {
   const auto& throughput = aQueue.mThroughput;
   if (throughput.mCost < kMinMeasuredCost || throughput.mTime <= 0s) {
--- a/Duties/Admission/FairQueue.h
+++ b/Duties/Admission/FairQueue.h
@@ -127,7 +127,7 @@
 /** Measured tokens per second with all slots busy; zero while too few runs have
  * ended. */
 double
-DrainRate(const fair_queue& aQueue);
+MeasuredThroughput(const fair_queue& aQueue);
 
 /** Estimated time until a request arriving now would start: the cost of the
  * whole queue divided by the measured throughput; zero while the queue is empty
--- a/Duties/Admission/SharedDemand.cpp
+++ b/Duties/Admission/SharedDemand.cpp
@@ -55,7 +55,7 @@
 }
 
 double
-ShareOf(const customer_demand& aDemand, std::size_t aEntries)
+EntryShare(const customer_demand& aDemand, std::size_t aEntries)
 {
   const auto entries = static_cast<double>(std::max<std::size_t>(aEntries, 1));
   const double own = std::clamp(aDemand.mOwn, 0, aDemand.mInFlight);
--- a/Duties/Admission/SharedDemand.h
+++ b/Duties/Admission/SharedDemand.h
@@ -58,6 +58,6 @@
  * entries add up to one when they have the same reports, and follow the demand
  * with the delay of the reports. */
 double
-ShareOf(const customer_demand& aDemand, std::size_t aEntries);
+EntryShare(const customer_demand& aDemand, std::size_t aEntries);
 
 } // namespace lavender::admission
--- a/Duties/Admission/TestBackPressure.cpp
+++ b/Duties/Admission/TestBackPressure.cpp
@@ -23,7 +23,7 @@
  * per second. */
 struct traffic
 {
-  pressure_map mPressures;
+  back_pressure_map mPressures;
   std::mt19937_64 mRandom{ 5 };
   time_point mNow{ 1h };
 
@@ -39,7 +39,7 @@
       mNow += std::chrono::nanoseconds(1s) / aPerSecond;
       room = std::min(
         room + static_cast<double>(aAcceptedPerSecond) / aPerSecond, 5.0);
-      if (CheckPressure(
+      if (CheckBackPressure(
             mPressures, kPool, aCustomer, {}, draw(mRandom), mNow)) {
         ++result.mRefusedLocally;
         continue;
@@ -48,13 +48,13 @@
       const bool isAccepted = room >= 1;
       room -= isAccepted ? 1 : 0;
       result.mAccepted += isAccepted ? 1 : 0;
-      NoteOutcome(mPressures,
-                  kPool,
-                  aCustomer,
-                  isAccepted ? std::nullopt
-                             : std::optional<milliseconds>(700ms),
-                  {},
-                  mNow);
+      RecordOutcome(mPressures,
+                    kPool,
+                    aCustomer,
+                    isAccepted ? std::nullopt
+                               : std::optional<milliseconds>(700ms),
+                    {},
+                    mNow);
     }
     return result;
   }
@@ -86,7 +86,7 @@
 BOOST_AUTO_TEST_CASE(ACustomerWhoseRequestsAreAcceptedIsNeverRefused)
 {
   BOOST_TEST(rc::check("refusals of one customer beside another", [] {
-    pressure_map pressures;
+    back_pressure_map pressures;
     time_point now(1h);
     int inFlight = 0;
     const int steps = *rc::gen::inRange(1, 200);
@@ -96,18 +96,18 @@
       const int kind = *rc::gen::inRange(0, 3);
       if (kind == 0) {
         const auto refused =
-          CheckPressure(pressures, kPool, "large", {}, draw, now);
+          CheckBackPressure(pressures, kPool, "large", {}, draw, now);
         RC_ASSERT(!refused || *refused > 0ms);
-        NoteOutcome(pressures, kPool, "large", 900ms, {}, now);
+        RecordOutcome(pressures, kPool, "large", 900ms, {}, now);
       } else if (kind == 1) {
-        RC_ASSERT(!CheckPressure(pressures, kPool, "small", {}, draw, now));
+        RC_ASSERT(!CheckBackPressure(pressures, kPool, "small", {}, draw, now));
         ++inFlight;
       } else if (inFlight > 0) {
-        NoteOutcome(pressures, kPool, "small", std::nullopt, {}, now);
+        RecordOutcome(pressures, kPool, "small", std::nullopt, {}, now);
         --inFlight;
       }
     }
-    ForgetIdle(pressures, now + 61s);
+    RemoveIdle(pressures, now + 61s);
     RC_ASSERT(pressures.empty());
   }));
 }
--- a/Duties/Dispatch/AgentDispatch.h
+++ b/Duties/Dispatch/AgentDispatch.h
@@ -46,7 +46,7 @@
   void StartDrain();
   bool IsDraining() const;
   /** Requests queued or running. */
-  std::size_t RequestsLeft() const;
+  std::size_t PendingRequestCount() const;
   wire::load_figures Load() const;
   /** Customers with requests at this agent.
    * @param aEntry incarnation of the entry whose own requests are counted
--- a/Duties/Dispatch/BackendServer.h
+++ b/Duties/Dispatch/BackendServer.h
@@ -53,21 +53,21 @@
 
 /** Weights that an engine reports as loaded; version 0 if it doesn't report
  * any. */
-struct held_weights
+struct loaded_weights
 {
   std::string mModel;
   std::int64_t mVersion = 0;
 };
 
-held_weights
-ReadWeights(const backend_server& aServer);
+loaded_weights
+ReadLoadedWeights(const backend_server& aServer);
 
 /** Requests that an engine load a weight version.
  * @return reason code of a failure; empty if the engine accepted the request */
 std::string
-OrderWeights(const backend_server& aServer,
-             const std::string& aModel,
-             std::int64_t aVersion,
-             std::int64_t aFencing);
+RequestWeightLoad(const backend_server& aServer,
+                  const std::string& aModel,
+                  std::int64_t aVersion,
+                  std::int64_t aFencing);
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/EntryDispatch.cpp
+++ b/Duties/Dispatch/EntryDispatch.cpp
@@ -103,8 +103,8 @@
   , mRandom(std::random_device()())
 {
   mBudget.mLimits = mOptions.mRetryBudget;
-  mDirectory.OnReport(
-    [this](const server_view& aServer) { TakeReport(aServer); });
+  mDirectory.SetReportObserver(
+    [this](const server_view& aServer) { ApplyReport(aServer); });
 }
 
 void
@@ -127,16 +127,16 @@
 }
 
 void
-entry_dispatch::TakeReport(const server_view& aServer)
+entry_dispatch::ApplyReport(const server_view& aServer)
 {
   routing::server_report report;
   report.mName = aServer.mInstance.mName;
   report.mAvailabilityZone = aServer.mInstance.mAvailabilityZone;
   report.mSlots = aServer.mLoad.slots;
   report.mRequests = aServer.mLoad.queued + aServer.mLoad.running;
-  report.mDrainRate = aServer.mLoad.tokens_per_second;
-  report.mTakesWork = IsUsable(aServer, boot_clock::now());
-  report.mMadeAt = aServer.mReportedAt;
+  report.mTokensPerSecond = aServer.mLoad.tokens_per_second;
+  report.mAcceptsRequests = IsUsable(aServer, boot_clock::now());
+  report.mGeneratedAt = aServer.mReportRequestedAt;
   report.mCachedPrefixes = aServer.mLoad.cached_prefixes;
   ApplyDemand(aServer);
   std::lock_guard lock(mRoutingMutex);
@@ -144,23 +144,25 @@
   if (isNew) {
     table->second.mLimits = mOptions.mRouting;
   }
-  routing::TakeReport(table->second, report, boot_clock::now());
+  routing::ApplyReport(table->second, report, boot_clock::now());
 }
 
 std::optional<server_view>
-entry_dispatch::Pick(const std::string& aPool,
-                     const std::vector<std::string>& aExcluded,
-                     std::int64_t aPrefix)
+entry_dispatch::SelectServer(const std::string& aPool,
+                             const std::vector<std::string>& aExcluded,
+                             std::int64_t aPrefix)
 {
-  const routing::route_request request{ aPrefix, mOptions.mOwnZone, aExcluded };
+  const routing::route_request request{ aPrefix,
+                                        mOptions.mLocalZone,
+                                        aExcluded };
   while (true) {
     std::optional<std::string> chosen;
     {
       std::lock_guard lock(mRoutingMutex);
       const auto table = mRoutingTables.find(aPool);
       if (table != mRoutingTables.end()) {
-        chosen =
-          routing::Choose(table->second, request, mRandom, boot_clock::now());
+        chosen = routing::ChooseServer(
+          table->second, request, mRandom, boot_clock::now());
       }
     }
     if (!chosen) {
@@ -174,7 +176,7 @@
     // The server has left or stopped responding since its report. Each
     // iteration excludes one server, so the loop ends.
     std::lock_guard lock(mRoutingMutex);
-    routing::TakeOut(mRoutingTables.at(aPool), *chosen);
+    routing::MarkUnavailable(mRoutingTables.at(aPool), *chosen);
   }
 }
 
@@ -204,7 +206,7 @@
   std::lock_guard lock(mRoutingMutex);
   if (const auto table = mRoutingTables.find(aCall.mPool);
       table != mRoutingTables.end()) {
-    routing::NoteEnded(table->second,
+    routing::RecordEnd(table->second,
                        aServer,
                        aSentAt,
                        HealthSignalOf(aOutcome),
@@ -225,7 +227,7 @@
     if (TimeLeft(aCall.mDeadline) <= 0ms) {
       return FinalOutcome(progress, Refuse(ran::NotRun, kDeadline));
     }
-    const auto server = Pick(aCall.mPool, tried, aCall.mPrefix);
+    const auto server = SelectServer(aCall.mPool, tried, aCall.mPrefix);
     if (!server) {
       return FinalOutcome(progress, std::move(outcome));
     }
@@ -273,7 +275,7 @@
   // margin covers the drift of the two clocks until the next report, so the sum
   // is never ahead of the agent's true time.
   const auto sinceHeard = std::chrono::duration_cast<milliseconds>(
-    boot_clock::now() - *aServer.mHeardAt);
+    boot_clock::now() - *aServer.mLastResponseAt);
   return { aAttemptId,
            aServer.mInstance.mName,
            aServer.mIncarnation,
@@ -290,7 +292,8 @@
   const auto sentAt = boot_clock::now();
   {
     std::lock_guard lock(mRoutingMutex);
-    routing::NoteSent(mRoutingTables[aCall.mPool], name, aCall.mPrefix, sentAt);
+    routing::RecordSent(
+      mRoutingTables[aCall.mPool], name, aCall.mPrefix, sentAt);
   }
   call_outcome outcome;
   scope_guard guard([&] { RecordAttemptEnd(aCall, name, sentAt, outcome); });
@@ -353,7 +356,7 @@
     event.mWire = result.mState;
     event.mReply = std::move(result.mReply);
     if (event.mWire == wire_state::Answered) {
-      mDirectory.TakeReply(aTicket.mServerName, event.mReply);
+      mDirectory.ApplyReply(aTicket.mServerName, event.mReply);
       ApplyRequestCount(aCall.mPool, aTicket.mServerName, event.mReply.load);
     } else {
       server->mConnections->DropIdle();
--- a/Duties/Dispatch/EntryDispatch.h
+++ b/Duties/Dispatch/EntryDispatch.h
@@ -56,7 +56,7 @@
 struct entry_dispatch_options
 {
   std::string mEntryIncarnation;
-  std::string mOwnZone;
+  std::string mLocalZone;
   attempt_limits mLimits;
   int mMaximumAttempts = 3;
   retry_budget_limits mRetryBudget;
@@ -82,7 +82,7 @@
   call_outcome Run(const call& aCall);
 
   /** Selects a server of the pool; none when no server can take the call. */
-  std::optional<membership::server_view> Pick(
+  std::optional<membership::server_view> SelectServer(
     const std::string& aPool,
     const std::vector<std::string>& aExcluded,
     std::int64_t aPrefix = 0);
@@ -108,7 +108,7 @@
   int MaximumAttempts() const { return mOptions.mMaximumAttempts; }
 
 private:
-  void TakeReport(const membership::server_view& aServer);
+  void ApplyReport(const membership::server_view& aServer);
   void ApplyDemand(const membership::server_view& aServer);
   void ApplyRequestCount(const std::string& aPool,
                          const std::string& aServer,
--- a/Duties/Forwarding/AttemptOutcome.h
+++ b/Duties/Forwarding/AttemptOutcome.h
@@ -22,7 +22,7 @@
   /** Forward the server's response to the caller. */
   Deliver,
   /** Send the request to another server. */
-  TryElsewhere,
+  RetryOnAnotherServer,
   /** Tell the caller that the request did not run, and when to retry. */
   RefuseNotRun,
   /** Tell the caller that the request may have run. */
@@ -35,13 +35,13 @@
   unsigned mStatus = 0;
   bool mIsNotExecuted = false;
   /** The response carries the id of another attempt. */
-  bool mIsForeign = false;
+  bool mIsMismatched = false;
 };
 
 /** What a request has left after an attempt. */
 struct attempt_budget
 {
-  site::repetition mRepetition = site::repetition::AtMostOnce;
+  site::retry_policy mRetryPolicy = site::retry_policy::AtMostOnce;
   int mAttemptsLeft = 0;
   milliseconds mTimeLeft{ 0 };
   /** An earlier attempt may have run. */
--- a/Duties/Forwarding/ForwardedRequest.cpp
+++ b/Duties/Forwarding/ForwardedRequest.cpp
@@ -48,11 +48,12 @@
   , mExchange(std::move(aExchange))
   , mRoute(std::move(aRoute))
   , mCustomer(std::move(aCustomer))
-  , mCaller(aForwarder.mParts.mProtocol.mReadCaller(mExchange->mRequest))
-  , mDeadlineTimer(aForwarder.mParts.mLoop)
-  , mAttemptTimer(aForwarder.mParts.mLoop)
+  , mCaller(aForwarder.mDependencies.mProtocol.mReadCallerMetadata(
+      mExchange->mRequest))
+  , mDeadlineTimer(aForwarder.mDependencies.mLoop)
+  , mAttemptTimer(aForwarder.mDependencies.mLoop)
 {
-  auto timeout = mCaller.mPatience.value_or(kDefaultDeadline);
+  auto timeout = mCaller.mCallerTimeout.value_or(kDefaultDeadline);
   if (mRoute->mTimeout) {
     timeout = std::min(timeout, *mRoute->mTimeout);
   }
@@ -91,7 +92,7 @@
 forwarded_request::CurrentBudget() const
 {
   attempt_budget budget;
-  budget.mRepetition = mRoute->mRepetition;
+  budget.mRetryPolicy = mRoute->mRetryPolicy;
   budget.mAttemptsLeft =
     mRoute->mMaximumAttempts - static_cast<int>(mTriedServers.size());
   budget.mTimeLeft = TimeLeft();
@@ -102,7 +103,8 @@
 void
 forwarded_request::TryNext()
 {
-  const auto selected = mForwarder.mParts.mRouter.Pick(*mRoute, mTriedServers);
+  const auto selected =
+    mForwarder.mDependencies.mRouter.SelectServer(*mRoute, mTriedServers);
   if (!selected) {
     if (mMayHaveRun) {
       FailUnknown("no other server");
@@ -115,17 +117,17 @@
 }
 
 void
-forwarded_request::Send(const server_pick& aSelected)
+forwarded_request::Send(const selected_server& aSelected)
 {
   mSelected = aSelected;
   mTriedServers.push_back(aSelected.mServer.mId);
   mResponse.reset();
   mFacts = {};
-  mIsForeign = false;
+  mIsMismatched = false;
   mSentAt = boot_clock::now();
   mIsAttemptOpen = true;
-  auto& parts = mForwarder.mParts;
-  parts.mRouter.NoteSent(aSelected, mSentAt);
+  auto& parts = mForwarder.mDependencies;
+  parts.mRouter.RecordSent(aSelected, mSentAt);
 
   site::attempt attempt;
   attempt.mServerId = aSelected.mServer.mId;
@@ -134,7 +136,7 @@
   edge::call_options options;
   options.mConnectTimeout = kConnectTimeout;
   options.mSilenceTimeout = TimeLeft() + 1s;
-  options.mMayReuse = mRoute->mRepetition == site::repetition::Idempotent;
+  options.mMayReuse = mRoute->mRetryPolicy == site::retry_policy::Idempotent;
   const auto self = shared_from_this();
   edge::call_events events;
   events.mOnHead = [self](const auto& aHead) { self->HandleHead(aHead); };
@@ -178,17 +180,17 @@
 void
 forwarded_request::HandleHead(const edge::response& aHead)
 {
-  mFacts = mForwarder.mParts.mProtocol.mReadAnswer(aHead);
+  mFacts = mForwarder.mDependencies.mProtocol.mReadResponseMetadata(aHead);
   mResponse = aHead;
-  mIsForeign = !mFacts.mAttemptId.empty() && !mCaller.mAttemptId.empty() &&
-               mFacts.mAttemptId != mCaller.mAttemptId;
-  if (mIsForeign) {
+  mIsMismatched = !mFacts.mAttemptId.empty() && !mCaller.mAttemptId.empty() &&
+                  mFacts.mAttemptId != mCaller.mAttemptId;
+  if (mIsMismatched) {
     mCall.Cancel();
     HandleEnd(edge::call_end::Malformed);
     return;
   }
   if (mFacts.mLoad) {
-    mForwarder.mParts.mRouter.TakeLoad(
+    mForwarder.mDependencies.mRouter.RecordLoad(
       mSelected, *mFacts.mLoad, boot_clock::now());
   }
   if (!mFacts.mIsNotExecuted) {
@@ -220,9 +222,9 @@
 void
 forwarded_request::ReportStarted()
 {
-  if (!mIsStartReported && mForwarder.mParts.mOnStarted && mCustomer) {
+  if (!mIsStartReported && mForwarder.mDependencies.mOnStarted && mCustomer) {
     mIsStartReported = true;
-    mForwarder.mParts.mOnStarted(mCustomer->mName);
+    mForwarder.mDependencies.mOnStarted(mCustomer->mName);
   }
 }
 
@@ -234,7 +236,7 @@
   end.mEnd = aEnd;
   end.mStatus = mResponse ? mResponse->mStatus : 0;
   end.mIsNotExecuted = mResponse && mFacts.mIsNotExecuted;
-  end.mIsForeign = mIsForeign;
+  end.mIsMismatched = mIsMismatched;
   const auto execution = ExecutionOf(end);
   EndAttempt(aEnd != edge::call_end::Complete || end.mStatus >= 500
                ? (end.mIsNotExecuted ? routing::evidence::Neutral
@@ -252,7 +254,7 @@
       LogEnd("streamed", end.mStatus, "whole");
     } else {
       mExchange->Abort();
-      LogEnd("cut", end.mStatus, edge::WordFor(aEnd));
+      LogEnd("cut", end.mStatus, edge::ToString(aEnd));
     }
     Release();
     return;
@@ -261,7 +263,7 @@
   events::line("attempt_ended")
     .With("request", mCaller.mAttemptId)
     .With("server", mSelected.mServer.mId)
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(end.mStatus))
     .With(
       "took_ms",
@@ -270,16 +272,16 @@
     case next_step::Deliver:
       Deliver();
       return;
-    case next_step::TryElsewhere:
-      mForwarder.mParts.mMetrics.Count("lavender_retries_total",
-                                       { { "reason", edge::WordFor(aEnd) } });
+    case next_step::RetryOnAnotherServer:
+      mForwarder.mDependencies.mMetrics.Count(
+        "lavender_retries_total", { { "reason", edge::ToString(aEnd) } });
       TryNext();
       return;
     case next_step::RefuseNotRun:
       Refuse("servers did not run it");
       return;
     case next_step::FailUnknown:
-      FailUnknown(edge::WordFor(aEnd));
+      FailUnknown(edge::ToString(aEnd));
       return;
   }
 }
@@ -291,7 +293,7 @@
     return;
   }
   mIsAttemptOpen = false;
-  mForwarder.mParts.mRouter.NoteEnded(
+  mForwarder.mDependencies.mRouter.RecordEnd(
     mSelected, mSentAt, aEvidence, boot_clock::now());
 }
 
@@ -310,8 +312,8 @@
 void
 forwarded_request::Refuse(const char* aReason)
 {
-  mForwarder.mParts.mMetrics.Count("lavender_refusals_total",
-                                   { { "reason", aReason } });
+  mForwarder.mDependencies.mMetrics.Count("lavender_refusals_total",
+                                          { { "reason", aReason } });
   LogEnd("refused", 503, aReason);
   edge::AnswerOwn(mExchange, 503, kRetryAfter);
   Release();
@@ -320,8 +322,8 @@
 void
 forwarded_request::FailUnknown(const char* aReason)
 {
-  mForwarder.mParts.mMetrics.Count("lavender_failures_total",
-                                   { { "reason", aReason } });
+  mForwarder.mDependencies.mMetrics.Count("lavender_failures_total",
+                                          { { "reason", aReason } });
   LogEnd("failed", 502, aReason);
   edge::AnswerOwn(mExchange, 502);
   Release();
@@ -369,7 +371,7 @@
     .With("reason", aReason)
     .With("attempts", static_cast<std::int64_t>(mTriedServers.size()))
     .With("took_ms", took);
-  mForwarder.mParts.mMetrics.Observe(
+  mForwarder.mDependencies.mMetrics.Observe(
     "lavender_request_seconds",
     { { "pool", mRoute->mPools.front().mPool }, { "outcome", aOutcome } },
     boot_clock::now() - mExchange->mReadAt);
--- a/Duties/Forwarding/PoolRouter.h
+++ b/Duties/Forwarding/PoolRouter.h
@@ -9,7 +9,7 @@
 namespace lavender::forwarding {
 
 /** The server selected for the next attempt. */
-struct server_pick
+struct selected_server
 {
   std::string mPool;
   site::backend_server mServer;
@@ -27,24 +27,24 @@
               std::string aAvailabilityZone);
 
   /** Updates the routing tables from the current state of the directory. */
-  void TakeServers(time_point aNow);
+  void SyncServers(time_point aNow);
   /** Selects a server of one of the route's pools; none when no untried server
    * accepts requests. */
-  std::optional<server_pick> Pick(
+  std::optional<selected_server> SelectServer(
     const site::route& aRoute,
     const std::vector<std::string>& aTriedServers);
-  void NoteSent(const server_pick& aSelected, time_point aNow);
-  /** @param aSentAt time passed to NoteSent for this request */
-  void NoteEnded(const server_pick& aSelected,
+  void RecordSent(const selected_server& aSelected, time_point aNow);
+  /** @param aSentAt time passed to RecordSent for this request */
+  void RecordEnd(const selected_server& aSelected,
                  time_point aSentAt,
                  routing::evidence aEvidence,
                  time_point aNow);
   /** Records the load figures that came with a server's response. */
-  void TakeLoad(const server_pick& aSelected,
-                const site::server_load& aLoad,
-                time_point aNow);
+  void RecordLoad(const selected_server& aSelected,
+                  const site::server_load& aLoad,
+                  time_point aNow);
   /** Number of requests that the pool's servers can run concurrently. */
-  int PlacesOf(const std::string& aPool) const;
+  int SlotsOf(const std::string& aPool) const;
 
 private:
   const site::server_directory& mDirectory;
--- a/Duties/Routing/Breaker.h
+++ b/Duties/Routing/Breaker.h
@@ -30,10 +30,10 @@
   milliseconds mHalfLife{ 10000 };
   /** The breaker opens only at or above this decayed number of attempts; the
    * failure ratio of fewer attempts isn't significant. */
-  double mEnoughAttempts = 3;
-  double mFailureShare = 0.5;
-  milliseconds mFirstPause{ 1000 };
-  milliseconds mLongestPause{ 30000 };
+  double mMinimumAttempts = 3;
+  double mFailureRatio = 0.5;
+  milliseconds mInitialPause{ 1000 };
+  milliseconds mMaximumPause{ 30000 };
 };
 
 /** Circuit breaker of one server.
@@ -58,10 +58,10 @@
 /** Records that a request is sent. The first request after a pause is the
  * probe, and no other request is allowed until the probe has ended. */
 void
-NoteSent(breaker& aBreaker, time_point aNow);
+RecordSent(breaker& aBreaker, time_point aNow);
 
 void
-NoteEnded(breaker& aBreaker,
+RecordEnd(breaker& aBreaker,
           evidence aEvidence,
           const breaker_limits& aLimits,
           time_point aNow);
--- a/Duties/Routing/OwnRequests.h
+++ b/Duties/Routing/OwnRequests.h
@@ -37,11 +37,11 @@
 };
 
 void
-NoteSent(own_requests& aOwn, time_point aNow);
+RecordSent(own_requests& aOwn, time_point aNow);
 
-/** @param aSentAt time passed to NoteSent for this request */
+/** @param aSentAt time passed to RecordSent for this request */
 void
-NoteEnded(own_requests& aOwn, time_point aSentAt, time_point aNow);
+RecordEnd(own_requests& aOwn, time_point aSentAt, time_point aNow);
 
 /** Applies a newer report's time and recomputes the correction.
  * @param aMadeAt when the report was generated, or an earlier time */
--- a/Duties/Routing/PoolTable.h
+++ b/Duties/Routing/PoolTable.h
@@ -33,18 +33,18 @@
   int mRequests = 0;
   /** Tokens per second with all slots busy, as measured by the server's agent;
    * 0 while unknown. */
-  double mDrainRate = 0;
-  bool mTakesWork = false;
+  double mTokensPerSecond = 0;
+  bool mAcceptsRequests = false;
   /** When the report was generated, or an earlier time, by the clock of this
    * process. */
-  time_point mMadeAt;
+  time_point mGeneratedAt;
   std::vector<std::int64_t> mCachedPrefixes;
 };
 
 struct server_row
 {
   server_report mReport;
-  own_requests mOwn;
+  own_requests mOwnRequests;
   breaker mBreaker;
   /** Estimated requests per slot, divided by the server's relative speed and
    * success ratio; updated on each change. */
@@ -85,7 +85,7 @@
 struct route_request
 {
   std::int64_t mPrefix = 0;
-  std::string mOwnZone;
+  std::string mLocalZone;
   /** Servers that earlier attempts of this request were sent to. */
   std::vector<std::string> mExcluded;
 };
@@ -93,7 +93,7 @@
 /** Applies a server's report. Of a report older than the last one, only the
  * cache events are used. */
 void
-TakeReport(pool_table& aTable, const server_report& aReport, time_point aNow);
+ApplyReport(pool_table& aTable, const server_report& aReport, time_point aNow);
 
 /** Applies the request count that a server sent with a response. It arrives
  * before the next report and needs no extra message.
@@ -107,7 +107,7 @@
 /** Sends no requests to a server until its next report, because it has left
  * or has stopped responding. */
 void
-TakeOut(pool_table& aTable, const std::string& aServer);
+MarkUnavailable(pool_table& aTable, const std::string& aServer);
 
 /** Selects a server; none when no server can take the request.
  *
@@ -119,22 +119,22 @@
  * and is measured again. When more than half of all breakers are open, the
  * servers are unlikely to be the cause, and breakers are ignored. */
 std::optional<std::string>
-Choose(pool_table& aTable,
-       const route_request& aRequest,
-       std::mt19937_64& aRandom,
-       time_point aNow);
+ChooseServer(pool_table& aTable,
+             const route_request& aRequest,
+             std::mt19937_64& aRandom,
+             time_point aNow);
 
 /** Records a request sent to a server, and the server as a holder of the
  * prompt's prefix. */
 void
-NoteSent(pool_table& aTable,
-         const std::string& aServer,
-         std::int64_t aPrefix,
-         time_point aNow);
+RecordSent(pool_table& aTable,
+           const std::string& aServer,
+           std::int64_t aPrefix,
+           time_point aNow);
 
-/** @param aSentAt time passed to NoteSent for this request */
+/** @param aSentAt time passed to RecordSent for this request */
 void
-NoteEnded(pool_table& aTable,
+RecordEnd(pool_table& aTable,
           const std::string& aServer,
           time_point aSentAt,
           evidence aEvidence,
--- a/Tests/Site/TestForwarding.cpp
+++ b/Tests/Site/TestForwarding.cpp
@@ -13,7 +13,7 @@
 /** An entry that forwards every request to the added servers. */
 struct forwarding_site
 {
-  explicit forwarding_site(site::repetition aRepetition)
+  explicit forwarding_site(site::retry_policy aRepetition)
     : mForwarder(
         { mLoop.mLoop,
           *mClients,
@@ -27,7 +27,7 @@
                   mForwarder.Serve(aExchange, mRoute, mCustomer);
                 })
   {
-    mRoute->mRepetition = aRepetition;
+    mRoute->mRetryPolicy = aRepetition;
     mRoute->mMaximumAttempts = 2;
     mRoute->mPools = { { "pool", 1 } };
     mCustomer->mName = "customer";
@@ -36,8 +36,8 @@
 
   void Add(const std::string& aId, const plain_server& aServer)
   {
-    site::TakeServer(mDirectory, aServer.Entry(aId, "pool"));
-    mRouter.TakeServers(boot_clock::now());
+    site::ApplyServer(mDirectory, aServer.Entry(aId, "pool"));
+    mRouter.SyncServers(boot_clock::now());
   }
 
   edge::request Request() const
@@ -78,9 +78,9 @@
 // second server after the connection to the first one broke.
 BOOST_AUTO_TEST_CASE(ABrokenResponseIsRetriedOnlyWhenIdempotent)
 {
-  for (const auto repetition :
-       { site::repetition::AtMostOnce, site::repetition::Idempotent }) {
-    forwarding_site site(repetition);
+  for (const auto retry_policy :
+       { site::retry_policy::AtMostOnce, site::retry_policy::Idempotent }) {
+    forwarding_site site(retry_policy);
     plain_server first(site.mLoop);
     plain_server second(site.mLoop);
     const auto breaks = [](const auto& aExchange) { aExchange->Abort(); };
@@ -88,7 +88,7 @@
     site.Add("s1", first);
     site.Add("s2", second);
     const auto result = site.Send();
-    const bool isOnce = repetition == site::repetition::AtMostOnce;
+    const bool isOnce = retry_policy == site::retry_policy::AtMostOnce;
     BOOST_TEST(first.mRequests + second.mRequests == (isOnce ? 1 : 2));
     BOOST_TEST(result.mAnswer.mStatus == 502u);
     // Billed once, however many attempts were made.
@@ -100,7 +100,7 @@
 // is told so immediately, with a Retry-After.
 BOOST_AUTO_TEST_CASE(ARequestThatNoServerRanIsRefusedImmediately)
 {
-  forwarding_site site(site::repetition::AtMostOnce);
+  forwarding_site site(site::retry_policy::AtMostOnce);
   plain_server server(site.mLoop);
   server.mServe = [](const auto& aExchange) {
     aExchange->Answer(plain_server::TurnAway(aExchange));
@@ -116,7 +116,7 @@
 // forwarded to the wrong caller.
 BOOST_AUTO_TEST_CASE(AResponseToAnotherAttemptIsNeverForwarded)
 {
-  forwarding_site site(site::repetition::AtMostOnce);
+  forwarding_site site(site::retry_policy::AtMostOnce);
   plain_server server(site.mLoop);
   server.mServe = [](const auto& aExchange) {
     edge::response answer{ 200, {}, "not yours" };
@@ -133,7 +133,7 @@
 // connection must be closed when the caller's connection is.
 BOOST_AUTO_TEST_CASE(TheServerConnectionIsClosedWithTheCallers)
 {
-  forwarding_site site(site::repetition::AtMostOnce);
+  forwarding_site site(site::retry_policy::AtMostOnce);
   plain_server server(site.mLoop);
   server.mServe = [](const auto&) {};
   site.Add("s1", server);
@@ -148,7 +148,7 @@
 // sent to the other server well before the caller's deadline.
 BOOST_AUTO_TEST_CASE(AnUnresponsiveServerDoesntHoldARequestToItsDeadline)
 {
-  forwarding_site site(site::repetition::Idempotent);
+  forwarding_site site(site::retry_policy::Idempotent);
   plain_server dark(site.mLoop);
   plain_server sound(site.mLoop);
   dark.mServe = [](const auto&) {};
