--- a/Duties/Configuration/ConfigurationStore.cpp
+++ b/Duties/Configuration/ConfigurationStore.cpp
@@ -137,13 +137,13 @@
     return;
   }
   const auto copy = Copy();
-  if (copy.mChanged <= mSavedChanged) {
+  if (copy.mChangedRevision <= mSavedChanged) {
     return;
   }
   const auto bytes = wire::Encode(ToMessage(copy, boot_clock::now()));
   const auto failure = SaveChecked(mOptions.mDataFolder + kCopyFile, bytes);
   if (failure.empty()) {
-    mSavedChanged = copy.mChanged;
+    mSavedChanged = copy.mChangedRevision;
   } else {
     Log(log_level::Warning, "configuration", "Copy not kept: " + failure);
   }
@@ -228,7 +228,7 @@
 {
   std::unique_lock lock(mMutex);
   mChanged.wait_for(lock, aWait, [&] {
-    return mIsStopping || mState.mChanged > aFrom ||
+    return mIsStopping || mState.mChangedRevision > aFrom ||
            aFrom < mState.mOldestRecent;
   });
   return ChangesAfter(mState, aFrom);
