--- a/Duties/Admission/BackPressure.cpp
+++ b/Duties/Admission/BackPressure.cpp
@@ -58,7 +58,7 @@
   pressure.mRefusedLocally += 1;
   const auto left =
     std::chrono::duration_cast<milliseconds>(pressure.mRetryAt - aNow);
-  return std::max(left, aLimits.mMinRetryAfter);
+  return std::max(left, aLimits.mMinimumRetryAfter);
 }
 
 void
--- a/Duties/Admission/BackPressure.h
+++ b/Duties/Admission/BackPressure.h
@@ -33,7 +33,7 @@
   /** Requests sent per accepted request. Above 1, so that agents don't run out
    * of work and the end of an overload is noticed. */
   double mHeadroom = 1.5;
-  milliseconds mMinRetryAfter{ 200 };
+  milliseconds mMinimumRetryAfter{ 200 };
 };
 
 /** By pool and customer. */
--- a/Duties/Admission/FairQueue.cpp
+++ b/Duties/Admission/FairQueue.cpp
@@ -10,8 +10,8 @@
 
 /** Bounds of the retry time told to a refused caller, and its value while the
  * throughput is unknown. */
-constexpr milliseconds kMinRetryAfter = 100ms;
-constexpr milliseconds kMaxRetryAfter = 30000ms;
+constexpr milliseconds kMinimumRetryAfter = 100ms;
+constexpr milliseconds kMaximumRetryAfter = 30000ms;
 constexpr milliseconds kDefaultRetryAfter = 1000ms;
 
 /** Factor by which the sums of earlier runs decay with each run. */
@@ -19,13 +19,13 @@
 
 /** The throughput counts as unknown below this many tokens, so that requests
  * aren't refused because of an inaccurate measurement. */
-constexpr double kMinMeasuredCost = 100;
+constexpr double kMinimumMeasuredCost = 100;
 
 /** A customer is displaced only when its waiting cost for its weight is at
  * least this many times that of the customer whose request arrives. */
 constexpr double kDisplaceMargin = 1.5;
 
-constexpr double kMinWeight = 1e-6;
+constexpr double kMinimumWeight = 1e-6;
 
 const std::string&
 FlowOf(const fair_queue& aQueue, const queue_item& aItem)
@@ -51,7 +51,7 @@
     return kDefaultRetryAfter;
   }
   return std::clamp(
-    EstimateTime(aQueue, aCost), kMinRetryAfter, kMaxRetryAfter);
+    EstimateTime(aQueue, aCost), kMinimumRetryAfter, kMaximumRetryAfter);
 }
 
 /** Cost of the items of the same customer that run before the item. */
@@ -199,7 +199,7 @@
 MeasuredThroughput(const fair_queue& aQueue)
 {
   const auto& throughput = aQueue.mThroughput;
-  if (throughput.mCost < kMinMeasuredCost || throughput.mTime <= 0s) {
+  if (throughput.mCost < kMinimumMeasuredCost || throughput.mTime <= 0s) {
     return 0;
   }
   return throughput.mCost / throughput.mTime.count() *
@@ -212,7 +212,7 @@
      std::int64_t aRunningCost,
      time_point aNow)
 {
-  aItem.mWeight = std::max(aItem.mWeight, kMinWeight);
+  aItem.mWeight = std::max(aItem.mWeight, kMinimumWeight);
   aItem.mCost = std::max<std::int64_t>(aItem.mCost, 1);
   const bool isFair = aQueue.mLimits.mPolicy == queue_policy::Fair;
   const double running = static_cast<double>(aRunningCost);
--- a/Duties/Admission/SharedDemand.cpp
+++ b/Duties/Admission/SharedDemand.cpp
@@ -35,10 +35,10 @@
   auto& agent = aShared.mAgents[aAgent];
   Add(aShared, agent.mLoads, -1);
   agent.mLoads = std::move(aLoads);
-  agent.mUpdatedAt = aNow;
+  agent.mReceivedAt = aNow;
   Add(aShared, agent.mLoads, 1);
   for (auto one = aShared.mAgents.begin(); one != aShared.mAgents.end();) {
-    if (aNow - one->second.mUpdatedAt <= kExpireAfter) {
+    if (aNow - one->second.mReceivedAt <= kExpireAfter) {
       ++one;
       continue;
     }
--- a/Duties/Admission/SharedDemand.h
+++ b/Duties/Admission/SharedDemand.h
@@ -33,7 +33,7 @@
   struct agent_loads
   {
     std::vector<customer_load> mLoads;
-    time_point mUpdatedAt;
+    time_point mReceivedAt;
   };
 
   std::map<std::string, agent_loads> mAgents;
--- a/Duties/Admission/TestSharedDemand.cpp
+++ b/Duties/Admission/TestSharedDemand.cpp
@@ -93,7 +93,7 @@
         customer_demand sum;
         for (const auto& [name, told] : oracle) {
           for (const auto& load : told.mLoads) {
-            if (load.mCustomer == customer && now - told.mUpdatedAt <= 5s) {
+            if (load.mCustomer == customer && now - told.mReceivedAt <= 5s) {
               sum.mInFlight += load.mInFlight;
               sum.mOwn += load.mOwn;
             }
--- a/Duties/Dispatch/AgentDispatch.cpp
+++ b/Duties/Dispatch/AgentDispatch.cpp
@@ -147,7 +147,7 @@
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
-    const auto order = StartNext(mLedger, boot_clock::now());
+    const auto order = StartNextRun(mLedger, boot_clock::now());
     if (!order) {
       // Wakes periodically to remove expired rows.
       mWorkAvailable.wait_for(lock, 500ms);
--- a/Duties/Dispatch/AttemptDecision.cpp
+++ b/Duties/Dispatch/AttemptDecision.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 /** How much before the caller's deadline the agent replies. */
-constexpr milliseconds kAnswerMargin = 100ms;
+constexpr milliseconds kReplyMargin = 100ms;
 
 attempt_decision
 Finish(ran aRan, std::string aReason, milliseconds aRetryAfter = 1000ms)
@@ -27,15 +27,15 @@
          attempt_state& aState,
          attempt_step aStep,
          time_point aNow,
-         milliseconds aPause)
+         milliseconds aDelay)
 {
   const auto left =
-    std::chrono::duration_cast<milliseconds>(aState.mDeadline - aNow) - aPause;
+    std::chrono::duration_cast<milliseconds>(aState.mDeadline - aNow) - aDelay;
   attempt_decision decision;
   decision.mStep = aStep;
-  decision.mPause = aPause;
-  decision.mWait = std::clamp(left - kAnswerMargin, 0ms, aLimits.mMaxWait);
-  decision.mTimeout = std::clamp(left, kAnswerMargin, aLimits.mReplyTimeout);
+  decision.mRetryDelay = aDelay;
+  decision.mWait = std::clamp(left - kReplyMargin, 0ms, aLimits.mMaximumWait);
+  decision.mTimeout = std::clamp(left, kReplyMargin, aLimits.mReplyTimeout);
   aState.mLastStep = aStep;
   return decision;
 }
@@ -45,14 +45,15 @@
            attempt_state& aState,
            std::string aReason,
            time_point aNow,
-           milliseconds aPause)
+           milliseconds aDelay)
 {
   if (aState.mCancelReason.empty()) {
     aState.mCancelReason = std::move(aReason);
   }
-  auto decision = MakeStep(aLimits, aState, attempt_step::Cancel, aNow, aPause);
+  auto decision = MakeStep(aLimits, aState, attempt_step::Cancel, aNow, aDelay);
   decision.mWait = 0ms;
-  decision.mTimeout = std::max(decision.mTimeout, aLimits.mMinCancelTimeout);
+  decision.mTimeout =
+    std::max(decision.mTimeout, aLimits.mMinimumCancelTimeout);
   return decision;
 }
 
@@ -129,13 +130,13 @@
     if (aEvent.mNow >= aState.mDeadline) {
       return Finish(ran::OutcomeUnknown, aState.mCancelReason);
     }
-    return MakeCancel(aLimits, aState, "", aEvent.mNow, aLimits.mPause);
+    return MakeCancel(aLimits, aState, "", aEvent.mNow, aLimits.mRetryDelay);
   }
   return MakeStep(aLimits,
                   aState,
                   attempt_step::Await,
                   aEvent.mNow,
-                  mayHaveBeenSent ? 0ms : aLimits.mPause);
+                  mayHaveBeenSent ? 0ms : aLimits.mRetryDelay);
 }
 
 /** Why the caller stops waiting; empty if it still waits. */
@@ -192,7 +193,7 @@
       return MakeCancel(aLimits, aState, "dispatch_lost", aEvent.mNow, 0ms);
     }
     return MakeStep(
-      aLimits, aState, attempt_step::Await, aEvent.mNow, aLimits.mPause);
+      aLimits, aState, attempt_step::Await, aEvent.mNow, aLimits.mRetryDelay);
   }
   return isAnswered
            ? MakeStep(aLimits, aState, attempt_step::Await, aEvent.mNow, 0ms)
--- a/Duties/Dispatch/AttemptDecision.h
+++ b/Duties/Dispatch/AttemptDecision.h
@@ -19,15 +19,15 @@
 struct attempt_limits
 {
   /** How long one call to an agent waits for the request's end. */
-  milliseconds mMaxWait{ 500 };
+  milliseconds mMaximumWait{ 500 };
   /** A connection without a reply for this long counts as dead. */
   milliseconds mReplyTimeout{ 1500 };
   /** The outcome is unknown when the agent hasn't replied for this long. */
   milliseconds mGiveUpAfter{ 5000 };
   /** Minimum timeout of a cancel, which also applies after the deadline. */
-  milliseconds mMinCancelTimeout{ 500 };
-  /** Pause before retrying a failed connection. */
-  milliseconds mPause{ 50 };
+  milliseconds mMinimumCancelTimeout{ 500 };
+  /** Delay before retrying a failed connection. */
+  milliseconds mRetryDelay{ 50 };
   /** How long a follower waits for an order to arrive at the agent: the owner
    * records the attempt before it sends the order. */
   milliseconds mArrivalGrace{ 500 };
@@ -78,8 +78,8 @@
 struct attempt_decision
 {
   attempt_step mStep = attempt_step::Finish;
-  /** Pause before the step. */
-  milliseconds mPause{ 0 };
+  /** Delay before the step. */
+  milliseconds mRetryDelay{ 0 };
   /** How long the agent may wait for the request's end before it replies. */
   milliseconds mWait{ 0 };
   /** Without a reply for this long the step has failed. */
--- a/Duties/Dispatch/EntryDispatch.cpp
+++ b/Duties/Dispatch/EntryDispatch.cpp
@@ -71,7 +71,7 @@
 
 /** What the outcome of an attempt says about the server's health. */
 routing::evidence
-HealthSignalOf(const call_outcome& aOutcome)
+EvidenceOf(const call_outcome& aOutcome)
 {
   constexpr int kServerError = 500;
   if (aOutcome.mRan == ran::Ran) {
@@ -206,11 +206,8 @@
   std::lock_guard lock(mRoutingMutex);
   if (const auto table = mRoutingTables.find(aCall.mPool);
       table != mRoutingTables.end()) {
-    routing::RecordEnd(table->second,
-                       aServer,
-                       aSentAt,
-                       HealthSignalOf(aOutcome),
-                       boot_clock::now());
+    routing::RecordEnd(
+      table->second, aServer, aSentAt, EvidenceOf(aOutcome), boot_clock::now());
   }
 }
 
@@ -320,7 +317,7 @@
   state.mDeadline = aCall.mDeadline;
   auto decision = Begin(mOptions.mLimits, state, boot_clock::now());
   while (decision.mStep != attempt_step::Finish) {
-    std::this_thread::sleep_for(decision.mPause);
+    std::this_thread::sleep_for(decision.mRetryDelay);
     decision =
       Decide(mOptions.mLimits, state, RunStep(aCall, aTicket, decision));
   }
--- a/Duties/Dispatch/IdempotentCall.cpp
+++ b/Duties/Dispatch/IdempotentCall.cpp
@@ -17,7 +17,7 @@
 constexpr milliseconds kPlatformTimeout = 1000ms;
 /** After a failed call to the platform, requests are refused immediately for
  * this long; then one request calls the platform again. */
-constexpr milliseconds kPlatformPause = 1000ms;
+constexpr milliseconds kPlatformRetryDelay = 1000ms;
 constexpr std::size_t kMaximumRecords = 200000;
 
 /** A record is kept at least this long after its request's deadline. */
@@ -94,11 +94,11 @@
     case record_step::ReadBack:
       return ReadBack(aState, aName, aCall);
     case record_step::RunOwn:
-      return HandleOwnOutcome(
+      return ApplyOwnOutcome(
         aState, mDispatch.Attempt(aCall, aState.mOwnRecord.mTicket));
     case record_step::FollowExisting:
       mMetrics.Count("lavender_shared_calls_total", {});
-      return HandleExistingOutcome(
+      return ApplyExistingOutcome(
         aState, mDispatch.Fetch(aCall, aState.mExistingRecord.mTicket));
     case record_step::Finish:
       break;
@@ -130,7 +130,7 @@
     server = mDispatch.SelectServer(aCall.mPool, {});
   }
   if (!server) {
-    return HandleNoServer(aState);
+    return ApplyNoServer(aState);
   }
   // Issued before anyone else can learn of the attempt, so that any cancel is
   // later than the issue time, and its tombstone is kept until the order is too
@@ -156,7 +156,7 @@
                                        aState.mExpectedRevision,
                                        ToValue(aState.mOwnRecord));
   RecordPlatformState(IsAnswered(written));
-  const auto next = HandleWrite(aState, written);
+  const auto next = ApplyWrite(aState, written);
   if (next == record_step::RunOwn) {
     std::lock_guard lock(mMutex);
     if (mExpiringRecords.size() < kMaximumRecords) {
@@ -175,7 +175,7 @@
 {
   const auto read = platform::Read(ClientFor(aCall), kCallKind, aName);
   RecordPlatformState(read.mState != read_state::Failed);
-  return HandleRead(aState, read);
+  return ApplyRead(aState, read);
 }
 
 platform::client
@@ -199,17 +199,17 @@
   if (mPlatformPausedUntil != time_point{}) {
     // This request calls the platform; others are refused until it has an
     // answer.
-    mPlatformPausedUntil = now + kPlatformPause;
+    mPlatformPausedUntil = now + kPlatformRetryDelay;
   }
   return false;
 }
 
 void
-idempotent_calls::RecordPlatformState(bool aIsAnswering)
+idempotent_calls::RecordPlatformState(bool aIsResponding)
 {
   std::lock_guard lock(mMutex);
   mPlatformPausedUntil =
-    aIsAnswering ? time_point{} : boot_clock::now() + kPlatformPause;
+    aIsResponding ? time_point{} : boot_clock::now() + kPlatformRetryDelay;
 }
 
 void
--- a/Duties/Dispatch/IdempotentCall.h
+++ b/Duties/Dispatch/IdempotentCall.h
@@ -64,7 +64,7 @@
                        const call& aCall);
   platform::client ClientFor(const call& aCall) const;
   bool IsPlatformUnresponsive();
-  void RecordPlatformState(bool aIsAnswering);
+  void RecordPlatformState(bool aIsResponding);
   void RunRemovalLoop();
   /** Schedules the removal of records that entries which no longer run should
    * have removed. */
--- a/Duties/Dispatch/IdempotentDecision.cpp
+++ b/Duties/Dispatch/IdempotentDecision.cpp
@@ -13,7 +13,7 @@
  * request's own, if the response to its write was lost, or another request's.
  */
 record_step
-HandleRecord(idempotent_state& aState, const platform::stored_object& aObject)
+ApplyRecord(idempotent_state& aState, const platform::stored_object& aObject)
 {
   const auto record = ReadCallRecord(aObject.mValue);
   if (!record) {
@@ -42,7 +42,7 @@
 }
 
 record_step
-HandleNoServer(idempotent_state& aState)
+ApplyNoServer(idempotent_state& aState)
 {
   return aState.mProgress.mAttempts == 0
            ? record_step::ReadBack
@@ -50,7 +50,7 @@
 }
 
 record_step
-HandleWrite(idempotent_state& aState, const platform::write_result& aWritten)
+ApplyWrite(idempotent_state& aState, const platform::write_result& aWritten)
 {
   ++aState.mWrites;
   if (aWritten.mState == write_state::Done) {
@@ -58,7 +58,7 @@
     return record_step::RunOwn;
   }
   if (aWritten.mState == write_state::Conflict && aWritten.mCurrent) {
-    return HandleRecord(aState, *aWritten.mCurrent);
+    return ApplyRecord(aState, *aWritten.mCurrent);
   }
   if (aWritten.mState == write_state::Conflict) {
     // The record to be replaced was removed in the meantime, because it
@@ -72,7 +72,7 @@
 }
 
 record_step
-HandleRead(idempotent_state& aState, const platform::read_result& aRead)
+ApplyRead(idempotent_state& aState, const platform::read_result& aRead)
 {
   if (aRead.mState == read_state::Failed) {
     // Whether or not the record was written, its attempt is never dispatched.
@@ -82,7 +82,7 @@
                            aState.mExpectedRevision != 0 &&
                            aRead.mObject.mRevision == aState.mExpectedRevision;
   if (aRead.mState == read_state::Found && !isOldRecord) {
-    return HandleRecord(aState, aRead.mObject);
+    return ApplyRecord(aState, aRead.mObject);
   }
   if (aState.mOwnRecord.mTicket.mId.empty()) {
     // Another request's write may still be in transit.
@@ -95,7 +95,7 @@
 }
 
 record_step
-HandleOwnOutcome(idempotent_state& aState, const call_outcome& aOutcome)
+ApplyOwnOutcome(idempotent_state& aState, const call_outcome& aOutcome)
 {
   aState.mOutcome = aOutcome;
   const bool mayRetry = ApplyAttemptOutcome(aState.mProgress, aOutcome) &&
@@ -105,10 +105,10 @@
 }
 
 record_step
-HandleExistingOutcome(idempotent_state& aState, const call_outcome& aOutcome)
+ApplyExistingOutcome(idempotent_state& aState, const call_outcome& aOutcome)
 {
   aState.mExpectedRevision = aState.mExistingRevision;
-  return HandleOwnOutcome(aState, aOutcome);
+  return ApplyOwnOutcome(aState, aOutcome);
 }
 
 record_step
--- a/Duties/Dispatch/IdempotentDecision.h
+++ b/Duties/Dispatch/IdempotentDecision.h
@@ -50,28 +50,28 @@
 /** After no server could be selected. An attempt recorded by an earlier request
  * can still be followed. */
 record_step
-HandleNoServer(idempotent_state& aState);
+ApplyNoServer(idempotent_state& aState);
 
 /** After a write. If the outcome of the write is unknown, the record is read
  * back. */
 record_step
-HandleWrite(idempotent_state& aState, const platform::write_result& aWritten);
+ApplyWrite(idempotent_state& aState, const platform::write_result& aWritten);
 
 /** After a read-back. */
 record_step
-HandleRead(idempotent_state& aState, const platform::read_result& aRead);
+ApplyRead(idempotent_state& aState, const platform::read_result& aRead);
 
 /** After this request's own attempt. Only if it provably did not run, another
  * attempt is recorded, by replacing the record conditionally on its revision.
  */
 record_step
-HandleOwnOutcome(idempotent_state& aState, const call_outcome& aOutcome);
+ApplyOwnOutcome(idempotent_state& aState, const call_outcome& aOutcome);
 
 /** After following the recorded attempt. If it provably did not run and never
  * will, this request replaces the record conditionally on its revision; of
  * several requests that try, one succeeds and the others follow its attempt. */
 record_step
-HandleExistingOutcome(idempotent_state& aState, const call_outcome& aOutcome);
+ApplyExistingOutcome(idempotent_state& aState, const call_outcome& aOutcome);
 
 /** Ends the request without another attempt. */
 record_step
--- a/Duties/Dispatch/Ledger.cpp
+++ b/Duties/Dispatch/Ledger.cpp
@@ -9,8 +9,8 @@
 using wire::run_state;
 using namespace std::chrono_literals;
 
-constexpr milliseconds kMinRetryAfter = 50ms;
-constexpr milliseconds kMaxRetryAfter = 30000ms;
+constexpr milliseconds kMinimumRetryAfter = 50ms;
+constexpr milliseconds kMaximumRetryAfter = 30000ms;
 /** Assumed duration of a run before the first one has ended. */
 constexpr milliseconds kAssumedServiceTime = 1000ms;
 /** A running entry queries an outcome within this time, which is longer than
@@ -234,7 +234,7 @@
 }
 
 std::optional<wire::dispatch_order>
-StartNext(ledger& aLedger, time_point aNow)
+StartNextRun(ledger& aLedger, time_point aNow)
 {
   while (aLedger.mRunning < aLedger.mLimits.mSlots) {
     const auto item = admission::Pop(aLedger.mQueue);
@@ -331,7 +331,7 @@
 std::vector<wire::customer_load>
 CustomerLoads(const ledger& aLedger, const std::string& aEntry)
 {
-  constexpr std::size_t kMaxCustomers = 64;
+  constexpr std::size_t kMaximumCustomers = 64;
   std::vector<wire::customer_load> loads;
   for (const auto& [customer, entries] : aLedger.mInFlight) {
     wire::customer_load load;
@@ -346,7 +346,7 @@
     return aLeft.in_flight > aRight.in_flight;
   };
   std::sort(loads.begin(), loads.end(), isBusier);
-  loads.resize(std::min(loads.size(), kMaxCustomers));
+  loads.resize(std::min(loads.size(), kMaximumCustomers));
   return loads;
 }
 
@@ -358,7 +358,8 @@
   const auto waiting = static_cast<std::int64_t>(aLedger.mQueue.mSize) + 1;
   const auto slots =
     static_cast<std::int64_t>(std::max<std::size_t>(aLedger.mLimits.mSlots, 1));
-  return std::clamp(service * waiting / slots, kMinRetryAfter, kMaxRetryAfter);
+  return std::clamp(
+    service * waiting / slots, kMinimumRetryAfter, kMaximumRetryAfter);
 }
 
 bool
--- a/Duties/Dispatch/Ledger.h
+++ b/Duties/Dispatch/Ledger.h
@@ -123,7 +123,7 @@
 /** Starts the next queued request if a slot is free. Refuses queued requests
  * that are past their deadline or abandoned by their entry. */
 std::optional<wire::dispatch_order>
-StartNext(ledger& aLedger, time_point aNow);
+StartNextRun(ledger& aLedger, time_point aNow);
 
 /** Records how a run ended: with a complete response, with an unknown outcome,
  * or as "not run" if the server couldn't be reached. */
--- a/Duties/Dispatch/RetryBudget.cpp
+++ b/Duties/Dispatch/RetryBudget.cpp
@@ -47,7 +47,7 @@
     }
   }
   const auto allowed =
-    std::max(aBudget.mLimits.mMinRetries,
+    std::max(aBudget.mLimits.mMinimumRetries,
              static_cast<std::int64_t>(aBudget.mLimits.mRatio *
                                        static_cast<double>(first)));
   if (retries >= allowed) {
--- a/Duties/Dispatch/RetryBudget.h
+++ b/Duties/Dispatch/RetryBudget.h
@@ -15,7 +15,7 @@
   double mRatio = 0.1;
   /** Retries allowed per window regardless of the ratio, so that an entry with
    * little traffic can retry at all. */
-  std::int64_t mMinRetries = 10;
+  std::int64_t mMinimumRetries = 10;
   /** Length of each of the ten parts of the window. */
   milliseconds mPartLength{ 1000 };
 };
--- a/Duties/Dispatch/TestHistoryModel.cpp
+++ b/Duties/Dispatch/TestHistoryModel.cpp
@@ -145,7 +145,7 @@
   } else if (call.mPhase == call_phase::Writing) {
     Write(call, choice);
   } else if (call.mPhase == call_phase::Written) {
-    ApplyRecordStep(call, HandleWrite(call.mIdempotent, call.mWritten));
+    ApplyRecordStep(call, ApplyWrite(call.mIdempotent, call.mWritten));
   } else if (call.mPhase == call_phase::Reading) {
     ReadBack(call, choice);
   }
@@ -276,8 +276,8 @@
   if (aCall.mKey) {
     ApplyRecordStep(aCall,
                     isOwner
-                      ? HandleOwnOutcome(aCall.mIdempotent, aOutcome)
-                      : HandleExistingOutcome(aCall.mIdempotent, aOutcome));
+                      ? ApplyOwnOutcome(aCall.mIdempotent, aOutcome)
+                      : ApplyExistingOutcome(aCall.mIdempotent, aOutcome));
     return;
   }
   if (ApplyAttemptOutcome(aCall.mProgress, aOutcome) &&
@@ -370,14 +370,14 @@
       read.mObject = found->second;
     }
   }
-  ApplyRecordStep(aCall, HandleRead(aCall.mIdempotent, read));
+  ApplyRecordStep(aCall, ApplyRead(aCall.mIdempotent, read));
 }
 
 void
 simulation::RunServer(std::uint32_t aChoice)
 {
   auto& agent = mAgents[aChoice % mAgents.size()];
-  const auto order = StartNext(agent.mLedger, mNow);
+  const auto order = StartNextRun(agent.mLedger, mNow);
   if (!order) {
     return;
   }
--- a/Duties/Dispatch/TestIdempotentDecision.cpp
+++ b/Duties/Dispatch/TestIdempotentDecision.cpp
@@ -28,7 +28,7 @@
 {
   idempotent_state state;
   BOOST_TEST((Begin(state, "fingerprint") == record_step::WriteNew));
-  BOOST_TEST((HandleNoServer(state) == record_step::ReadBack));
+  BOOST_TEST((ApplyNoServer(state) == record_step::ReadBack));
   call_record existing;
   existing.mTicket.mId = "other.1";
   existing.mTicket.mServerName = "desk-1";
@@ -37,7 +37,7 @@
   existing.mKeepUntil = std::chrono::system_clock::now();
   existing.mFingerprint = "fingerprint";
   BOOST_TEST(
-    (HandleRead(state, ReadOf(existing)) == record_step::FollowExisting));
+    (ApplyRead(state, ReadOf(existing)) == record_step::FollowExisting));
   BOOST_TEST(state.mExistingRecord.mTicket.mId == "other.1");
 }
 
@@ -47,10 +47,10 @@
 {
   idempotent_state state;
   Begin(state, "fingerprint");
-  HandleNoServer(state);
+  ApplyNoServer(state);
   platform::read_result missing;
   missing.mState = platform::read_state::Absent;
-  BOOST_TEST((HandleRead(state, missing) == record_step::Finish));
+  BOOST_TEST((ApplyRead(state, missing) == record_step::Finish));
   BOOST_TEST((state.mOutcome.mRan == ran::OutcomeUnknown));
   BOOST_TEST(state.mOutcome.mReason == "no_server");
 }
--- a/Duties/Dispatch/TestLedgerBounds.cpp
+++ b/Duties/Dispatch/TestLedgerBounds.cpp
@@ -64,7 +64,7 @@
   for (int i = 0; i < 40; ++i) {
     now += 1s;
     Admit(ledger, OrderAt(i, now), now);
-    const auto order = StartNext(ledger, now);
+    const auto order = StartNextRun(ledger, now);
     BOOST_REQUIRE(order);
     wire::run_result result;
     result.body.assign(1u << 20, 'x');
--- a/Duties/Dispatch/TestLedgerQueue.cpp
+++ b/Duties/Dispatch/TestLedgerQueue.cpp
@@ -53,7 +53,7 @@
   BOOST_TEST((displaced.mRetryAfter > 0ms));
 
   std::vector<std::string> ran;
-  while (const auto order = StartNext(ledger, now)) {
+  while (const auto order = StartNextRun(ledger, now)) {
     ran.push_back(order->request_id);
     Finish(ledger, order->request_id, run_state::FINISHED, "", {}, now);
   }
@@ -73,7 +73,7 @@
   BOOST_TEST((Cancel(ledger, "a2", now, now).mState == run_state::NOT_RUN));
   BOOST_TEST((Admit(ledger, MakeOrder("a2", "large"), now).mState ==
               run_state::NOT_RUN));
-  BOOST_TEST(!StartNext(ledger, now).has_value());
+  BOOST_TEST(!StartNextRun(ledger, now).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/Forwarding/AttemptOutcome.cpp
+++ b/Duties/Forwarding/AttemptOutcome.cpp
@@ -11,7 +11,7 @@
 constexpr int kTargetLatenciesPerAttempt = 2;
 /** Lower bound of the first-byte timeout, because opening a connection and
  * queueing take some time however low the target latency is. */
-constexpr milliseconds kMinFirstByteTimeout{ 150 };
+constexpr milliseconds kMinimumFirstByteTimeout{ 150 };
 /** The first-byte timeout is at most the time left divided by this, so that a
  * second attempt has as much time as the first. */
 constexpr int kTimeLeftDivisor = 2;
@@ -40,7 +40,7 @@
   const bool mayRepeat = execution == execution::NotRun ||
                          aBudget.mRetryPolicy == site::retry_policy::Idempotent;
   if (mayRepeat && aBudget.mAttemptsLeft > 0 &&
-      aBudget.mTimeLeft >= kMinAttemptTime) {
+      aBudget.mTimeLeft >= kMinimumAttemptTime) {
     return next_step::RetryOnAnotherServer;
   }
   if (isServerError) {
@@ -58,8 +58,9 @@
       aBudget.mAttemptsLeft <= 0) {
     return aBudget.mTimeLeft;
   }
-  const auto timeout = std::max(
-    kMinFirstByteTimeout, aRoute.mTargetLatency * kTargetLatenciesPerAttempt);
+  const auto timeout =
+    std::max(kMinimumFirstByteTimeout,
+             aRoute.mTargetLatency * kTargetLatenciesPerAttempt);
   return std::min(timeout, aBudget.mTimeLeft / kTimeLeftDivisor);
 }
 
--- a/Duties/Forwarding/AttemptOutcome.h
+++ b/Duties/Forwarding/AttemptOutcome.h
@@ -50,7 +50,7 @@
 
 /** No attempt is started with less time than this left: opening a connection
  * and receiving the shortest response take about as long. */
-constexpr milliseconds kMinAttemptTime{ 15 };
+constexpr milliseconds kMinimumAttemptTime{ 15 };
 
 execution
 ExecutionOf(const attempt_end& aEnd);
--- a/Duties/Forwarding/ForwardedRequest.cpp
+++ b/Duties/Forwarding/ForwardedRequest.cpp
@@ -22,7 +22,7 @@
 /** A response that isn't a stream is buffered up to this size, so that the
  * request can be sent to another server if the connection breaks; a larger one
  * is forwarded as it arrives. */
-constexpr std::size_t kMaxBufferedBytes = 256 << 10;
+constexpr std::size_t kMaximumBufferedBytes = 256 << 10;
 
 /** Copies the header fields except hop-by-hop ones. */
 edge::header_list
@@ -210,7 +210,8 @@
     return;
   }
   mResponse->mBody.append(aPiece);
-  if (mResponse->mBody.size() > kMaxBufferedBytes && !mFacts.mIsNotExecuted) {
+  if (mResponse->mBody.size() > kMaximumBufferedBytes &&
+      !mFacts.mIsNotExecuted) {
     mIsStreaming = true;
     mExchange->Begin(mResponse->mStatus,
                      CopyEndToEndHeaders(mResponse->mHeaders));
--- a/Duties/Forwarding/PoolRouter.cpp
+++ b/Duties/Forwarding/PoolRouter.cpp
@@ -132,13 +132,13 @@
 int
 pool_router::SlotsOf(const std::string& aPool) const
 {
-  int places = 0;
+  int slots = 0;
   for (const auto& [id, row] : mDirectory.mRows) {
     if (row.mServer.mPool == aPool && !row.mServer.mIsLeaving) {
-      places += row.mServer.mSlots;
+      slots += row.mServer.mSlots;
     }
   }
-  return places;
+  return slots;
 }
 
 } // namespace lavender::forwarding
--- a/Duties/Routing/PoolTable.cpp
+++ b/Duties/Routing/PoolTable.cpp
@@ -7,12 +7,12 @@
 
 /** Bounds of a server's measured speed relative to the mean, so that a wrong
  * measurement neither starves nor overloads the server. */
-constexpr double kMinRelativeSpeed = 1.0 / 16;
-constexpr double kMaxRelativeSpeed = 4;
+constexpr double kMinimumRelativeSpeed = 1.0 / 16;
+constexpr double kMaximumRelativeSpeed = 4;
 /** Prefix affinity doesn't apply to a server below this relative speed. */
-constexpr double kMinAffinitySpeed = 0.5;
+constexpr double kMinimumAffinitySpeed = 0.5;
 /** Random draws before the table is searched linearly. */
-constexpr int kMaxDraws = 8;
+constexpr int kMaximumDraws = 8;
 
 double
 RatePerSlot(const server_row& aRow)
@@ -31,7 +31,7 @@
   }
   const double mean =
     aTable.mRatePerSlotSum / static_cast<double>(aTable.mMeasuredServers);
-  return std::clamp(rate / mean, kMinRelativeSpeed, kMaxRelativeSpeed);
+  return std::clamp(rate / mean, kMinimumRelativeSpeed, kMaximumRelativeSpeed);
 }
 
 int
@@ -60,7 +60,7 @@
 {
   const double capacity =
     std::max(aRow.mReport.mSlots, 1) * RelativeSpeed(aTable, aRow) *
-    std::max(1 - FailureRatio(aRow.mBreaker), kMinRelativeSpeed);
+    std::max(1 - FailureRatio(aRow.mBreaker), kMinimumRelativeSpeed);
   const double load = (EstimateRequests(aRow) + 1) / capacity;
   aTable.mLoadSum += load - aRow.mLoad;
   aRow.mLoad = load;
@@ -102,7 +102,7 @@
        FindHolders(aTable.mPrefixes, aRequest.mPrefix, aNow)) {
     const auto* row = FindRow(aTable, holder.mServer);
     if (row && IsUsable(aTable, *row, aRequest, aNow) && row->mLoad <= bound &&
-        RelativeSpeed(aTable, *row) >= kMinAffinitySpeed &&
+        RelativeSpeed(aTable, *row) >= kMinimumAffinitySpeed &&
         (!best || row->mLoad < best->mLoad)) {
       best = row;
     }
@@ -120,7 +120,7 @@
 {
   const auto size = aTable.mRows.size();
   std::uniform_int_distribution<std::size_t> pick(0, size - 1);
-  for (int draw = 0; draw < kMaxDraws; ++draw) {
+  for (int draw = 0; draw < kMaximumDraws; ++draw) {
     const auto& row = aTable.mRows[pick(aRandom)];
     if (IsUsable(aTable, row, aRequest, aNow)) {
       return &row;
--- a/Duties/Routing/PrefixMemory.cpp
+++ b/Duties/Routing/PrefixMemory.cpp
@@ -62,7 +62,7 @@
     holders.erase(known);
   }
   holders.insert(holders.begin(), { aServer, aNow });
-  if (holders.size() > aMemory.mLimits.mMaxHolders) {
+  if (holders.size() > aMemory.mLimits.mMaximumHolders) {
     holders.pop_back();
   }
 }
--- a/Duties/Routing/PrefixMemory.h
+++ b/Duties/Routing/PrefixMemory.h
@@ -25,7 +25,7 @@
 {
   /** Maximum number of prefixes in each of the two generations. */
   std::size_t mGenerationSize = 4096;
-  std::size_t mMaxHolders = 2;
+  std::size_t mMaximumHolders = 2;
   /** A holder expires when neither a request nor a cache event has confirmed it
    * for this long. Engines evict prefixes without an event, and events may be
    * lost. */
--- a/Duties/Routing/Subset.cpp
+++ b/Duties/Routing/Subset.cpp
@@ -8,7 +8,7 @@
 
 /** A server assigned to fewer entries would be unreachable for callers when
  * those entries fail. */
-constexpr std::size_t kMinEntries = 3;
+constexpr std::size_t kMinimumEntries = 3;
 
 /** FNV-1a, because std::hash may differ between processes. */
 std::uint64_t
@@ -42,7 +42,7 @@
     return 0;
   }
   const std::size_t enough = (aTarget * aEntries + aServers - 1) / aServers;
-  return std::min(std::max(enough, kMinEntries), aEntries);
+  return std::min(std::max(enough, kMinimumEntries), aEntries);
 }
 
 std::vector<std::string>
