--- a/Duties/Admission/BackPressure.cpp
+++ b/Duties/Admission/BackPressure.cpp
@@ -29,15 +29,15 @@
 RefusalRatio(const back_pressure& aPressure, double aHeadroom)
 {
   const double sent = aPressure.mAccepted + aPressure.mRefusedByAgents;
-  const double asked = sent + aPressure.mRefusedLocally;
-  const double share = (asked - aHeadroom * aPressure.mAccepted) / (asked + 1);
+  const double total = sent + aPressure.mRefusedLocally;
+  const double share = (total - aHeadroom * aPressure.mAccepted) / (total + 1);
   // Local refusals hide that the agents have capacity again, but the requests
   // that are still sent show it: during an overload the agents refuse those
   // sent above their capacity because of the headroom, and fewer once the
   // overload has ended.
   const double expected = 1 - 1 / aHeadroom;
-  const double seen = aPressure.mRefusedByAgents / (sent + 1);
-  return share * std::min(seen / expected, 1.0);
+  const double observed = aPressure.mRefusedByAgents / (sent + 1);
+  return share * std::min(observed / expected, 1.0);
 }
 
 } // namespace
@@ -82,9 +82,9 @@
 void
 RemoveIdle(back_pressure_map& aPressures, time_point aNow)
 {
-  for (auto one = aPressures.begin(); one != aPressures.end();) {
-    const bool isIdle = aNow - one->second.mDecayedAt > kExpireAfter;
-    one = isIdle ? aPressures.erase(one) : std::next(one);
+  for (auto item = aPressures.begin(); item != aPressures.end();) {
+    const bool isIdle = aNow - item->second.mDecayedAt > kExpireAfter;
+    item = isIdle ? aPressures.erase(item) : std::next(item);
   }
 }
 
--- a/Duties/Admission/CustomerLimits.cpp
+++ b/Duties/Admission/CustomerLimits.cpp
@@ -16,14 +16,15 @@
 void
 RefillBucket(customer_usage& aUsage, double aRate, time_point aNow)
 {
-  const double most = std::max(1.0, aRate * kBurstSeconds);
+  const double capacity = std::max(1.0, aRate * kBurstSeconds);
   if (aUsage.mIsNew) {
-    aUsage.mRateTokens = most;
+    aUsage.mRateTokens = capacity;
     aUsage.mIsNew = false;
   } else {
     const double seconds =
       std::chrono::duration<double>(aNow - aUsage.mFilledAt).count();
-    aUsage.mRateTokens = std::min(most, aUsage.mRateTokens + seconds * aRate);
+    aUsage.mRateTokens =
+      std::min(capacity, aUsage.mRateTokens + seconds * aRate);
   }
   aUsage.mFilledAt = aNow;
 }
@@ -38,10 +39,10 @@
 {
   auto& usage = aState.mCustomers[aCustomer.mName];
   if (aCustomer.mMaximumConcurrent > 0) {
-    const double part = std::max(
+    const double limit = std::max(
       std::floor(static_cast<double>(aCustomer.mMaximumConcurrent) * aShare),
       1.0);
-    if (static_cast<double>(usage.mInFlight) >= part) {
+    if (static_cast<double>(usage.mInFlight) >= limit) {
       return { false, "customer_concurrency", kConcurrencyRetryAfter };
     }
   }
--- a/Duties/Admission/FairQueue.cpp
+++ b/Duties/Admission/FairQueue.cpp
@@ -157,13 +157,13 @@
   const auto own = aQueue.mFlows.find(name);
   const double ownCost =
     own == aQueue.mFlows.end() ? 0 : static_cast<double>(own->second.mCost);
-  const double with =
+  const double withItem =
     (ownCost + static_cast<double>(aItem.mCost)) / aItem.mWeight;
-  const double most = static_cast<double>(largest->second.mCost) /
-                      largest->second.mItems.front().mWeight;
+  const double largestCost = static_cast<double>(largest->second.mCost) /
+                             largest->second.mItems.front().mWeight;
   // Without the margin, customers with equal shares would displace each other
   // alternately, and requests would be refused after having waited.
-  if (largest->first == name || with * kDisplaceMargin > most) {
+  if (largest->first == name || withItem * kDisplaceMargin > largestCost) {
     return std::nullopt;
   }
   auto item = std::move(largest->second.mItems.back());
--- a/Duties/Admission/SharedDemand.cpp
+++ b/Duties/Admission/SharedDemand.cpp
@@ -37,13 +37,13 @@
   agent.mLoads = std::move(aLoads);
   agent.mReceivedAt = aNow;
   Add(aShared, agent.mLoads, 1);
-  for (auto one = aShared.mAgents.begin(); one != aShared.mAgents.end();) {
-    if (aNow - one->second.mReceivedAt <= kExpireAfter) {
-      ++one;
+  for (auto other = aShared.mAgents.begin(); other != aShared.mAgents.end();) {
+    if (aNow - other->second.mReceivedAt <= kExpireAfter) {
+      ++other;
       continue;
     }
-    Add(aShared, one->second.mLoads, -1);
-    one = aShared.mAgents.erase(one);
+    Add(aShared, other->second.mLoads, -1);
+    other = aShared.mAgents.erase(other);
   }
 }
 
--- a/Duties/Admission/TestFairQueue.cpp
+++ b/Duties/Admission/TestFairQueue.cpp
@@ -296,7 +296,7 @@
 {
   fair_queue queue;
   queue.mLimits.mSlots = 1;
-  // A second for 100 tokens.
+  // 100 tokens per second.
   RecordRun(queue, 100, 1s);
   auto item = MakeItem(1, 0, 50, 0);
   BOOST_TEST(Push(queue, item, 0, time_point(0s)).mIsQueued);
--- a/Duties/Admission/TestSharedDemand.cpp
+++ b/Duties/Admission/TestSharedDemand.cpp
@@ -91,17 +91,18 @@
       oracle[agent] = { loads, now };
       for (const char* customer : { "a", "b", "c" }) {
         customer_demand sum;
-        for (const auto& [name, told] : oracle) {
-          for (const auto& load : told.mLoads) {
-            if (load.mCustomer == customer && now - told.mReceivedAt <= 5s) {
+        for (const auto& [name, reported] : oracle) {
+          for (const auto& load : reported.mLoads) {
+            if (load.mCustomer == customer &&
+                now - reported.mReceivedAt <= 5s) {
               sum.mInFlight += load.mInFlight;
               sum.mOwn += load.mOwn;
             }
           }
         }
-        const auto told = DemandOf(shared, customer);
-        RC_ASSERT(told.mInFlight == sum.mInFlight);
-        RC_ASSERT(told.mOwn == sum.mOwn);
+        const auto reported = DemandOf(shared, customer);
+        RC_ASSERT(reported.mInFlight == sum.mInFlight);
+        RC_ASSERT(reported.mOwn == sum.mOwn);
       }
     }
   }));
--- a/Duties/Dispatch/AttemptDecision.h
+++ b/Duties/Dispatch/AttemptDecision.h
@@ -53,7 +53,7 @@
 struct attempt_state
 {
   attempt_role mRole = attempt_role::Owner;
-  /** Incarnation of the agent that the order is meant for. */
+  /** Incarnation of the agent that the order is addressed to. */
   std::string mIncarnation;
   time_point mDeadline;
   time_point mStartedAt;
--- a/Duties/Dispatch/IdempotentDecision.h
+++ b/Duties/Dispatch/IdempotentDecision.h
@@ -30,7 +30,7 @@
 struct idempotent_state
 {
   std::string mFingerprint;
-  /** The record that this request wrote or tries to write. */
+  /** The record that this request has written or is trying to write. */
   call_record mOwnRecord;
   /** Condition of the write: the revision to replace; 0 to create. */
   std::int64_t mExpectedRevision = 0;
@@ -57,7 +57,7 @@
 record_step
 ApplyWrite(idempotent_state& aState, const platform::write_result& aWritten);
 
-/** After a read-back. */
+/** After the record was read back. */
 record_step
 ApplyRead(idempotent_state& aState, const platform::read_result& aRead);
 
--- a/Duties/Dispatch/TestHistoryModel.cpp
+++ b/Duties/Dispatch/TestHistoryModel.cpp
@@ -110,7 +110,7 @@
     --process;
   }
   const auto stamp = mNow - milliseconds(aChoice / 16 % 3 * 400);
-  aCall.mTicket = { aCall.mId + "." + std::to_string(++aCall.mIssued),
+  aCall.mTicket = { aCall.mId + "." + std::to_string(++aCall.mIssuedAttempts),
                     std::to_string(server),
                     IncarnationOf(server, process),
                     std::chrono::duration_cast<milliseconds>(
@@ -271,7 +271,7 @@
 {
   const bool isOwner = aCall.mAttempt.mRole == attempt_role::Owner;
   if (aOutcome.mRan == ran::OutcomeUnknown) {
-    ++aCall.mUnknown;
+    ++aCall.mUnknownOutcomes;
   }
   if (aCall.mKey) {
     ApplyRecordStep(aCall,
@@ -283,7 +283,7 @@
   if (ApplyAttemptOutcome(aCall.mProgress, aOutcome) &&
       aCall.mStopReason.empty()) {
     ++mFaults["retried"];
-    Issue(aCall, static_cast<std::uint32_t>(aCall.mIssued) + 2);
+    Issue(aCall, static_cast<std::uint32_t>(aCall.mIssuedAttempts) + 2);
     BeginAttempt(aCall, attempt_role::Owner);
     return;
   }
@@ -296,9 +296,10 @@
   aCall.mRecordStep = aStep;
   switch (aStep) {
     case record_step::WriteNew:
-      if (aCall.mIssued > 1 || aCall.mIdempotent.mProgress.mAttempts > 0) {
+      if (aCall.mIssuedAttempts > 1 ||
+          aCall.mIdempotent.mProgress.mAttempts > 0) {
         ++mFaults["record_replaced"];
-        Issue(aCall, static_cast<std::uint32_t>(aCall.mIssued) + 2);
+        Issue(aCall, static_cast<std::uint32_t>(aCall.mIssuedAttempts) + 2);
       }
       aCall.mIdempotent.mOwnRecord.mTicket = aCall.mTicket;
       aCall.mIdempotent.mOwnRecord.mFingerprint =
@@ -531,7 +532,7 @@
   const int runs = ++mRunsByRequest[request];
   CheckInvariant(runs <= 1 || call->mIsRepeatable,
                  "request ran twice though it may not be repeated: " + request);
-  CheckInvariant(runs <= 1 + call->mUnknown,
+  CheckInvariant(runs <= 1 + call->mUnknownOutcomes,
                  "request ran again without an unknown outcome before: " +
                    request);
   if (call->mKey) {
--- a/Duties/Dispatch/TestHistoryModel.h
+++ b/Duties/Dispatch/TestHistoryModel.h
@@ -70,11 +70,11 @@
   attempt_state mAttempt;
   attempt_decision mDecision;
   int mNumber = 0;
-  int mIssued = 0;
+  int mIssuedAttempts = 0;
   platform::write_result mWritten;
   std::optional<call_outcome> mOutcome;
   /** Attempts that ended with an unknown outcome. */
-  int mUnknown = 0;
+  int mUnknownOutcomes = 0;
 };
 
 class simulation
--- a/Duties/Dispatch/TestLedgerHistories.cpp
+++ b/Duties/Dispatch/TestLedgerHistories.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int kLongestHistory = 250;
+constexpr int kMaximumHistoryLength = 250;
 
 } // namespace
 
@@ -26,7 +26,7 @@
     // Full size from the first history on, because short ones rarely get past
     // the first attempts.
     const auto choices =
-      *rc::gen::resize(kLongestHistory,
+      *rc::gen::resize(kMaximumHistoryLength,
                        rc::gen::container<std::vector<std::uint32_t>>(
                          rc::gen::inRange<std::uint32_t>(0, 1u << 24)));
     model::simulation simulation(faults);
--- a/Duties/Routing/TestBreaker.cpp
+++ b/Duties/Routing/TestBreaker.cpp
@@ -14,47 +14,48 @@
 {
   BOOST_TEST(rc::check("breaker against a failing server", [] {
     const breaker_limits limits;
-    breaker one;
+    breaker tested;
     time_point now(1h);
     int inFlight = 0;
     const int steps = *rc::gen::inRange(1, 120);
     for (int step = 0; step < steps; ++step) {
       now += milliseconds(*rc::gen::inRange(0, 3000));
-      const auto before = one.mState;
+      const auto before = tested.mState;
       if (*rc::gen::inRange(0, 2) == 0) {
-        const bool isAllowed = AllowsRequest(one, now);
+        const bool isAllowed = AllowsRequest(tested, now);
         RC_ASSERT(isAllowed || before != breaker_state::Closed);
         RC_ASSERT(!isAllowed || before != breaker_state::Open ||
-                  now >= one.mOpenUntil);
+                  now >= tested.mOpenUntil);
         if (isAllowed) {
-          RecordSent(one, now);
+          RecordSent(tested, now);
           ++inFlight;
         }
       } else if (inFlight > 0) {
         --inFlight;
         const auto ending = *rc::gen::element(
           evidence::Success, evidence::Failure, evidence::Neutral);
-        RecordEnd(one, ending, limits, now);
+        RecordEnd(tested, ending, limits, now);
         RC_ASSERT(ending == evidence::Failure ||
-                  one.mState != breaker_state::Open ||
+                  tested.mState != breaker_state::Open ||
                   before == breaker_state::Open);
       }
-      RC_ASSERT(FailureRatio(one) >= 0 && FailureRatio(one) <= 1);
-      RC_ASSERT(one.mPause <= limits.mMaximumPause);
+      RC_ASSERT(FailureRatio(tested) >= 0 && FailureRatio(tested) <= 1);
+      RC_ASSERT(tested.mPause <= limits.mMaximumPause);
       // The server is always tried again after the longest pause.
-      RC_ASSERT(one.mState != breaker_state::Open ||
-                AllowsRequest(one, now + limits.mMaximumPause));
+      RC_ASSERT(tested.mState != breaker_state::Open ||
+                AllowsRequest(tested, now + limits.mMaximumPause));
     }
     // From here on all attempts succeed, so the breaker closes after one probe.
     while (inFlight-- > 0) {
-      RecordEnd(one, evidence::Neutral, limits, now);
+      RecordEnd(tested, evidence::Neutral, limits, now);
     }
     now += limits.mMaximumPause;
-    RC_ASSERT(AllowsRequest(one, now));
-    RecordSent(one, now);
-    RC_ASSERT(one.mState == breaker_state::Closed || !AllowsRequest(one, now));
-    RecordEnd(one, evidence::Success, limits, now);
-    RC_ASSERT(one.mState == breaker_state::Closed);
+    RC_ASSERT(AllowsRequest(tested, now));
+    RecordSent(tested, now);
+    RC_ASSERT(tested.mState == breaker_state::Closed ||
+              !AllowsRequest(tested, now));
+    RecordEnd(tested, evidence::Success, limits, now);
+    RC_ASSERT(tested.mState == breaker_state::Closed);
   }));
 }
 
@@ -63,15 +64,15 @@
 BOOST_AUTO_TEST_CASE(OpensAfterThreeFailures)
 {
   const breaker_limits limits;
-  breaker one;
+  breaker tested;
   const time_point now(1h);
   for (int i = 0; i < 2; ++i) {
-    RecordEnd(one, evidence::Failure, limits, now);
-    BOOST_TEST(AllowsRequest(one, now));
+    RecordEnd(tested, evidence::Failure, limits, now);
+    BOOST_TEST(AllowsRequest(tested, now));
   }
-  RecordEnd(one, evidence::Failure, limits, now);
-  BOOST_TEST(!AllowsRequest(one, now));
-  BOOST_TEST(AllowsRequest(one, now + limits.mInitialPause));
+  RecordEnd(tested, evidence::Failure, limits, now);
+  BOOST_TEST(!AllowsRequest(tested, now));
+  BOOST_TEST(AllowsRequest(tested, now + limits.mInitialPause));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
