--- a/Duties/Admission/CustomerLimits.cpp
+++ b/Duties/Admission/CustomerLimits.cpp
@@ -10,20 +10,21 @@
 
 constexpr milliseconds kConcurrencyRetryAfter = 500ms;
 
-/** Seconds of the rate that may be spent at once. */
+/** Capacity of the token bucket, in seconds of the customer's rate. */
 constexpr double kBurstSeconds = 2;
 
 void
-FillBucket(customer_usage& aUsage, double aRate, time_point aNow)
+RefillBucket(customer_usage& aUsage, double aRate, time_point aNow)
 {
-  const double most = std::max(1.0, aRate * kBurstSeconds);
-  if (aUsage.mIsFirst) {
-    aUsage.mBucket = most;
-    aUsage.mIsFirst = false;
+  const double capacity = std::max(1.0, aRate * kBurstSeconds);
+  if (aUsage.mIsNew) {
+    aUsage.mRateTokens = capacity;
+    aUsage.mIsNew = false;
   } else {
     const double seconds =
       std::chrono::duration<double>(aNow - aUsage.mFilledAt).count();
-    aUsage.mBucket = std::min(most, aUsage.mBucket + seconds * aRate);
+    aUsage.mRateTokens =
+      std::min(capacity, aUsage.mRateTokens + seconds * aRate);
   }
   aUsage.mFilledAt = aNow;
 }
@@ -38,25 +39,25 @@
 {
   auto& usage = aState.mCustomers[aCustomer.mName];
   if (aCustomer.mMaximumConcurrent > 0) {
-    const double part = std::max(
+    const double limit = std::max(
       std::floor(static_cast<double>(aCustomer.mMaximumConcurrent) * aShare),
       1.0);
-    if (static_cast<double>(usage.mUnderWay) >= part) {
+    if (static_cast<double>(usage.mInFlight) >= limit) {
       return { false, "customer_concurrency", kConcurrencyRetryAfter };
     }
   }
   if (aCustomer.mRequestsPerSecond > 0) {
     const double rate = aCustomer.mRequestsPerSecond * aShare;
-    FillBucket(usage, rate, aNow);
-    if (usage.mBucket < 1) {
-      const double wait = (1 - usage.mBucket) / rate;
+    RefillBucket(usage, rate, aNow);
+    if (usage.mRateTokens < 1) {
+      const double wait = (1 - usage.mRateTokens) / rate;
       return { false,
                "customer_rate",
                milliseconds(static_cast<std::int64_t>(wait * 1000) + 1) };
     }
-    usage.mBucket -= 1;
+    usage.mRateTokens -= 1;
   }
-  ++usage.mUnderWay;
+  ++usage.mInFlight;
   return { true, "", 0ms };
 }
 
@@ -64,7 +65,7 @@
 ReleaseRequest(customer_limit_state& aState, const std::string& aCustomer)
 {
   auto& usage = aState.mCustomers[aCustomer];
-  usage.mUnderWay = std::max<std::int64_t>(usage.mUnderWay - 1, 0);
+  usage.mInFlight = std::max<std::int64_t>(usage.mInFlight - 1, 0);
 }
 
 } // namespace lavender::admission
