--- a/Duties/Batches/Batch.h
+++ b/Duties/Batches/Batch.h
@@ -10,9 +10,10 @@
 #include <string>
 #include <vector>
 
-/** Batches of requests that a trainer submits at once and reads the results
- * of. What was accepted and what was listed rests on objects in the platform's
- * store alone; an entry's memory only saves reads. */
+/** Batches of inference requests. A trainer submits a batch in one call and
+ * reads its results as they are listed. The objects in the platform's store
+ * are the only record of accepted batches and listed results; an entry's
+ * memory is a cache of them. */
 namespace lavender::batches {
 
 struct batch_item
@@ -20,40 +21,43 @@
   std::string mId;
   std::string mPath;
   edge::header_list mHeaders;
-  /** As submitted: decoded only when it is sent. */
+  /** Base64 as submitted; decoded only when the item is sent. */
   std::string mBodyBase64;
-  /** Items of a group share their prompt, and are of use together. */
+  /** Items of a group share a prompt; the trainer needs the results of whole
+   * groups. */
   std::string mGroup;
-  /** Guess of the output tokens. */
+  /** Estimated number of output tokens. */
   std::int64_t mExpectedTokens = 0;
-  /** Scores the item's text once it is whole. */
+  /** Scores the item's text once the text is complete. */
   std::optional<rewards::reward_call> mReward;
 };
 
-/** What a trainer submits for one step. */
+/** A batch as a trainer submits it: the items of one training step. */
 struct submission
 {
   std::string mId;
   std::string mModel;
-  /** Oldest version of the weights that may make its tokens. */
+  /** Oldest weights version that may generate the items' tokens. */
   std::int64_t mMinimumVersion = 0;
-  /** Groups that the trainer waits for. */
+  /** Number of complete groups that the trainer waits for. */
   int mTargetGroups = 0;
   std::vector<batch_item> mItems;
 };
 
-/** Group of the item with that id; null when there is no such item. */
+/** Returns the group of the item with the given id, or null if there is no such
+ * item. */
 const std::string*
 GroupOf(const submission& aSubmission, const std::string& aItemId);
 
-/** Whose submission it is, and the host that it was sent to. */
+/** The customer that sent a submission, and the host that it was sent to. */
 struct submission_origin
 {
   std::string mCustomer;
   std::string mHost;
 };
 
-/** The small object that says that a batch was accepted and who runs it. */
+/** Metadata of an accepted batch, including its owner. Stored as an object of
+ * its own, separate from the items and the results. */
 struct batch_head
 {
   std::string mId;
@@ -63,41 +67,42 @@
   std::int64_t mMinimumVersion = 0;
   int mTargetGroups = 0;
   int mTotal = 0;
-  /** Guess of the output tokens of all items: how much work the batch is. */
+  /** Estimated output tokens of all items: a measure of the batch's work. */
   std::int64_t mExpectedTokens = 0;
-  /** Objects that hold the items. */
+  /** Number of stored objects that hold the items. */
   int mParts = 0;
-  /** By the wall clock of the entry that accepted it. */
+  /** Wall-clock time of the entry that accepted the batch. */
   std::chrono::system_clock::time_point mSubmittedAt;
-  /** Entry that runs it. */
+  /** Name of the entry that runs the batch. */
   std::string mOwner;
   bool mIsEnded = false;
   objects::revision_number mRevision = 0;
 };
 
-/** Time since the submission, as far as the instances' wall clocks agree. */
+/** Time since the batch was submitted. Inexact by the clock difference between
+ * this instance and the one that accepted the batch. */
 milliseconds
 AgeOf(const batch_head& aHead);
 
-/** The end of one item. */
+/** Result of one item. */
 struct item_result
 {
   std::string mItemId;
-  /** False when the item was given up. */
+  /** False if the item was given up. */
   bool mIsCompleted = false;
   std::string mText;
-  /** Versions that made an event of the text, oldest first. */
+  /** Weights versions that generated the text, in order of use. */
   std::vector<std::int64_t> mVersions;
-  /** What the reward call brought; none for an item without such a call. */
+  /** Score from the reward call; none for an item without a reward call. */
   std::optional<std::string> mScore;
 };
 
-/** Kinds of the product's own objects. */
+/** Kinds of the stored objects. */
 constexpr char kHeadKind[] = "batches";
 constexpr char kItemsKind[] = "batchitems";
 constexpr char kResultsKind[] = "batchresults";
 
-/** Identifiers become names of objects and parts of paths. */
+/** Whether an id may be used as part of an object name and of a URL path. */
 bool
 IsUsableId(const std::string& aId);
 
--- a/Duties/Batches/BatchAdmission.cpp
+++ b/Duties/Batches/BatchAdmission.cpp
@@ -9,42 +9,43 @@
 
 namespace {
 
-/** When to come back to another entry, as this one leaves. */
-constexpr milliseconds kAskAnotherAfter = 100ms;
-/** When to come back after the store didn't take a batch: it is slow or away
- * for seconds, and the first submission after its return is accepted at once.
- */
-constexpr milliseconds kStoreBackAfter = 300ms;
+/** Retry-After of a refusal by an entry that is shutting down; another entry
+ * can accept the batch at once. */
+constexpr milliseconds kShutdownRetryAfter = 100ms;
+/** Retry-After when the store didn't accept a batch. The store is usually slow
+ * or unavailable for seconds, and the first submission after its recovery
+ * should be accepted without delay. */
+constexpr milliseconds kStoreFailureRetryAfter = 300ms;
 
 } // namespace
 
-/** A batch on its way to being accepted. */
+/** A batch that is being written to the store. */
 struct batch_service::admission
 {
   edge::exchange_ptr mExchange;
   batch_head mHead;
   std::shared_ptr<submission> mSubmission;
   std::vector<std::string> mItems;
-  int mTriesLeft = kTries;
-  /** The head may exist, or may yet come to. */
-  bool mIsUnsettled = false;
+  int mTriesLeft = kMaxTries;
+  /** True if the metadata may exist in the store, now or later. */
+  bool mMayExist = false;
 };
 
 void
 batch_service::Admit(const edge::exchange_ptr& aExchange,
                      const submission_origin& aOrigin,
                      submission aSubmission,
-                     prior_try aPriorTry)
+                     prior_attempt aPriorAttempt)
 {
   if (mIsLeaving) {
-    // Nobody else is known who could take it.
-    const bool mayExist = aPriorTry == prior_try::MayHaveBeenAccepted;
-    edge::AnswerOwn(aExchange, mayExist ? 504 : 503, kAskAnotherAfter);
+    // No other entry is known that could accept the batch.
+    const bool mayExist = aPriorAttempt == prior_attempt::MayHaveBeenAccepted;
+    edge::AnswerOwn(aExchange, mayExist ? 504 : 503, kShutdownRetryAfter);
     return;
   }
   auto admitted = std::make_shared<admission>();
   admitted->mExchange = aExchange;
-  admitted->mIsUnsettled = aPriorTry == prior_try::MayHaveBeenAccepted;
+  admitted->mMayExist = aPriorAttempt == prior_attempt::MayHaveBeenAccepted;
   admitted->mItems = EncodeItems(aSubmission);
   auto& head = admitted->mHead;
   head.mId = aSubmission.mId;
@@ -75,7 +76,7 @@
   const auto name = ItemsName(aAdmission->mHead.mId, static_cast<int>(aPart));
   const auto take =
     [this, aAdmission, aPart](const objects::object_reply& aReply) {
-      // A conflict means that an earlier submission of the same batch wrote the
+      // On a conflict, an earlier submission of the same batch has written the
       // same items.
       if (aReply.mOutcome == store_outcome::Done ||
           aReply.mOutcome == store_outcome::Conflict) {
@@ -119,7 +120,7 @@
 {
   switch (aReply.mOutcome) {
     case store_outcome::Done:
-      if (!aAdmission->mIsUnsettled) {
+      if (!aAdmission->mMayExist) {
         aAdmission->mHead.mRevision = aReply.mObject.mRevision;
         Accept(aAdmission);
         return;
@@ -132,11 +133,11 @@
       }
       break;
     case store_outcome::NotFound:
-      // Read back after a lost answer: it isn't there yet.
+      // The object was read back after a lost response and doesn't exist yet.
       WriteHead(aAdmission);
       return;
     case store_outcome::Unknown:
-      aAdmission->mIsUnsettled = true;
+      aAdmission->mMayExist = true;
       if (aAdmission->mTriesLeft-- > 0) {
         mParts.mStore.mGet(
           kHeadKind,
@@ -158,11 +159,11 @@
 batch_service::TakeExistingHead(const std::shared_ptr<admission>& aAdmission,
                                 const batch_head& aHead)
 {
-  // Accepted by a call whose answer was lost, by an earlier life of this
-  // entry, or by another one: results may be listed already.
+  // The batch was accepted by a request whose response was lost, by an earlier
+  // process of this entry, or by another entry. Results may already be listed.
   TakeHead(aHead);
   const auto batch = mBatches[aHead.mId];
-  if (IsMine(batch) && !aHead.mIsEnded) {
+  if (IsOwnedHere(batch) && !aHead.mIsEnded) {
     Load(batch, [](bool) {});
   }
   events::line("batch_repeated")
@@ -181,13 +182,13 @@
   }
   if (batch->mIsLoaded ||
       batch->mHead.mRevision > aAdmission->mHead.mRevision) {
-    // The watch told of the new head before the store's answer came, and the
-    // batch was loaded, or another entry took it over, meanwhile.
+    // The watch reported the new metadata before the store's response arrived,
+    // and meanwhile the batch was loaded or another entry took it over.
     aAdmission->mExchange->Answer({ 202, {}, {} });
     return;
   }
   batch->mHead = aAdmission->mHead;
-  batch->mOwnedSince = boot_clock::now();
+  batch->mOwnerChangedAt = boot_clock::now();
   batch->mSubmission = aAdmission->mSubmission;
   batch->mLog = {};
   ++batch->mGeneration;
@@ -204,15 +205,16 @@
           static_cast<std::int64_t>(batch->mHead.mTargetGroups));
   aAdmission->mExchange->Answer({ 202, {}, {} });
   Run(batch);
-  TellLoaded(batch);
+  NotifyLoadWaiters(batch);
 }
 
 void
 batch_service::FailAdmission(const std::shared_ptr<admission>& aAdmission,
                              const char* aReason)
 {
-  // Only a batch whose head certainly doesn't exist may be called not run.
-  const unsigned status = aAdmission->mIsUnsettled ? 504 : 503;
+  // 503 promises that the batch doesn't run, so it is sent only if the metadata
+  // certainly doesn't exist.
+  const unsigned status = aAdmission->mMayExist ? 504 : 503;
   events::line("batch_refused")
     .With("batch", aAdmission->mHead.mId)
     .With("status", static_cast<std::int64_t>(status))
@@ -220,7 +222,7 @@
   mParts.mMetrics.Count("lavender_refusals_total", { { "reason", aReason } });
   edge::AnswerOwn(aAdmission->mExchange,
                   status,
-                  status == 503 ? std::optional(kStoreBackAfter)
+                  status == 503 ? std::optional(kStoreFailureRetryAfter)
                                 : std::nullopt);
 }
 
--- a/Duties/Batches/BatchCalls.cpp
+++ b/Duties/Batches/BatchCalls.cpp
@@ -11,30 +11,31 @@
 
 namespace {
 
-/** A page of results is 1 MB at most, with room for its frame. */
-constexpr std::size_t kPageBytes = 900 << 10;
-/** Longest time that a trainer's reading call is held. */
-constexpr milliseconds kLongestWait = 1000ms;
-/** How long the owner may be silent beyond the wait before another entry takes
- * its batch over. */
-constexpr milliseconds kOwnerSilence = 600ms;
-/** Longest time in which a page arrives once its owner has begun to answer: a
- * megabyte takes 0.14 s on a link of 60 Mbit/s, and several readers may share
- * it. An owner that was given up in the middle of a page lost its batch, and
- * the next owner on such a link did too. */
-constexpr milliseconds kPageTransfer = 3000ms;
-/** When to ask again while a batch is being loaded or changes its owner: a load
- * that failed is tried again after this. */
-constexpr milliseconds kAskAgainAfter = kRetryPause;
-/** A batch changes its owner at most once in this time, so that two entries
- * which don't reach each other don't take turns. */
-constexpr milliseconds kClaimPause = 1500ms;
+/** Limit on the results in a page. A page is at most 1 MB, including its
+ * framing. */
+constexpr std::size_t kMaxPageBytes = 900 << 10;
+/** Maximum time for which a request for results is held open. */
+constexpr milliseconds kMaxWait = 1000ms;
+/** Time beyond the requested wait after which a silent owner loses its batch to
+ * another entry. */
+constexpr milliseconds kOwnerSilenceTimeout = 600ms;
+/** Maximum time for the transfer of a page after the owner has started its
+ * response. A megabyte takes 0.14 s on a 60 Mbit/s link, which several readers
+ * may share. With a shorter limit an owner lost its batch in the middle of a
+ * page, and so did the next owner on the same link. */
+constexpr milliseconds kPageTransferTimeout = 3000ms;
+/** Retry-After while a batch is being loaded or changes its owner. A failed
+ * load is retried after the same time. */
+constexpr milliseconds kLoadingRetryAfter = kRetryDelay;
+/** Minimum time between two changes of a batch's owner, so that two entries
+ * that can't reach each other don't take the batch from each other in turn. */
+constexpr milliseconds kMinClaimInterval = 1500ms;
 
 } // namespace
 
 void
-batch_service::FindThen(const std::string& aBatchId,
-                        std::function<void(batch_ptr, store_outcome)> aDone)
+batch_service::FindBatch(const std::string& aBatchId,
+                         std::function<void(batch_ptr, store_outcome)> aDone)
 {
   if (const auto known = mBatches.find(aBatchId); known != mBatches.end()) {
     aDone(known->second, store_outcome::Done);
@@ -66,30 +67,30 @@
     aExchange->Answer({ 404, {}, {} });
     return;
   }
-  FindThen(
+  FindBatch(
     aCall.mBatchId,
     [this, aExchange, aCall](const batch_ptr& aBatch, store_outcome aOutcome) {
       if (aBatch && aBatch->mHead.mCustomer == aCall.mCustomer) {
-        ServeKnown(aExchange, aCall, aBatch);
+        ServeBatch(aExchange, aCall, aBatch);
       } else if (aBatch || aOutcome == store_outcome::NotFound) {
         aExchange->Answer({ 404, {}, {} });
       } else {
-        edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+        edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
       }
     });
 }
 
 void
-batch_service::ServeKnown(const edge::exchange_ptr& aExchange,
+batch_service::ServeBatch(const edge::exchange_ptr& aExchange,
                           const batch_call& aCall,
                           const batch_ptr& aBatch)
 {
-  if (IsMine(aBatch)) {
+  if (IsOwnedHere(aBatch)) {
     ServeOwned(aExchange, aCall, aBatch);
     return;
   }
   if (const auto peer = mParts.mFindPeer(aBatch->mHead.mOwner)) {
-    PassOn(aExchange, aCall, aBatch, *peer);
+    ForwardCall(aExchange, aCall, aBatch, *peer);
   } else {
     TakeOver(aExchange, aCall, aBatch);
   }
@@ -102,7 +103,7 @@
 {
   Load(aBatch, [this, aExchange, aCall, aBatch](bool aIsLoaded) {
     if (!aIsLoaded) {
-      edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+      edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
       return;
     }
     switch (aCall.mKind) {
@@ -113,10 +114,10 @@
         ReadItem(aExchange, aCall, aBatch);
         return;
       case batch_call::kind::End:
-        End(aExchange, aBatch, kTries);
+        End(aExchange, aBatch, kMaxTries);
         return;
       case batch_call::kind::TakeOver:
-        // Answered before the batch is loaded, in TakeOffer.
+        // Handled before the batch is loaded, in HandleOffer.
         aExchange->Answer({ 200, {}, {} });
         return;
     }
@@ -124,21 +125,21 @@
 }
 
 void
-batch_service::PassOn(const edge::exchange_ptr& aExchange,
-                      const batch_call& aCall,
-                      const batch_ptr& aBatch,
-                      const edge::endpoint& aPeer)
+batch_service::ForwardCall(const edge::exchange_ptr& aExchange,
+                           const batch_call& aCall,
+                           const batch_ptr& aBatch,
+                           const edge::endpoint& aPeer)
 {
   edge::call_options options;
-  options.mConnectTimeout = kOwnerSilence;
-  options.mSilenceTimeout = aCall.mWait + kOwnerSilence;
+  options.mConnectTimeout = kOwnerSilenceTimeout;
+  options.mSilenceTimeout = aCall.mWait + kOwnerSilenceTimeout;
   edge::FetchWhole(
     mParts.mClients,
     mParts.mLoop,
     aPeer,
     EncodePeerCall(aCall),
     options,
-    options.mSilenceTimeout + kPageTransfer,
+    options.mSilenceTimeout + kPageTransferTimeout,
     4 << 20,
     [this, aExchange, aCall, aBatch](edge::call_end aEnd,
                                      edge::response aAnswer) {
@@ -168,11 +169,11 @@
     return;
   }
   if (call->mKind == batch_call::kind::TakeOver) {
-    TakeOffer(aExchange, *call);
+    HandleOffer(aExchange, *call);
     return;
   }
   const auto known = mBatches.find(call->mBatchId);
-  if (known == mBatches.end() || !IsMine(known->second)) {
+  if (known == mBatches.end() || !IsOwnedHere(known->second)) {
     aExchange->Answer({ kNotOwner, {}, {} });
     return;
   }
@@ -184,15 +185,16 @@
                         const batch_call& aCall,
                         const batch_ptr& aBatch)
 {
-  if (boot_clock::now() - aBatch->mOwnedSince < kClaimPause || mIsLeaving) {
-    edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+  if (boot_clock::now() - aBatch->mOwnerChangedAt < kMinClaimInterval ||
+      mIsLeaving) {
+    edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     return;
   }
-  Claim(aBatch, [this, aExchange, aCall, aBatch](bool aIsMine) {
-    if (aIsMine) {
+  Claim(aBatch, [this, aExchange, aCall, aBatch](bool aIsOwnedHere) {
+    if (aIsOwnedHere) {
       ServeOwned(aExchange, aCall, aBatch);
     } else {
-      edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+      edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     }
   });
 }
@@ -217,7 +219,7 @@
         .With("batch", aBatch->mHead.mId)
         .With("owner", aBatch->mHead.mOwner)
         .With("outcome", objects::WordFor(aReply.mOutcome));
-      done(IsMine(aBatch));
+      done(IsOwnedHere(aBatch));
     });
 }
 
@@ -226,22 +228,24 @@
                            const batch_call& aCall,
                            const batch_ptr& aBatch)
 {
-  if (MayHaveMore(*aBatch)) {
-    LookForMore(aBatch, [this, aExchange, aCall, aBatch](bool aIsWhole) {
-      if (aIsWhole) {
-        ReadResults(aExchange, aCall, aBatch);
-      } else if (aBatch->mLog.mListed.size() > aCall.mAfter) {
-        // What is known is right, whether or not there is more.
-        AnswerPage(aExchange, aCall, aBatch);
-      } else {
-        edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
-      }
-    });
+  if (MayLackResults(*aBatch)) {
+    ReadMissingBlocks(aBatch,
+                      [this, aExchange, aCall, aBatch](bool aIsComplete) {
+                        if (aIsComplete) {
+                          ReadResults(aExchange, aCall, aBatch);
+                        } else if (aBatch->mLog.mListed.size() > aCall.mAfter) {
+                          // The known results are correct even if there are
+                          // more.
+                          AnswerPage(aExchange, aCall, aBatch);
+                        } else {
+                          edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
+                        }
+                      });
     return;
   }
   const bool isComplete = aBatch->mLog.mListed.size() >=
                           static_cast<std::size_t>(aBatch->mHead.mTotal);
-  const auto wait = std::min(aCall.mWait, kLongestWait);
+  const auto wait = std::min(aCall.mWait, kMaxWait);
   if (aBatch->mLog.mListed.size() > aCall.mAfter || isComplete ||
       aBatch->mHead.mIsEnded || wait.count() == 0) {
     AnswerPage(aExchange, aCall, aBatch);
@@ -264,10 +268,10 @@
                           const batch_ptr& aBatch)
 {
   if (!aBatch->mIsLoaded) {
-    edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+    edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     return;
   }
-  const auto page = ReadPage(aBatch->mLog, aCall.mAfter, kPageBytes);
+  const auto page = ReadPage(aBatch->mLog, aCall.mAfter, kMaxPageBytes);
   edge::response answer{ 200, {}, {} };
   answer.mHeaders.Add("Content-Type", "application/json");
   answer.mBody = mParts.mFormat.mEncodePage(
@@ -296,8 +300,8 @@
                    const batch_ptr& aBatch,
                    int aTriesLeft)
 {
-  // The runs stop before the store knows: a batch whose end was asked for
-  // needs no more results, whatever becomes of this call.
+  // The runs are cancelled before the store has recorded the end: the trainer
+  // needs no more results, even if this request fails.
   mParts.mRunner.Remove(aBatch->mHead.mId);
   if (aBatch->mHead.mIsEnded) {
     aExchange->Answer({ 200, {}, {} });
@@ -319,7 +323,7 @@
         events::line("batch_ended").With("batch", aBatch->mHead.mId);
         aExchange->Answer({ 200, {}, {} });
       } else if (aTriesLeft > 0) {
-        After(kRetryPause, [this, aExchange, aBatch, aTriesLeft] {
+        After(kRetryDelay, [this, aExchange, aBatch, aTriesLeft] {
           End(aExchange, aBatch, aTriesLeft - 1);
         });
       } else {
--- a/Duties/Batches/BatchDispatch.cpp
+++ b/Duties/Batches/BatchDispatch.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-/** How often waiting items are looked at when nothing else happens. */
-constexpr milliseconds kLookEach = 100ms;
+/** Interval at which waiting items are dispatched when no event triggers a
+ * dispatch. */
+constexpr milliseconds kDispatchInterval = 100ms;
 
-/** Runs that leave a slow server at once, and how often one item does: each
- * move reads the item's tokens again. */
-constexpr int kMostMovesAtOnce = 8;
-constexpr int kMostMovesOfItem = 2;
+/** Maximum number of runs moved away from slow servers at once, and of moves
+ * per item. Each move makes the new server process the item's tokens again. */
+constexpr int kMaxMovesAtOnce = 8;
+constexpr int kMaxMovesPerItem = 2;
 
 } // namespace
 
@@ -50,11 +51,11 @@
 {
   std::vector<engine_view> engines;
   const auto now = boot_clock::now();
-  const double usual = UsualEventTime(mHealths);
+  const double median = MedianEventTime(mHealths);
   for (const auto& [id, row] : mParts.mDirectory.mRows) {
     if (row.mServer.mIsLeaving ||
         (IsOn(mechanism::RunBreakers) &&
-         !MayUse(mHealths, id, mParts.mDirectory.mRows.size(), now))) {
+         !IsUsable(mHealths, id, mParts.mDirectory.mRows.size(), now))) {
       continue;
     }
     engine_view engine;
@@ -71,15 +72,15 @@
     if (const auto runs = mRunsByServer.find(id); runs != mRunsByServer.end()) {
       engine.mOwnRuns = runs->second;
     }
-    if (const auto trial = mTrials.find(id); trial != mTrials.end()) {
+    if (const auto probe = mProbes.find(id); probe != mProbes.end()) {
       engine.mSlots =
-        trial->second == 0 ? std::min(engine.mSlots, engine.mOwnRuns + 1) : 0;
+        probe->second == 0 ? std::min(engine.mSlots, engine.mOwnRuns + 1) : 0;
     }
     if (const auto blocked = mBlocked.find(id); blocked != mBlocked.end()) {
       engine.mBlockedUntil = blocked->second;
     }
     if (const auto health = mHealths.find(id); health != mHealths.end()) {
-      engine.mIsSlow = IsSlow(health->second, usual);
+      engine.mIsSlow = IsSlow(health->second, median);
     }
     engines.push_back(std::move(engine));
   }
@@ -87,7 +88,7 @@
 }
 
 void
-batch_runner::GiveUpLate(running_batch& aBatch)
+batch_runner::GiveUpOverdueItems(running_batch& aBatch)
 {
   for (auto& item : aBatch.mItems) {
     if (item.mPhase == item_phase::Ended) {
@@ -115,7 +116,7 @@
   };
   std::vector<candidate> waiting;
   for (auto& [id, batch] : mBatches) {
-    GiveUpLate(batch);
+    GiveUpOverdueItems(batch);
     const auto submitted = std::chrono::duration_cast<milliseconds>(
       batch.mHead.mSubmittedAt.time_since_epoch());
     for (std::size_t i = 0; i < batch.mItems.size(); ++i) {
@@ -139,21 +140,21 @@
     if (!route) {
       continue;
     }
-    const auto chosen =
-      ChooseEngine(engines, NeedOf(*next.mBatch, item, *route), mHomes, now);
+    const auto chosen = ChooseEngine(
+      engines, RequirementsOf(*next.mBatch, item, *route), mAffinities, now);
     if (chosen) {
       ++engines[*chosen].mOwnRuns;
       StartRun(*next.mBatch, next.mIndex, engines[*chosen], *route);
     }
   }
   if (waiting.empty() && IsOn(mechanism::SlowServerMoves)) {
-    MoveFromSlow(engines, now);
+    MoveRunsFromSlowServers(engines, now);
   }
-  PlanLook();
+  ScheduleDispatch();
 }
 
 void
-batch_runner::PlanLook()
+batch_runner::ScheduleDispatch()
 {
   const bool isBusy =
     std::any_of(mBatches.begin(), mBatches.end(), [](const auto& aEntry) {
@@ -165,7 +166,7 @@
   if (!isBusy) {
     return;
   }
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kDispatchInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (!aError) {
       Dispatch();
@@ -174,7 +175,8 @@
 }
 
 void
-batch_runner::MoveFromSlow(std::vector<engine_view>& aEngines, time_point aNow)
+batch_runner::MoveRunsFromSlowServers(std::vector<engine_view>& aEngines,
+                                      time_point aNow)
 {
   int moves = 0;
   for (auto& [id, batch] : mBatches) {
@@ -185,16 +187,16 @@
           return aEngine.mId == item.mServer;
         });
       if (item.mPhase != item_phase::Running || at == aEngines.end() ||
-          !at->mIsSlow || item.mMoves >= kMostMovesOfItem ||
-          moves >= kMostMovesAtOnce) {
+          !at->mIsSlow || item.mMoves >= kMaxMovesPerItem ||
+          moves >= kMaxMovesAtOnce) {
         continue;
       }
       const auto route = RouteOf(batch, *item.mItem);
       if (!route || !route->mIsResumable) {
         continue;
       }
-      const auto chosen =
-        ChooseEngine(aEngines, NeedOf(batch, item, *route), mHomes, aNow);
+      const auto chosen = ChooseEngine(
+        aEngines, RequirementsOf(batch, item, *route), mAffinities, aNow);
       if (!chosen || aEngines[*chosen].mIsSlow) {
         continue;
       }
@@ -218,9 +220,9 @@
 }
 
 item_need
-batch_runner::NeedOf(const running_batch& aBatch,
-                     const item_progress& aItem,
-                     const site::route& aRoute)
+batch_runner::RequirementsOf(const running_batch& aBatch,
+                             const item_progress& aItem,
+                             const site::route& aRoute)
 {
   item_need need;
   for (const auto& pool : aRoute.mPools) {
@@ -229,7 +231,7 @@
   need.mModel = aBatch.mHead.mModel;
   need.mMinimumVersion = aBatch.mHead.mMinimumVersion;
   need.mGroup = aItem.mItem->mGroup;
-  need.mAvoided = aItem.mAvoided;
+  need.mAvoidedServer = aItem.mAvoidedServer;
   return need;
 }
 
--- a/Duties/Batches/BatchListing.cpp
+++ b/Duties/Batches/BatchListing.cpp
@@ -12,29 +12,31 @@
 
 namespace {
 
-/** A block of results stays below the store's limit on objects. */
-constexpr std::size_t kBlockBytes = 900 << 10;
-/** A text that has grown this long without being stored is written on its own:
- * an entry that dies then costs a step two seconds of a long run instead of all
- * of it, which is more than most steps have to spare. */
-constexpr milliseconds kSaveAlone = 2000ms;
-/** One that has grown this long goes along with results that are written
- * anyway; shorter ones mostly end before they would be of use. */
-constexpr milliseconds kSaveAlong = 1000ms;
-constexpr milliseconds kLookForUnsavedEach = 500ms;
-/** A block that is on its way is settled within some ms. */
-constexpr milliseconds kSettlePause = 50ms;
+/** Maximum size of a block of results; the store limits objects to 1 MB. */
+constexpr std::size_t kMaxBlockBytes = 900 << 10;
+/** A text that has been unsaved for this long is written in a block of its own.
+ * If the entry dies, a step then loses two seconds of a long run instead of
+ * the whole run, which is more than most steps can afford. */
+constexpr milliseconds kSeparateSaveAge = 2000ms;
+/** A text that has been unsaved for this long is added to a block that is
+ * written anyway. Shorter texts mostly end before a stored part would be of
+ * use. */
+constexpr milliseconds kCombinedSaveAge = 1000ms;
+constexpr milliseconds kSaveCheckInterval = 500ms;
+/** Interval at which a pending write is checked; writes mostly complete within
+ * some ms. */
+constexpr milliseconds kPendingWritePollInterval = 50ms;
 
-/** An entry that lost a batch may not know it for this long, and list results
- * until then: it learns of the new head through the feed, a second late at the
- * worst, and a block that it was writing may come to pass six seconds later. */
-constexpr milliseconds kOthersMayList = 15000ms;
-/** What a reader saw at another entry must be seen here a second later, so the
- * store is asked about twice as often while readers ask. */
-constexpr milliseconds kLookForMoreEach = 400ms;
+/** Time for which an entry that lost a batch may still list results: it learns
+ * of the new metadata through the feed, up to a second late, and a block that
+ * it was writing may take effect six seconds later. */
+constexpr milliseconds kLateListingWindow = 15000ms;
+/** Results that a reader saw at another entry must be visible here within a
+ * second, so the store is asked about twice as often while readers ask. */
+constexpr milliseconds kMissingBlockCheckInterval = 400ms;
 
-waiting_results
-WaitingOf(const batch_record& aBatch)
+pending_results
+PendingCounts(const batch_record& aBatch)
 {
   return { aBatch.mLog.mPending.mItemIds.size(),
            static_cast<std::size_t>(aBatch.mHead.mTotal) };
@@ -54,25 +56,25 @@
   AddPending(
     batch->mLog, aResult.mItemId, mParts.mFormat.mEncodeResult(aResult));
   const auto* group = GroupOf(*batch->mSubmission, aResult.mItemId);
-  const bool isWhole = isNew && group && NoteResult(batch->mGroups, *group);
-  PlanCommit(batch,
-             GatherTime(batch->mGroups,
-                        batch->mHead.mTargetGroups,
-                        mParts.mRunner.DueIn(aBatchId),
-                        isWhole,
-                        WaitingOf(*batch)));
+  const bool isComplete = isNew && group && NoteResult(batch->mGroups, *group);
+  ScheduleCommit(batch,
+                 CommitDelay(batch->mGroups,
+                             batch->mHead.mTargetGroups,
+                             mParts.mRunner.DueIn(aBatchId),
+                             isComplete,
+                             PendingCounts(*batch)));
 }
 
 void
-batch_service::PlanCommit(const batch_ptr& aBatch, milliseconds aPause)
+batch_service::ScheduleCommit(const batch_ptr& aBatch, milliseconds aDelay)
 {
-  const auto at = boot_clock::now() + aPause;
+  const auto at = boot_clock::now() + aDelay;
   if (aBatch->mIsCommitting ||
       (aBatch->mCommitAt && *aBatch->mCommitAt <= at)) {
     return;
   }
   aBatch->mCommitAt = at;
-  After(aPause, [this, aBatch, at] {
+  After(aDelay, [this, aBatch, at] {
     if (aBatch->mCommitAt == at) {
       aBatch->mCommitAt.reset();
       Commit(aBatch);
@@ -84,12 +86,12 @@
 batch_service::Commit(const batch_ptr& aBatch)
 {
   const bool hasResults = !aBatch->mLog.mPending.mItemIds.empty();
-  CommitBlock(aBatch, hasResults ? kSaveAlong : kSaveAlone, [] {});
+  CommitBlock(aBatch, hasResults ? kCombinedSaveAge : kSeparateSaveAge, [] {});
 }
 
 void
 batch_service::CommitBlock(const batch_ptr& aBatch,
-                           milliseconds aSaveLongerThan,
+                           milliseconds aMinUnsavedTime,
                            std::function<void()> aDone)
 {
   if (aBatch->mIsCommitting || !aBatch->mIsLoaded || aBatch->mHead.mIsEnded) {
@@ -97,16 +99,16 @@
     return;
   }
   const auto block =
-    std::make_shared<result_block>(FirstPending(aBatch->mLog, kBlockBytes));
+    std::make_shared<result_block>(OldestPending(aBatch->mLog, kMaxBlockBytes));
   std::size_t bytes = 0;
   for (const auto& entry : block->mEntries) {
     bytes += entry.size();
   }
   block->mWriter = aBatch->mWriter;
-  block->mParts =
-    mParts.mRunner.Unsaved(aBatch->mHead.mId,
-                           aSaveLongerThan,
-                           kBlockBytes - std::min(bytes, kBlockBytes));
+  block->mParts = mParts.mRunner.UnsavedParts(
+    aBatch->mHead.mId,
+    aMinUnsavedTime,
+    kMaxBlockBytes - std::min(bytes, kMaxBlockBytes));
   if (block->mItemIds.empty() && block->mParts.empty()) {
     aDone();
     return;
@@ -127,54 +129,54 @@
       }
       aBatch->mIsCommitting = false;
       if (aReply.mOutcome == store_outcome::Done) {
-        mParts.mRunner.NoteSaved(aBatch->mHead.mId, block->mParts);
-        TakeListedBlock(aBatch, *block);
-        // What came while the block was on its way has no time set.
+        mParts.mRunner.MarkPartsSaved(aBatch->mHead.mId, block->mParts);
+        ApplyListedBlock(aBatch, *block);
+        // Results that arrived during the write have no commit scheduled.
         const auto dueIn = mParts.mRunner.DueIn(aBatch->mHead.mId);
-        PlanCommit(aBatch,
-                   GatherTime(aBatch->mGroups,
-                              aBatch->mHead.mTargetGroups,
-                              dueIn,
-                              true,
-                              WaitingOf(*aBatch)));
+        ScheduleCommit(aBatch,
+                       CommitDelay(aBatch->mGroups,
+                                   aBatch->mHead.mTargetGroups,
+                                   dueIn,
+                                   true,
+                                   PendingCounts(*aBatch)));
       } else if (aReply.mOutcome == store_outcome::Refused) {
-        PlanCommit(aBatch, kRetryPause);
+        ScheduleCommit(aBatch, kRetryDelay);
       } else {
-        mParts.mRunner.ForgetSaved(aBatch->mHead.mId);
-        SettleCommit(aBatch);
+        mParts.mRunner.MarkAllUnsaved(aBatch->mHead.mId);
+        ReadBackCommit(aBatch);
       }
       done();
     });
 }
 
 void
-batch_service::PlanSave(const batch_ptr& aBatch)
+batch_service::ScheduleSave(const batch_ptr& aBatch)
 {
-  After(kLookForUnsavedEach, [this, aBatch, generation = aBatch->mGeneration] {
+  After(kSaveCheckInterval, [this, aBatch, generation = aBatch->mGeneration] {
     if (aBatch->mGeneration != generation || aBatch->mHead.mIsEnded) {
       return;
     }
     if (!mParts.mCanStore()) {
-      Offer(aBatch);
+      OfferBatch(aBatch);
     }
-    const auto unsaved =
-      mParts.mRunner.Unsaved(aBatch->mHead.mId, kSaveAlone, kBlockBytes);
+    const auto unsaved = mParts.mRunner.UnsavedParts(
+      aBatch->mHead.mId, kSeparateSaveAge, kMaxBlockBytes);
     if (!unsaved.empty()) {
-      CommitBlock(aBatch, kSaveAlong, [] {});
+      CommitBlock(aBatch, kCombinedSaveAge, [] {});
     }
-    PlanSave(aBatch);
+    ScheduleSave(aBatch);
   });
 }
 
 void
-batch_service::SaveThen(const batch_ptr& aBatch,
-                        int aTriesLeft,
-                        std::function<void()> aDone)
+batch_service::SaveTexts(const batch_ptr& aBatch,
+                         int aTriesLeft,
+                         std::function<void()> aDone)
 {
   if (aBatch->mIsCommitting && aTriesLeft > 0) {
-    After(kSettlePause,
+    After(kPendingWritePollInterval,
           [this, aBatch, aTriesLeft, done = std::move(aDone)]() mutable {
-            SaveThen(aBatch, aTriesLeft - 1, std::move(done));
+            SaveTexts(aBatch, aTriesLeft - 1, std::move(done));
           });
     return;
   }
@@ -182,30 +184,31 @@
 }
 
 void
-batch_service::SettleCommit(const batch_ptr& aBatch)
+batch_service::ReadBackCommit(const batch_ptr& aBatch)
 {
   aBatch->mIsCommitting = true;
   mParts.mStore.mGet(
     kResultsKind,
     ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
-    WhileSame(aBatch, [this, aBatch](const objects::object_reply& aReply) {
-      aBatch->mIsCommitting = false;
-      if (aReply.mOutcome == store_outcome::Done) {
-        if (const auto block = DecodeBlock(aReply.mObject)) {
-          TakeListedBlock(aBatch, *block);
-        }
-      }
-      PlanCommit(aBatch, kRetryPause);
-    }));
+    IfSameGeneration(aBatch,
+                     [this, aBatch](const objects::object_reply& aReply) {
+                       aBatch->mIsCommitting = false;
+                       if (aReply.mOutcome == store_outcome::Done) {
+                         if (const auto block = DecodeBlock(aReply.mObject)) {
+                           ApplyListedBlock(aBatch, *block);
+                         }
+                       }
+                       ScheduleCommit(aBatch, kRetryDelay);
+                     }));
 }
 
 void
-batch_service::TakeListedBlock(const batch_ptr& aBatch,
-                               const result_block& aBlock)
+batch_service::ApplyListedBlock(const batch_ptr& aBatch,
+                                const result_block& aBlock)
 {
-  const auto news = TakeBlock(aBatch->mLog, aBlock);
-  for (const auto& itemId : news) {
+  const auto newIds = ApplyBlock(aBatch->mLog, aBlock);
+  for (const auto& itemId : newIds) {
     if (const auto* group = GroupOf(*aBatch->mSubmission, itemId)) {
       NoteResult(aBatch->mGroups, *group);
     }
@@ -215,8 +218,8 @@
     .With("block", static_cast<std::int64_t>(aBatch->mLog.mNextBlock - 1))
     .With("results", static_cast<std::int64_t>(aBlock.mItemIds.size()))
     .With("listed", static_cast<std::int64_t>(aBatch->mLog.mListed.size()));
-  if (!news.empty()) {
-    mParts.mRunner.TakeListed(aBatch->mHead.mId, news);
+  if (!newIds.empty()) {
+    mParts.mRunner.MarkListed(aBatch->mHead.mId, newIds);
   }
   const auto waiters = std::move(aBatch->mResultWaiters);
   aBatch->mResultWaiters.clear();
@@ -226,25 +229,27 @@
 }
 
 bool
-batch_service::MayHaveMore(const batch_record& aBatch) const
+batch_service::MayLackResults(const batch_record& aBatch) const
 {
-  // An owner that writes learns of another's block by the conflict with its
-  // own. One that has ended its batch writes no more, so it would show less
-  // than the entry before it did, for good.
+  // An owner that writes blocks learns of another entry's block through the
+  // conflict with its own. An owner whose batch has ended writes no more, so
+  // without this check it would permanently show fewer results than the
+  // previous owner did.
   const auto now = boot_clock::now();
-  const bool isWhole =
+  const bool isComplete =
     aBatch.mLog.mListed.size() >= static_cast<std::size_t>(aBatch.mHead.mTotal);
-  return !isWhole && aBatch.mLoadedAt &&
-         (aBatch.mHead.mIsEnded || now - *aBatch.mLoadedAt < kOthersMayList) &&
-         now - aBatch.mEndSeenAt >= kLookForMoreEach;
+  return !isComplete && aBatch.mLoadedAt &&
+         (aBatch.mHead.mIsEnded ||
+          now - *aBatch.mLoadedAt < kLateListingWindow) &&
+         now - aBatch.mNoMoreBlocksAt >= kMissingBlockCheckInterval;
 }
 
 void
-batch_service::LookForMore(const batch_ptr& aBatch,
-                           std::function<void(bool)> aDone)
+batch_service::ReadMissingBlocks(const batch_ptr& aBatch,
+                                 std::function<void(bool)> aDone)
 {
   if (aBatch->mIsCommitting) {
-    // The block on its way would be counted twice.
+    // The block that is being written would be counted twice.
     aDone(false);
     return;
   }
@@ -264,15 +269,15 @@
                            ? DecodeBlock(aReply.mObject)
                            : std::nullopt;
       if (block) {
-        TakeListedBlock(aBatch, *block);
-        LookForMore(aBatch, done);
+        ApplyListedBlock(aBatch, *block);
+        ReadMissingBlocks(aBatch, done);
         return;
       }
       const bool isEnd = aReply.mOutcome == store_outcome::NotFound;
       if (isEnd) {
-        aBatch->mEndSeenAt = boot_clock::now();
+        aBatch->mNoMoreBlocksAt = boot_clock::now();
       }
-      PlanCommit(aBatch, kRetryPause);
+      ScheduleCommit(aBatch, kRetryDelay);
       done(isEnd);
     });
 }
--- a/Duties/Batches/BatchLoading.cpp
+++ b/Duties/Batches/BatchLoading.cpp
@@ -23,7 +23,8 @@
 }
 
 objects::object_done
-batch_service::WhileSame(const batch_ptr& aBatch, objects::object_done aDone)
+batch_service::IfSameGeneration(const batch_ptr& aBatch,
+                                objects::object_done aDone)
 {
   return [aBatch, generation = aBatch->mGeneration, done = std::move(aDone)](
            objects::object_reply aReply) {
@@ -58,19 +59,20 @@
     LoadResults(aBatch);
     return;
   }
-  mParts.mStore.mGet(kItemsKind,
-                     ItemsName(aBatch->mHead.mId, aPart),
-                     objects::freshness::Linearizable,
-                     WhileSame(aBatch,
-                               [this, aBatch, aGathered, aPart](
-                                 const objects::object_reply& aReply) {
-                                 if (aReply.mOutcome == store_outcome::Done &&
-                                     DecodeItems(aReply.mObject, *aGathered)) {
-                                   LoadItems(aBatch, aGathered, aPart + 1);
-                                 } else {
-                                   FinishLoad(aBatch, false);
-                                 }
-                               }));
+  mParts.mStore.mGet(
+    kItemsKind,
+    ItemsName(aBatch->mHead.mId, aPart),
+    objects::freshness::Linearizable,
+    IfSameGeneration(
+      aBatch,
+      [this, aBatch, aGathered, aPart](const objects::object_reply& aReply) {
+        if (aReply.mOutcome == store_outcome::Done &&
+            DecodeItems(aReply.mObject, *aGathered)) {
+          LoadItems(aBatch, aGathered, aPart + 1);
+        } else {
+          FinishLoad(aBatch, false);
+        }
+      }));
 }
 
 void
@@ -88,10 +90,10 @@
       FinishLoad(aBatch, false);
       return;
     }
-    TakeBlock(aBatch->mLog, *block);
+    ApplyBlock(aBatch->mLog, *block);
     for (const auto& part : block->mParts) {
       if (part.mItem < aBatch->mSubmission->mItems.size()) {
-        TakePart(aBatch->mStored, block->mWriter, part);
+        ApplyPart(aBatch->mStored, block->mWriter, part);
       }
     }
     LoadResults(aBatch);
@@ -99,7 +101,7 @@
   mParts.mStore.mGet(kResultsKind,
                      ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
                      objects::freshness::Linearizable,
-                     WhileSame(aBatch, take));
+                     IfSameGeneration(aBatch, take));
 }
 
 void
@@ -112,20 +114,20 @@
     .With("outcome", aBatch->mIsLoaded ? "loaded" : "failed")
     .With("results", static_cast<std::int64_t>(aBatch->mLog.mListed.size()));
   if (aBatch->mIsLoaded) {
-    aBatch->mLoadedAt = aBatch->mEndSeenAt = boot_clock::now();
+    aBatch->mLoadedAt = aBatch->mNoMoreBlocksAt = boot_clock::now();
     Run(aBatch);
   } else if (!aBatch->mHead.mIsEnded) {
-    After(kRetryPause, [this, aBatch] {
-      if (IsMine(aBatch)) {
+    After(kRetryDelay, [this, aBatch] {
+      if (IsOwnedHere(aBatch)) {
         Load(aBatch, [](bool) {});
       }
     });
   }
-  TellLoaded(aBatch);
+  NotifyLoadWaiters(aBatch);
 }
 
 void
-batch_service::TellLoaded(const batch_ptr& aBatch)
+batch_service::NotifyLoadWaiters(const batch_ptr& aBatch)
 {
   const auto waiters = std::move(aBatch->mLoadWaiters);
   aBatch->mLoadWaiters.clear();
@@ -158,11 +160,11 @@
       return HasResult(aBatch->mLog, aItemId);
     },
     std::move(stored));
-  PlanSave(aBatch);
+  ScheduleSave(aBatch);
 }
 
 void
-batch_service::Drop(const batch_ptr& aBatch)
+batch_service::Unload(const batch_ptr& aBatch)
 {
   mParts.mRunner.Remove(aBatch->mHead.mId);
   aBatch->mIsLoaded = false;
@@ -171,7 +173,7 @@
   ++aBatch->mGeneration;
   aBatch->mLog = {};
   aBatch->mSubmission.reset();
-  TellLoaded(aBatch);
+  NotifyLoadWaiters(aBatch);
   const auto waiters = std::move(aBatch->mResultWaiters);
   aBatch->mResultWaiters.clear();
   for (const auto& waiter : waiters) {
--- a/Duties/Batches/BatchOwners.cpp
+++ b/Duties/Batches/BatchOwners.cpp
@@ -10,41 +10,44 @@
 
 namespace {
 
-/** An entry that accepts a batch writes it to the store first, which takes some
- * ms, or a second when the store is slow. */
+/** Timeout of a forwarded submission. The entry that accepts it writes it to
+ * the store first, which takes some ms, or a second if the store is slow. */
 constexpr milliseconds kAcceptTimeout = 1500ms;
-/** An entry on the same network is connected to within some ms. */
+/** Connections between entries on the same network are established within some
+ * ms. */
 constexpr milliseconds kConnectTimeout = 300ms;
-/** One that gave no answer isn't passed a batch for this long: each try would
- * hold a trainer up. */
-constexpr milliseconds kAvoidSilent = 5000ms;
-/** One that takes no more batches is leaving, or cut off from the store. */
-constexpr milliseconds kAvoidLeaving = 10000ms;
-/** Entries that are asked to take one submission. */
-constexpr int kMostAsked = 3;
-/** A new owner changes the batch's head before it answers. */
+/** Time for which an entry that didn't respond is sent no batch; each attempt
+ * would delay a trainer. */
+constexpr milliseconds kSilentPeerAvoidance = 5000ms;
+/** Time for which an entry that refused a batch is sent none: it is shutting
+ * down or can't reach the store. */
+constexpr milliseconds kRefusingPeerAvoidance = 10000ms;
+/** Maximum number of entries that are asked to accept one submission. */
+constexpr int kMaxPeersAsked = 3;
+/** Timeout of a request to take over a batch. The new owner updates the batch's
+ * metadata before it responds. */
 constexpr milliseconds kOfferTimeout = 1500ms;
 
-constexpr char kRetryAfter[] = "Retry-After";
+constexpr char kRetryAfterField[] = "Retry-After";
 
 } // namespace
 
-/** A submission on its way to the entry that shall own it. */
-struct batch_service::placement
+/** A submission that is being forwarded to its designated owner. */
+struct batch_service::pending_submission
 {
   edge::exchange_ptr mExchange;
   submission_origin mOrigin;
   submission mSubmission;
-  /** Entries that were asked to take it. */
-  int mAsked = 0;
+  /** Number of entries asked so far. */
+  int mPeersAsked = 0;
 };
 
 std::optional<std::string>
 batch_service::DesignatedOwner(const std::string& aCustomer,
                                const std::string& aModel) const
 {
-  const bool isUnfit = IsUnfit();
-  if (!IsOn(mechanism::DesignatedOwners) && !isUnfit) {
+  const bool isUnableToOwn = IsUnableToOwn();
+  if (!IsOn(mechanism::DesignatedOwners) && !isUnableToOwn) {
     return mParts.mName;
   }
   const auto now = boot_clock::now();
@@ -53,24 +56,23 @@
     const auto avoided = mAvoidedUntil.find(candidate.mName);
     const bool isAvoided =
       avoided != mAvoidedUntil.end() && now < avoided->second;
-    if (isAvoided || (isUnfit && candidate.mName == mParts.mName)) {
+    if (isAvoided || (isUnableToOwn && candidate.mName == mParts.mName)) {
       candidate.mWeight = 0;
     }
   }
   return ChooseByRendezvous(aCustomer + "/" + aModel, candidates);
 }
 
-std::optional<batch_service::other_entry>
-batch_service::OtherOwner(const std::string& aCustomer,
-                          const std::string& aModel) const
+std::optional<batch_service::peer_entry>
+batch_service::DesignatedPeer(const std::string& aCustomer,
+                              const std::string& aModel) const
 {
   const auto owner = DesignatedOwner(aCustomer, aModel);
   if (!owner || *owner == mParts.mName) {
     return std::nullopt;
   }
   const auto address = mParts.mFindPeer(*owner);
-  return address ? std::optional(other_entry{ *owner, *address })
-                 : std::nullopt;
+  return address ? std::optional(peer_entry{ *owner, *address }) : std::nullopt;
 }
 
 void
@@ -98,28 +100,30 @@
                       const submission_origin& aOrigin,
                       submission aSubmission)
 {
-  if (AnswerKnown(aExchange, aOrigin, aSubmission.mId)) {
+  if (AnswerIfKnown(aExchange, aOrigin, aSubmission.mId)) {
     return;
   }
-  Place(std::make_shared<placement>(
-    placement{ aExchange, aOrigin, std::move(aSubmission) }));
+  ForwardOrAdmit(std::make_shared<pending_submission>(
+    pending_submission{ aExchange, aOrigin, std::move(aSubmission) }));
 }
 
 void
-batch_service::Place(const std::shared_ptr<placement>& aPlacement)
+batch_service::ForwardOrAdmit(
+  const std::shared_ptr<pending_submission>& aPending)
 {
   const auto owner =
-    OtherOwner(aPlacement->mOrigin.mCustomer, aPlacement->mSubmission.mModel);
-  // An entry that isn't fit asks further ones before it tries.
-  if (owner && (aPlacement->mAsked == 0 ||
-                (IsUnfit() && aPlacement->mAsked < kMostAsked))) {
-    ++aPlacement->mAsked;
-    PassSubmission(aPlacement, *owner);
+    DesignatedPeer(aPending->mOrigin.mCustomer, aPending->mSubmission.mModel);
+  // An entry that can't own batches itself asks further entries before it tries
+  // to accept the batch.
+  if (owner && (aPending->mPeersAsked == 0 ||
+                (IsUnableToOwn() && aPending->mPeersAsked < kMaxPeersAsked))) {
+    ++aPending->mPeersAsked;
+    ForwardSubmission(aPending, *owner);
   } else {
-    Admit(aPlacement->mExchange,
-          aPlacement->mOrigin,
-          std::move(aPlacement->mSubmission),
-          prior_try::None);
+    Admit(aPending->mExchange,
+          aPending->mOrigin,
+          std::move(aPending->mSubmission),
+          prior_attempt::None);
   }
 }
 
@@ -128,20 +132,20 @@
                           const submission_origin& aOrigin,
                           submission aSubmission)
 {
-  if (AnswerKnown(aExchange, aOrigin, aSubmission.mId)) {
+  if (AnswerIfKnown(aExchange, aOrigin, aSubmission.mId)) {
     return;
   }
-  if (IsUnfit()) {
+  if (IsUnableToOwn()) {
     aExchange->Answer({ kNotOwner, {}, {} });
     return;
   }
-  Admit(aExchange, aOrigin, std::move(aSubmission), prior_try::None);
+  Admit(aExchange, aOrigin, std::move(aSubmission), prior_attempt::None);
 }
 
 bool
-batch_service::AnswerKnown(const edge::exchange_ptr& aExchange,
-                           const submission_origin& aOrigin,
-                           const std::string& aBatchId)
+batch_service::AnswerIfKnown(const edge::exchange_ptr& aExchange,
+                             const submission_origin& aOrigin,
+                             const std::string& aBatchId)
 {
   const auto known = mBatches.find(aBatchId);
   if (known == mBatches.end()) {
@@ -153,43 +157,47 @@
 }
 
 void
-batch_service::PassSubmission(const std::shared_ptr<placement>& aPlacement,
-                              const other_entry& aOwner)
+batch_service::ForwardSubmission(
+  const std::shared_ptr<pending_submission>& aPending,
+  const peer_entry& aOwner)
 {
-  CallPeer(aOwner.mAddress,
-           EncodePeerSubmission({ aPlacement->mSubmission.mId,
-                                  aPlacement->mOrigin,
-                                  aPlacement->mExchange->mRequest.mBody }),
-           kAcceptTimeout,
-           [this, aPlacement, owner = aOwner.mName](
-             edge::call_end aEnd, const edge::response& aAnswer) {
-             const bool isAnswered = aEnd == edge::call_end::Complete;
-             if (isAnswered && aAnswer.mStatus != kNotOwner) {
-               edge::response answer{ aAnswer.mStatus, {}, {} };
-               if (const auto* after = aAnswer.mHeaders.Find(kRetryAfter)) {
-                 answer.mHeaders.Add(kRetryAfter, *after);
-               }
-               aPlacement->mExchange->Answer(std::move(answer));
-               return;
-             }
-             events::line("designated_owner_silent")
-               .With("batch", aPlacement->mSubmission.mId)
-               .With("owner", owner)
-               .With("end", edge::WordFor(aEnd))
-               .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
-             mAvoidedUntil[owner] =
-               boot_clock::now() + (isAnswered ? kAvoidLeaving : kAvoidSilent);
-             // The other entry may have accepted the batch all the same. The
-             // store takes one head only; but "not run" can't be said any more.
-             if (!isAnswered && aEnd != edge::call_end::NotSent) {
-               Admit(aPlacement->mExchange,
-                     aPlacement->mOrigin,
-                     std::move(aPlacement->mSubmission),
-                     prior_try::MayHaveBeenAccepted);
-             } else {
-               Place(aPlacement);
-             }
-           });
+  CallPeer(
+    aOwner.mAddress,
+    EncodePeerSubmission({ aPending->mSubmission.mId,
+                           aPending->mOrigin,
+                           aPending->mExchange->mRequest.mBody }),
+    kAcceptTimeout,
+    [this, aPending, owner = aOwner.mName](edge::call_end aEnd,
+                                           const edge::response& aAnswer) {
+      const bool isAnswered = aEnd == edge::call_end::Complete;
+      if (isAnswered && aAnswer.mStatus != kNotOwner) {
+        edge::response answer{ aAnswer.mStatus, {}, {} };
+        if (const auto* after = aAnswer.mHeaders.Find(kRetryAfterField)) {
+          answer.mHeaders.Add(kRetryAfterField, *after);
+        }
+        aPending->mExchange->Answer(std::move(answer));
+        return;
+      }
+      events::line("designated_owner_silent")
+        .With("batch", aPending->mSubmission.mId)
+        .With("owner", owner)
+        .With("end", edge::WordFor(aEnd))
+        .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
+      mAvoidedUntil[owner] =
+        boot_clock::now() +
+        (isAnswered ? kRefusingPeerAvoidance : kSilentPeerAvoidance);
+      // The other entry may have accepted the batch although it didn't
+      // respond. The store accepts the metadata only once, but a refusal
+      // may no longer claim that the batch doesn't run.
+      if (!isAnswered && aEnd != edge::call_end::NotSent) {
+        Admit(aPending->mExchange,
+              aPending->mOrigin,
+              std::move(aPending->mSubmission),
+              prior_attempt::MayHaveBeenAccepted);
+      } else {
+        ForwardOrAdmit(aPending);
+      }
+    });
 }
 
 void
@@ -199,18 +207,18 @@
   for (const auto& [id, batch] : mBatches) {
     const auto successor =
       DesignatedOwner(batch->mHead.mCustomer, batch->mHead.mModel);
-    if (!IsMine(batch) || batch->mHead.mIsEnded || !successor) {
+    if (!IsOwnedHere(batch) || batch->mHead.mIsEnded || !successor) {
       continue;
     }
     constexpr int kTriesToSave = 6;
-    SaveThen(batch, kTriesToSave, [this, batch = batch, owner = *successor] {
-      GiveTo(batch, owner);
+    SaveTexts(batch, kTriesToSave, [this, batch = batch, owner = *successor] {
+      AssignOwner(batch, owner);
     });
   }
 }
 
 void
-batch_service::GiveTo(const batch_ptr& aBatch, const std::string& aOwner)
+batch_service::AssignOwner(const batch_ptr& aBatch, const std::string& aOwner)
 {
   mParts.mStore.mReplaceStatus(kHeadKind,
                                aBatch->mHead.mId,
@@ -225,9 +233,10 @@
 }
 
 void
-batch_service::Offer(const batch_ptr& aBatch)
+batch_service::OfferBatch(const batch_ptr& aBatch)
 {
-  const auto owner = OtherOwner(aBatch->mHead.mCustomer, aBatch->mHead.mModel);
+  const auto owner =
+    DesignatedPeer(aBatch->mHead.mCustomer, aBatch->mHead.mModel);
   if (aBatch->mIsOffered || !owner) {
     return;
   }
@@ -250,34 +259,34 @@
                .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
              aBatch->mIsOffered = false;
              if (!isTaken) {
-               mAvoidedUntil[owner] = boot_clock::now() + kAvoidSilent;
-             } else if (IsMine(aBatch)) {
-               // The head as the store has it comes through the feed.
+               mAvoidedUntil[owner] = boot_clock::now() + kSilentPeerAvoidance;
+             } else if (IsOwnedHere(aBatch)) {
+               // The watch will deliver the metadata as stored.
                aBatch->mHead.mOwner = owner;
-               aBatch->mOwnedSince = boot_clock::now();
-               Drop(aBatch);
+               aBatch->mOwnerChangedAt = boot_clock::now();
+               Unload(aBatch);
              }
            });
 }
 
 void
-batch_service::TakeOffer(const edge::exchange_ptr& aExchange,
-                         const batch_call& aCall)
+batch_service::HandleOffer(const edge::exchange_ptr& aExchange,
+                           const batch_call& aCall)
 {
-  if (IsUnfit()) {
+  if (IsUnableToOwn()) {
     aExchange->Answer({ kNotOwner, {}, {} });
     return;
   }
-  FindThen(aCall.mBatchId,
-           [this, aExchange](const batch_ptr& aBatch, objects::store_outcome) {
-             if (!aBatch || IsMine(aBatch)) {
-               aExchange->Answer({ aBatch ? 200u : kNotOwner, {}, {} });
-               return;
-             }
-             Claim(aBatch, [aExchange](bool aIsMine) {
-               aExchange->Answer({ aIsMine ? 200u : kNotOwner, {}, {} });
-             });
-           });
+  FindBatch(aCall.mBatchId,
+            [this, aExchange](const batch_ptr& aBatch, objects::store_outcome) {
+              if (!aBatch || IsOwnedHere(aBatch)) {
+                aExchange->Answer({ aBatch ? 200u : kNotOwner, {}, {} });
+                return;
+              }
+              Claim(aBatch, [aExchange](bool aIsOwnedHere) {
+                aExchange->Answer({ aIsOwnedHere ? 200u : kNotOwner, {}, {} });
+              });
+            });
 }
 
 } // namespace lavender::batches
--- a/Duties/Batches/BatchRewards.cpp
+++ b/Duties/Batches/BatchRewards.cpp
@@ -5,61 +5,61 @@
 namespace lavender::batches {
 
 void
-batch_runner::TakeText(running_batch& aBatch, std::size_t aIndex)
+batch_runner::ScoreOrFinishItem(running_batch& aBatch, std::size_t aIndex)
 {
   auto& item = aBatch.mItems[aIndex];
-  item.mMade.mIsWhole = true;
+  item.mGenerated.mIsComplete = true;
   if (!item.mItem->mReward) {
     FinishItem(aBatch, item, item_end::Completed);
     return;
   }
   item.mPhase = item_phase::Scoring;
-  item.mRun = ++mRuns;
+  item.mRunNumber = ++mLastRunNumber;
   const auto route = RouteOf(aBatch, *item.mItem);
   const auto now = boot_clock::now();
   const auto age = AgeOf(aBatch.mHead);
   const auto limits = route ? *route : site::route();
-  const place where{ aBatch.mHead.mId, aIndex, item.mRun };
+  const run_ref ref{ aBatch.mHead.mId, aIndex, item.mRunNumber };
 
   rewards::reward_request request;
   request.mCall = *item.mItem->mReward;
   request.mItemId = item.mItem->mId;
   request.mCustomer = aBatch.mHead.mCustomer;
   request.mGiveUpAt = now + TimeUntilGivenUp(age, limits.mMaximumQueueing);
-  request.mRank = [this, where, dueAt = now - age + limits.mDue] {
-    return rewards::reward_rank{ dueAt, OpenInGroup(where) };
+  request.mRank = [this, ref, dueAt = now - age + limits.mDue] {
+    return rewards::reward_rank{ dueAt, OpenInGroup(ref) };
   };
-  request.mOnEnd = [this, where](std::optional<std::string> aScore) {
-    TakeScore(where, std::move(aScore));
+  request.mOnEnd = [this, ref](std::optional<std::string> aScore) {
+    TakeScore(ref, std::move(aScore));
   };
-  item.mReward = mParts.mRewards.Start(std::move(request));
+  item.mRewardCall = mParts.mRewards.Start(std::move(request));
 }
 
 int
-batch_runner::OpenInGroup(const place& aPlace) const
+batch_runner::OpenInGroup(const run_ref& aRef) const
 {
-  const auto batch = mBatches.find(aPlace.mBatchId);
+  const auto batch = mBatches.find(aRef.mBatchId);
   if (batch == mBatches.end()) {
     return 0;
   }
-  const auto& group = batch->second.mItems[aPlace.mIndex].mItem->mGroup;
+  const auto& group = batch->second.mItems[aRef.mIndex].mItem->mGroup;
   return OpenItems(batch->second.mGroups, group);
 }
 
 void
-batch_runner::TakeScore(const place& aPlace, std::optional<std::string> aScore)
+batch_runner::TakeScore(const run_ref& aRef, std::optional<std::string> aScore)
 {
-  auto* item = Find(aPlace);
+  auto* item = Find(aRef);
   if (!item) {
     return;
   }
-  item->mReward = 0;
-  item->mRun = 0;
-  auto& batch = mBatches.at(aPlace.mBatchId);
+  item->mRewardCall = 0;
+  item->mRunNumber = 0;
+  auto& batch = mBatches.at(aRef.mBatchId);
   if (!aScore) {
     events::line("item_unscored")
       .With("request", item->mItem->mId)
-      .With("batch", aPlace.mBatchId)
+      .With("batch", aRef.mBatchId)
       .With("reason", "its reward call failed too often");
   }
   const auto end = aScore ? item_end::Completed : item_end::GivenUp;
--- a/Duties/Batches/BatchRunner.cpp
+++ b/Duties/Batches/BatchRunner.cpp
@@ -31,7 +31,7 @@
   }
   Remove(aHead.mId);
   mBatches[aHead.mId] = std::move(batch);
-  TakeStored(mBatches[aHead.mId], std::move(aStored));
+  RestoreTexts(mBatches[aHead.mId], std::move(aStored));
   Dispatch();
 }
 
@@ -46,14 +46,14 @@
     StopRun(item);
   }
   mBatches.erase(found);
-  ForgetGone();
+  RemoveStaleState();
   Dispatch();
 }
 
 void
-batch_runner::ForgetGone()
+batch_runner::RemoveStaleState()
 {
-  ForgetOldHomes(mHomes, boot_clock::now());
+  ExpireAffinities(mAffinities, boot_clock::now());
   const auto forget = [this](auto& aRows, const auto& aIsUnused) {
     for (auto row = aRows.begin(); row != aRows.end();) {
       const bool isGone = mParts.mDirectory.mRows.count(row->first) == 0;
@@ -63,7 +63,7 @@
   const auto always = [](const auto&) { return true; };
   forget(mRunsByServer, [](int aRuns) { return aRuns == 0; });
   forget(mBlocked, always);
-  forget(mTrials, always);
+  forget(mProbes, always);
   forget(mSeenVersions, always);
   forget(mHealths, always);
 }
@@ -90,7 +90,7 @@
 }
 
 void
-batch_runner::TakeListed(const std::string& aBatchId,
+batch_runner::MarkListed(const std::string& aBatchId,
                          const std::vector<std::string>& aItemIds)
 {
   const auto found = mBatches.find(aBatchId);
@@ -107,7 +107,7 @@
 }
 
 void
-batch_runner::NoteRunEnd(const item_progress& aItem, bool aIsFailure)
+batch_runner::RecordRunEnd(const item_progress& aItem, bool aIsFailure)
 {
   routing::NoteEnded(mHealths[aItem.mServer].mBreaker,
                      aIsFailure ? routing::evidence::Failure
@@ -117,11 +117,11 @@
 }
 
 void
-batch_runner::EndTrial(const std::string& aServer, std::uint64_t aRun)
+batch_runner::EndProbe(const std::string& aServer, std::uint64_t aRun)
 {
-  const auto trial = mTrials.find(aServer);
-  if (trial != mTrials.end() && trial->second == aRun) {
-    trial->second = 0;
+  const auto probe = mProbes.find(aServer);
+  if (probe != mProbes.end() && probe->second == aRun) {
+    probe->second = 0;
   }
 }
 
@@ -129,8 +129,8 @@
 batch_runner::StopRun(item_progress& aItem)
 {
   if (aItem.mPhase == item_phase::Scoring) {
-    mParts.mRewards.Cancel(std::exchange(aItem.mReward, 0));
-    aItem.mRun = 0;
+    mParts.mRewards.Cancel(std::exchange(aItem.mRewardCall, 0));
+    aItem.mRunNumber = 0;
     aItem.mPhase = item_phase::Waiting;
     return;
   }
@@ -142,21 +142,21 @@
                      RunBreakerLimits(),
                      boot_clock::now());
   aItem.mCall.Cancel();
-  EndTrial(aItem.mServer, aItem.mRun);
-  aItem.mRun = 0;
+  EndProbe(aItem.mServer, aItem.mRunNumber);
+  aItem.mRunNumber = 0;
   aItem.mPhase = item_phase::Waiting;
   --mRunsByServer[aItem.mServer];
 }
 
 item_progress*
-batch_runner::Find(const place& aPlace)
+batch_runner::Find(const run_ref& aRef)
 {
-  const auto found = mBatches.find(aPlace.mBatchId);
+  const auto found = mBatches.find(aRef.mBatchId);
   if (found == mBatches.end()) {
     return nullptr;
   }
-  auto& item = found->second.mItems[aPlace.mIndex];
-  return item.mRun == aPlace.mRun ? &item : nullptr;
+  auto& item = found->second.mItems[aRef.mIndex];
+  return item.mRunNumber == aRef.mRunNumber ? &item : nullptr;
 }
 
 void
@@ -180,20 +180,20 @@
   result.mItemId = aItem.mItem->mId;
   result.mIsCompleted = isDone;
   if (isDone) {
-    result.mText = std::move(aItem.mMade.mData);
-    result.mVersions = aItem.mMade.mVersions;
+    result.mText = std::move(aItem.mGenerated.mData);
+    result.mVersions = aItem.mGenerated.mVersions;
     result.mScore = std::move(aScore);
   }
-  aItem.mMade = {};
+  aItem.mGenerated = {};
   mParts.mMetrics.Count("lavender_batch_items_total",
                         { { "result", isDone ? "completed" : "given_up" } });
   mParts.mOnResult(aBatch.mHead.mId, std::move(result));
 }
 
 void
-batch_runner::Block(const std::string& aServer, milliseconds aPause)
+batch_runner::BlockServer(const std::string& aServer, milliseconds aDelay)
 {
-  mBlocked[aServer] = boot_clock::now() + aPause;
+  mBlocked[aServer] = boot_clock::now() + aDelay;
 }
 
 } // namespace lavender::batches
--- a/Duties/Batches/BatchRunner.h
+++ b/Duties/Batches/BatchRunner.h
@@ -21,7 +21,7 @@
 {
   Waiting,
   Running,
-  /** Its text is whole and waits for its score. */
+  /** The text is complete and the reward call is in progress. */
   Scoring,
   Ended
 };
@@ -32,31 +32,32 @@
   GivenUp
 };
 
-/** One item on its way, with what its runs have made so far. */
+/** Run-time state of one item, including the text generated so far. */
 struct item_progress
 {
   const batch_item* mItem = nullptr;
   item_phase mPhase = item_phase::Waiting;
-  made_text mMade;
+  generated_text mGenerated;
   save_mark mSaved;
-  /** Since when the text has grown without being stored. */
+  /** Time of the oldest event that isn't stored yet. */
   std::optional<time_point> mUnsavedSince;
-  /** Answers with a server's own error. */
+  /** Number of runs that a server executed and ended with a 5xx status. */
   int mErrors = 0;
-  /** Server of the present or last run. */
+  /** Server of the current or most recent run. */
   std::string mServer;
-  std::string mAvoided;
+  std::string mAvoidedServer;
   edge::call_handle mCall;
-  /** Reward call under way; 0 for none. */
-  std::uint64_t mReward = 0;
-  /** Of the last event, or of the start. */
-  time_point mLastSign;
+  /** Number of the reward call in progress; 0 if there is none. */
+  std::uint64_t mRewardCall = 0;
+  /** Time of the last event, or of the start of the run. */
+  time_point mLastEventAt;
   int mMoves = 0;
-  /** Tells a run's late words from those of the next. */
-  std::uint64_t mRun = 0;
+  /** Number of the current run or reward call; callbacks of earlier ones carry
+   * another number and are ignored. 0 while there is none. */
+  std::uint64_t mRunNumber = 0;
 };
 
-/** A batch that this entry runs. */
+/** A batch that this entry is running. */
 struct running_batch
 {
   batch_head mHead;
@@ -77,91 +78,101 @@
   std::function<void(const std::string& aBatchId, item_result)> mOnResult;
 };
 
-/** Runs the items of the batches that this entry owns. */
+/** Schedules and runs the items of the batches that this entry owns. */
 class batch_runner
 {
 public:
   explicit batch_runner(runner_parts aParts);
 
-  /** Starts the items for which the predicate has no result, each after what
-   * is stored of its text. */
+  /** Adds a batch and starts its items.
+   * @param aHasResult items for which it returns true aren't run
+   * @param aStored text that earlier runs generated; each item resumes after
+   * its stored text */
   void Add(const batch_head& aHead,
            std::shared_ptr<const submission> aSubmission,
            const std::function<bool(const std::string&)>& aHasResult,
            stored_texts aStored);
-  /** Parts of texts that have grown for longer than that without being stored,
-   * at most that many bytes. */
-  std::vector<text_part> Unsaved(const std::string& aBatchId,
-                                 milliseconds aLongerThan,
-                                 std::size_t aMostBytes) const;
-  /** The store holds these parts now. */
-  void NoteSaved(const std::string& aBatchId,
-                 const std::vector<text_part>& aParts);
-  /** Nobody knows which parts the store holds: the next ones begin anew. */
-  void ForgetSaved(const std::string& aBatchId);
-  /** Cuts all runs of a batch that ended or that another entry runs now. */
+  /** Returns the parts of the texts that have been unsaved for longer than the
+   * given time.
+   * @param aMostBytes limit on the total size of the returned text, in bytes */
+  std::vector<text_part> UnsavedParts(const std::string& aBatchId,
+                                      milliseconds aMinUnsavedTime,
+                                      std::size_t aMaxBytes) const;
+  /** Records that the store holds these parts. */
+  void MarkPartsSaved(const std::string& aBatchId,
+                      const std::vector<text_part>& aParts);
+  /** Called when it is unknown which parts the store holds. The next parts
+   * start from the beginning of each text. */
+  void MarkAllUnsaved(const std::string& aBatchId);
+  /** Cancels all runs of a batch that has ended or that another entry owns now.
+   */
   void Remove(const std::string& aBatchId);
-  /** Results that another entry has listed need no run. */
-  void TakeListed(const std::string& aBatchId,
+  /** Marks items as ended whose results another entry has listed, and cancels
+   * their runs. */
+  void MarkListed(const std::string& aBatchId,
                   const std::vector<std::string>& aItemIds);
-  /** Time until all results of a batch that runs here are due. */
+  /** Time until all results of a running batch are due; negative once they are
+   * overdue. */
   milliseconds DueIn(const std::string& aBatchId) const;
-  /** Servers or configuration have changed. */
+  /** Schedules a dispatch of waiting items. Called when servers or the
+   * configuration have changed. */
   void Dispatch();
-  /** Servers of which something is remembered. */
+  /** Number of servers for which the runner holds state. */
   std::size_t KnownServers() const;
 
 private:
-  struct place
+  struct run_ref
   {
     std::string mBatchId;
     std::size_t mIndex = 0;
-    std::uint64_t mRun = 0;
+    std::uint64_t mRunNumber = 0;
   };
   struct run_state;
 
-  item_progress* Find(const place& aPlace);
+  item_progress* Find(const run_ref& aRef);
   std::shared_ptr<const site::route> RouteOf(const running_batch& aBatch,
                                              const batch_item& aItem) const;
   std::vector<engine_view> Engines() const;
-  static item_need NeedOf(const running_batch& aBatch,
-                          const item_progress& aItem,
-                          const site::route& aRoute);
+  static item_need RequirementsOf(const running_batch& aBatch,
+                                  const item_progress& aItem,
+                                  const site::route& aRoute);
   void DispatchNow();
-  /** Drops what is known of servers and groups that are no more: servers mostly
-   * start under a new name. */
-  void ForgetGone();
-  void MoveFromSlow(std::vector<engine_view>& aEngines, time_point aNow);
-  void PlanLook();
-  void GiveUpLate(running_batch& aBatch);
+  /** Removes the state of servers that are gone from the directory and of old
+   * groups. Restarted servers mostly have a new name, so the state would grow
+   * without bound. */
+  void RemoveStaleState();
+  void MoveRunsFromSlowServers(std::vector<engine_view>& aEngines,
+                               time_point aNow);
+  void ScheduleDispatch();
+  void GiveUpOverdueItems(running_batch& aBatch);
   void StartRun(running_batch& aBatch,
                 std::size_t aIndex,
                 const engine_view& aEngine,
                 const site::route& aRoute);
-  void TakeEvent(const place& aPlace,
+  void TakeEvent(const run_ref& aRef,
                  const std::shared_ptr<run_state>& aRun,
                  stream_event&& aEvent);
-  void TakeRunEnd(const place& aPlace,
+  void TakeRunEnd(const run_ref& aRef,
                   const std::shared_ptr<run_state>& aRun,
                   edge::call_end aEnd);
-  void NoteRunEnd(const item_progress& aItem, bool aIsFailure);
-  /** A run is no longer under way: if it was a server's trial, another may be.
-   */
-  void EndTrial(const std::string& aServer, std::uint64_t aRun);
+  void RecordRunEnd(const item_progress& aItem, bool aIsFailure);
+  /** Records that a run has ended. If it was a server's probe run, the server
+   * may get another probe. */
+  void EndProbe(const std::string& aServer, std::uint64_t aRun);
   void StopRun(item_progress& aItem);
-  /** The item's text is whole: it is scored, or done where nothing scores it.
-   */
-  void TakeText(running_batch& aBatch, std::size_t aIndex);
-  /** Items of the item's group without a result. */
-  int OpenInGroup(const place& aPlace) const;
-  void TakeStored(running_batch& aBatch, stored_texts aStored);
-  void TakeScore(const place& aPlace, std::optional<std::string> aScore);
+  /** Called when the item's text is complete. Starts the reward call if the
+   * item has one, and finishes the item otherwise. */
+  void ScoreOrFinishItem(running_batch& aBatch, std::size_t aIndex);
+  /** Number of items without a result in the item's group. */
+  int OpenInGroup(const run_ref& aRef) const;
+  void RestoreTexts(running_batch& aBatch, stored_texts aStored);
+  void TakeScore(const run_ref& aRef, std::optional<std::string> aScore);
   void MarkEnded(running_batch& aBatch, item_progress& aItem);
   void FinishItem(running_batch& aBatch,
                   item_progress& aItem,
                   item_end aEnd,
                   std::optional<std::string> aScore = std::nullopt);
-  void Block(const std::string& aServer, milliseconds aPause);
+  void BlockServer(const std::string& aServer, milliseconds aDelay);
   void LogRunEnd(const item_progress& aItem,
                  const running_batch& aBatch,
                  const char* aOutcome,
@@ -172,15 +183,16 @@
   std::map<std::string, running_batch> mBatches;
   std::map<std::string, int> mRunsByServer;
   std::map<std::string, time_point> mBlocked;
-  /** Servers that turned a run away and haven't taken one since, with the run
-   * that tries whether they do again; 0 while none does. */
-  std::map<std::string, std::uint64_t> mTrials;
-  /** Versions seen in answers: fresher than the servers' own entries. */
+  /** Servers that rejected a run and haven't accepted one since. The value is
+   * the number of the probe run in progress there, or 0 if there is none. */
+  std::map<std::string, std::uint64_t> mProbes;
+  /** Weights versions by server and model, as seen in responses. Newer than the
+   * versions in the server directory. */
   std::map<std::string, std::map<std::string, std::int64_t>> mSeenVersions;
   engine_healths mHealths;
-  group_homes mHomes;
+  group_homes mAffinities;
   boost::asio::steady_timer mTimer;
-  std::uint64_t mRuns = 0;
+  std::uint64_t mLastRunNumber = 0;
   bool mIsDispatchPosted = false;
 };
 
--- a/Duties/Batches/BatchRuns.cpp
+++ b/Duties/Batches/BatchRuns.cpp
@@ -12,25 +12,28 @@
 
 namespace {
 
-/** A server that turned a run away gets none for this long, and then one to
- * try: it loads weights (about 0.9 s) or is full for a moment. */
-constexpr milliseconds kBusyPause = 150ms;
-/** After a failure that says the server is hardly there. */
-constexpr milliseconds kFailurePause = 500ms;
-/** Longest silence within a run. A pause between events is some tens of ms,
- * and a change of weights holds a run up for a second or two. */
-constexpr milliseconds kRunSilence = 2500ms;
+/** Time for which a server that rejected a run gets none, before a probe run is
+ * sent: the server is loading weights (about 0.9 s) or is full for a moment. */
+constexpr milliseconds kBusyDelay = 150ms;
+/** Time for which a server gets no run after one that ended without a complete
+ * response: the server is probably down. */
+constexpr milliseconds kFailureDelay = 500ms;
+/** Maximum time without data within a run. Pauses between events are some tens
+ * of ms, and a change of weights delays a run by a second or two. */
+constexpr milliseconds kRunSilenceTimeout = 2500ms;
 constexpr milliseconds kConnectTimeout = 300ms;
-/** Longest time a server may work on one run; more is never left. */
-constexpr milliseconds kLongestRun = 60s;
-/** Errors of servers that an item is given, times the attempts of its route.
- * Most come from a few bad servers, which get fewer runs after each. */
-constexpr int kErrorsPerAttempt = 2;
-constexpr unsigned kCannotBeDone = 422;
+/** Upper bound of the deadline sent to a server; the time left of an item never
+ * exceeds it. */
+constexpr milliseconds kMaxRunTime = 60s;
+/** Maximum number of server errors of an item per attempt that its route
+ * allows. Most errors come from a few bad servers, which get fewer runs after
+ * each error. */
+constexpr int kMaxErrorsPerAttempt = 2;
+constexpr unsigned kUnprocessable = 422;
 
 } // namespace
 
-/** What one run has been told. */
+/** State of the response to one run. */
 struct batch_runner::run_state
 {
   edge::response mHead;
@@ -59,15 +62,15 @@
   }
   item.mPhase = item_phase::Running;
   item.mServer = aEngine.mId;
-  item.mRun = ++mRuns;
-  if (const auto trial = mTrials.find(aEngine.mId); trial != mTrials.end()) {
-    trial->second = item.mRun;
+  item.mRunNumber = ++mLastRunNumber;
+  if (const auto probe = mProbes.find(aEngine.mId); probe != mProbes.end()) {
+    probe->second = item.mRunNumber;
   }
-  item.mLastSign = boot_clock::now();
-  routing::NoteSent(mHealths[aEngine.mId].mBreaker, item.mLastSign);
+  item.mLastEventAt = boot_clock::now();
+  routing::NoteSent(mHealths[aEngine.mId].mBreaker, item.mLastEventAt);
   ++mRunsByServer[aEngine.mId];
   if (!item.mItem->mGroup.empty()) {
-    mHomes[item.mItem->mGroup] = { aEngine.mId, item.mLastSign };
+    mAffinities[item.mItem->mGroup] = { aEngine.mId, item.mLastEventAt };
   }
 
   edge::request request;
@@ -82,39 +85,39 @@
   attempt.mTimeLeft =
     std::clamp(TimeUntilGivenUp(AgeOf(aBatch.mHead), aRoute.mMaximumQueueing),
                milliseconds(1),
-               kLongestRun);
-  attempt.mAfterEvent = item.mMade.mLastEvent;
+               kMaxRunTime);
+  attempt.mAfterEvent = item.mGenerated.mLastEvent;
 
-  const place where{ aBatch.mHead.mId, aIndex, item.mRun };
+  const run_ref ref{ aBatch.mHead.mId, aIndex, item.mRunNumber };
   auto run = std::make_shared<run_state>();
   edge::call_options options;
   options.mConnectTimeout = kConnectTimeout;
-  options.mSilenceTimeout = kRunSilence;
+  options.mSilenceTimeout = kRunSilenceTimeout;
   edge::call_events events;
-  events.mOnHead = [this, where, run](const edge::response& aHead) {
+  events.mOnHead = [this, ref, run](const edge::response& aHead) {
     run->mHead = aHead;
     run->mFacts = mParts.mProtocol.mReadAnswer(aHead);
     run->mVersion = run->mFacts.mVersion.value_or(0);
   };
-  events.mOnBody = [this, where, run](std::string_view aPiece) {
+  events.mOnBody = [this, ref, run](std::string_view aChunk) {
     if (run->mHead.mStatus != 200 || run->mIsStale || run->mIsBroken) {
       return;
     }
-    FeedStream(
+    ParseChunk(
       run->mStream,
-      aPiece,
+      aChunk,
       mParts.mProtocol.mReadVersionLine,
-      [&](stream_event&& aEvent) { TakeEvent(where, run, std::move(aEvent)); });
+      [&](stream_event&& aEvent) { TakeEvent(ref, run, std::move(aEvent)); });
   };
-  events.mOnEnd = [this, where, run](edge::call_end aEnd) {
-    TakeRunEnd(where, run, aEnd);
+  events.mOnEnd = [this, ref, run](edge::call_end aEnd) {
+    TakeRunEnd(ref, run, aEnd);
   };
   events::line("item_sent")
     .With("request", item.mItem->mId)
     .With("batch", aBatch.mHead.mId)
     .With("server", aEngine.mId)
     .With("own_runs", static_cast<std::int64_t>(aEngine.mOwnRuns))
-    .With("after_event", item.mMade.mLastEvent.value_or(-1));
+    .With("after_event", item.mGenerated.mLastEvent.value_or(-1));
   item.mCall =
     mParts.mClients.Start(server->second.mServer.mAddress,
                           mParts.mProtocol.mAddress(request, attempt),
@@ -123,39 +126,40 @@
 }
 
 void
-batch_runner::TakeEvent(const place& aPlace,
+batch_runner::TakeEvent(const run_ref& aRef,
                         const std::shared_ptr<run_state>& aRun,
                         stream_event&& aEvent)
 {
-  auto* item = Find(aPlace);
+  auto* item = Find(aRef);
   if (!item || aRun->mIsStale || aRun->mIsBroken) {
     return;
   }
-  auto& batch = mBatches.at(aPlace.mBatchId);
-  mTrials.erase(item->mServer);
+  auto& batch = mBatches.at(aRef.mBatchId);
+  mProbes.erase(item->mServer);
   aRun->mVersion = aEvent.mVersion.value_or(aRun->mVersion);
   if (aRun->mVersion < batch.mHead.mMinimumVersion) {
     aRun->mIsStale = true;
     item->mCall.Cancel();
-    TakeRunEnd(aPlace, aRun, edge::call_end::Malformed);
+    TakeRunEnd(aRef, aRun, edge::call_end::Malformed);
     return;
   }
-  if (!aEvent.mId ||
-      (item->mMade.mLastEvent && *aEvent.mId != *item->mMade.mLastEvent + 1)) {
-    // An event is missing or doubled: nothing after it can be used.
+  if (!aEvent.mId || (item->mGenerated.mLastEvent &&
+                      *aEvent.mId != *item->mGenerated.mLastEvent + 1)) {
+    // An event is missing or duplicated, so no later event can be used.
     aRun->mIsBroken = true;
     item->mCall.Cancel();
-    TakeRunEnd(aPlace, aRun, edge::call_end::Malformed);
+    TakeRunEnd(aRef, aRun, edge::call_end::Malformed);
     return;
   }
   const auto now = boot_clock::now();
   if (aRun->mHasEvents) {
-    NoteEvent(mHealths[item->mServer],
-              std::chrono::duration_cast<milliseconds>(now - item->mLastSign));
+    NoteEvent(
+      mHealths[item->mServer],
+      std::chrono::duration_cast<milliseconds>(now - item->mLastEventAt));
   }
   aRun->mHasEvents = true;
-  item->mLastSign = now;
-  AddEvent(item->mMade, *aEvent.mId, aEvent.mData, aRun->mVersion);
+  item->mLastEventAt = now;
+  AddEvent(item->mGenerated, *aEvent.mId, aEvent.mData, aRun->mVersion);
   if (!item->mUnsavedSince) {
     item->mUnsavedSince = now;
   }
@@ -165,62 +169,64 @@
 }
 
 void
-batch_runner::TakeRunEnd(const place& aPlace,
+batch_runner::TakeRunEnd(const run_ref& aRef,
                          const std::shared_ptr<run_state>& aRun,
                          edge::call_end aEnd)
 {
-  auto* item = Find(aPlace);
+  auto* item = Find(aRef);
   if (!item) {
     return;
   }
-  auto& batch = mBatches.at(aPlace.mBatchId);
+  auto& batch = mBatches.at(aRef.mBatchId);
   const auto route = RouteOf(batch, *item->mItem);
   item->mPhase = item_phase::Waiting;
-  EndTrial(item->mServer, item->mRun);
-  item->mRun = 0;
+  EndProbe(item->mServer, item->mRunNumber);
+  item->mRunNumber = 0;
   --mRunsByServer[item->mServer];
   const auto status = aRun->mHead.mStatus;
   const bool isForeign =
     status != 0 && aRun->mFacts.mAttemptId != item->mItem->mId;
   const bool isFailure = !aRun->mFacts.mIsNotExecuted && !aRun->mIsStale &&
                          (aEnd != edge::call_end::Complete || status >= 500);
-  NoteRunEnd(*item, isFailure);
+  RecordRunEnd(*item, isFailure);
   const char* outcome = "again";
   if (aEnd == edge::call_end::Complete && status == 200 && !isForeign &&
-      !aRun->mIsStale && !aRun->mIsBroken && item->mMade.mLastEvent) {
-    if (route && route->mIsSingleVersion && item->mMade.mVersions.size() > 1) {
-      Restart(item->mMade);
+      !aRun->mIsStale && !aRun->mIsBroken && item->mGenerated.mLastEvent) {
+    if (route && route->mIsSingleVersion &&
+        item->mGenerated.mVersions.size() > 1) {
+      Restart(item->mGenerated);
       item->mSaved = {};
       outcome = "mixed_versions";
     } else {
       LogRunEnd(*item, batch, "completed", aEnd, status);
-      TakeText(batch, aPlace.mIndex);
+      ScoreOrFinishItem(batch, aRef.mIndex);
       Dispatch();
       return;
     }
   } else if (aRun->mFacts.mIsNotExecuted) {
     outcome = "not_executed";
-    Block(item->mServer, kBusyPause);
+    BlockServer(item->mServer, kBusyDelay);
     if (IsOn(mechanism::TrialOfOneRun)) {
-      mTrials.emplace(item->mServer, 0);
+      mProbes.emplace(item->mServer, 0);
     }
-  } else if (aEnd == edge::call_end::Complete && status == kCannotBeDone) {
+  } else if (aEnd == edge::call_end::Complete && status == kUnprocessable) {
     LogRunEnd(*item, batch, "cannot_be_done", aEnd, status);
     FinishItem(batch, *item, item_end::GivenUp);
     return;
   } else if (aEnd == edge::call_end::Complete && status >= 500) {
     outcome = "server_error";
     ++item->mErrors;
-    item->mAvoided = item->mServer;
-    if (route && item->mErrors >= kErrorsPerAttempt * route->mMaximumAttempts) {
+    item->mAvoidedServer = item->mServer;
+    if (route &&
+        item->mErrors >= kMaxErrorsPerAttempt * route->mMaximumAttempts) {
       LogRunEnd(*item, batch, "too_many_errors", aEnd, status);
       FinishItem(batch, *item, item_end::GivenUp);
       return;
     }
   } else {
-    item->mAvoided = item->mServer;
+    item->mAvoidedServer = item->mServer;
     if (aEnd != edge::call_end::Complete) {
-      Block(item->mServer, kFailurePause);
+      BlockServer(item->mServer, kFailureDelay);
     }
   }
   LogRunEnd(*item, batch, outcome, aEnd, status);
@@ -241,7 +247,7 @@
     .With("outcome", aOutcome)
     .With("end", edge::WordFor(aEnd))
     .With("status", static_cast<std::int64_t>(aStatus))
-    .With("events", aItem.mMade.mLastEvent.value_or(-1));
+    .With("events", aItem.mGenerated.mLastEvent.value_or(-1));
 }
 
 } // namespace lavender::batches
--- a/Duties/Batches/BatchService.cpp
+++ b/Duties/Batches/BatchService.cpp
@@ -24,21 +24,22 @@
       TakeHead(*head);
     }
   }
-  // A head that the listing lacks was removed, unless it is newer than it.
+  // A batch that the listing lacks was removed, unless the batch is newer than
+  // the listing.
   for (const auto& head : Heads()) {
     if (aHeads.count(head.mId) == 0 &&
-        std::chrono::system_clock::now() - head.mSubmittedAt > kListingDelay) {
-      Forget(head.mId);
+        std::chrono::system_clock::now() - head.mSubmittedAt > kListingLag) {
+      RemoveBatch(head.mId);
     }
   }
-  ResumeOwn();
+  LoadOwnedBatches();
 }
 
 void
 batch_service::TakeEvent(const objects::object_event& aEvent)
 {
   if (aEvent.mIsDeleted) {
-    Forget(aEvent.mObject.mName);
+    RemoveBatch(aEvent.mObject.mName);
     return;
   }
   if (const auto head = DecodeHead(aEvent.mObject)) {
@@ -47,13 +48,13 @@
 }
 
 void
-batch_service::Forget(const std::string& aBatchId)
+batch_service::RemoveBatch(const std::string& aBatchId)
 {
   const auto found = mBatches.find(aBatchId);
   if (found != mBatches.end()) {
     const auto batch = found->second;
     mBatches.erase(found);
-    Drop(batch);
+    Unload(batch);
   }
 }
 
@@ -68,13 +69,13 @@
 }
 
 void
-batch_service::After(milliseconds aPause, std::function<void()> aAction)
+batch_service::After(milliseconds aDelay, std::function<void()> aAction)
 {
-  edge::RunAfter(mParts.mLoop, aPause, std::move(aAction));
+  edge::RunAfter(mParts.mLoop, aDelay, std::move(aAction));
 }
 
 bool
-batch_service::IsMine(const batch_ptr& aBatch) const
+batch_service::IsOwnedHere(const batch_ptr& aBatch) const
 {
   return aBatch->mHead.mOwner == mParts.mName;
 }
@@ -86,37 +87,38 @@
   if (!batch) {
     batch = std::make_shared<batch_record>();
     batch->mHead = aHead;
-    batch->mOwnedSince = boot_clock::now();
+    batch->mOwnerChangedAt = boot_clock::now();
     mParts.mOnAccepted(aHead);
     return;
   }
   if (aHead.mRevision <= batch->mHead.mRevision) {
     return;
   }
-  const bool wasMine = IsMine(batch);
+  const bool wasOwnedHere = IsOwnedHere(batch);
   if (batch->mHead.mOwner != aHead.mOwner) {
-    batch->mOwnedSince = boot_clock::now();
+    batch->mOwnerChangedAt = boot_clock::now();
     events::line("batch_owner_changed")
       .With("batch", aHead.mId)
       .With("owner", aHead.mOwner)
       .With("before", batch->mHead.mOwner);
   }
   batch->mHead = aHead;
-  if (wasMine && !IsMine(batch)) {
-    Drop(batch);
+  if (wasOwnedHere && !IsOwnedHere(batch)) {
+    Unload(batch);
   } else if (aHead.mIsEnded) {
     mParts.mRunner.Remove(aHead.mId);
-  } else if (!wasMine && IsMine(batch)) {
-    // Taken over, or handed over by an entry that leaves.
+  } else if (!wasOwnedHere && IsOwnedHere(batch)) {
+    // This entry took the batch over, or an entry that is shutting down handed
+    // it over.
     Load(batch, [](bool) {});
   }
 }
 
 void
-batch_service::ResumeOwn()
+batch_service::LoadOwnedBatches()
 {
   for (const auto& [id, batch] : mBatches) {
-    if (IsMine(batch) && !batch->mHead.mIsEnded && !batch->mIsLoaded) {
+    if (IsOwnedHere(batch) && !batch->mHead.mIsEnded && !batch->mIsLoaded) {
       Load(batch, [](bool) {});
     }
   }
@@ -128,7 +130,7 @@
   return static_cast<std::size_t>(
     std::count_if(mBatches.begin(), mBatches.end(), [&](const auto& aEntry) {
       const auto& batch = *aEntry.second;
-      return IsMine(aEntry.second) && batch.mIsLoaded &&
+      return IsOwnedHere(aEntry.second) && batch.mIsLoaded &&
              !batch.mHead.mIsEnded &&
              batch.mLog.mListed.size() <
                static_cast<std::size_t>(batch.mHead.mTotal);
--- a/Duties/Batches/BatchService.h
+++ b/Duties/Batches/BatchService.h
@@ -10,16 +10,19 @@
 
 namespace lavender::batches {
 
-/** Pause before a call to the store that failed is made again; answers come
- * within some ms when the store is well. */
-constexpr milliseconds kRetryPause{ 250 };
-/** Tries to settle a write whose answer was lost. */
-constexpr int kTries = 3;
-/** A listing of heads may lack those accepted while it was on its way, through
- * another entry and a slow store at worst. */
-constexpr milliseconds kListingDelay{ 60000 };
+/** Delay before a failed call to the store is retried. A healthy store responds
+ * within a few ms. */
+constexpr milliseconds kRetryDelay{ 250 };
+/** Maximum number of reads to find out the outcome of a write whose response
+ * was lost. */
+constexpr int kMaxTries = 3;
+/** A batch younger than this may be missing from a listing although it exists:
+ * it may have been accepted through another entry while a slow store produced
+ * the listing. */
+constexpr milliseconds kListingLag{ 60000 };
 
-/** How results and pages are written for trainers; the adapter fills it in. */
+/** Encodes results and pages of results for trainers. The platform adapter
+ * supplies the functions. */
 struct page_format
 {
   std::function<std::string(const item_result&)> mEncodeResult;
@@ -36,56 +39,57 @@
   page_format mFormat;
   /** Name of this entry. */
   std::string mName;
-  /** Where another entry takes forwarded calls; none when it isn't known. */
+  /** Address at which another entry accepts forwarded calls; none if unknown.
+   */
   std::function<std::optional<edge::endpoint>(const std::string&)> mFindPeer;
-  /** Entries that may own a batch, this one included, by how much work each
-   * can do. */
+  /** Entries that may own a batch, including this one, weighted by capacity. */
   std::function<std::vector<weighted_candidate>()> mEntries;
-  /** False while this entry's writes don't reach the store though others'
-   * do. */
+  /** False while this entry's writes don't reach the store although those of
+   * other entries do. */
   std::function<bool()> mCanStore;
-  /** Told once of each batch that was accepted, by whichever entry. */
+  /** Called once for each accepted batch, whichever entry accepted it. */
   std::function<void(const batch_head&)> mOnAccepted;
 };
 
-/** One batch as this entry knows it. */
+/** State of one batch in this entry. */
 struct batch_record
 {
   batch_head mHead;
-  /** Items and results are here; only the owner's are. */
+  /** True if the items and results are in memory. Only the owner loads them. */
   bool mIsLoaded = false;
   bool mIsLoading = false;
   std::shared_ptr<const submission> mSubmission;
   result_log mLog;
   group_progress mGroups;
-  /** Texts without result that were found while loading. */
+  /** Stored texts of items without a result, found while loading. */
   stored_texts mStored;
-  /** Under which this load of the batch stores parts of texts. */
+  /** Writer id under which this load of the batch stores parts of texts. */
   std::string mWriter;
-  /** Grows whenever the log is thrown away. An answer of the store that comes
-   * after this entry lost the batch and took it over again belongs to the log
-   * before; added to the new one it would shift every later position. */
+  /** Incremented whenever the log is discarded. Store responses that arrive
+   * after this entry lost the batch and took it over again carry an older
+   * generation; applied to the new log they would shift all later positions. */
   std::uint64_t mGeneration = 0;
   bool mIsCommitting = false;
-  /** Another entry has been asked to take it, and hasn't answered. */
+  /** True while a request to another entry to take over the batch is pending.
+   */
   bool mIsOffered = false;
-  /** When the log was loaded from the store; none when all of it was listed
-   * here. */
+  /** Time at which the log was loaded from the store; none if this entry has
+   * listed all of it. */
   std::optional<time_point> mLoadedAt;
-  /** When the store last said that no more blocks exist. */
-  time_point mEndSeenAt;
-  /** When the waiting results will be written. */
+  /** Last time at which the store reported that there are no more blocks. */
+  time_point mNoMoreBlocksAt;
+  /** Time at which the pending results will be written. */
   std::optional<time_point> mCommitAt;
-  /** When the owner last changed, as seen here. */
-  time_point mOwnedSince;
+  /** Time of the last change of owner that this entry saw. */
+  time_point mOwnerChangedAt;
   std::vector<std::function<void(bool)>> mLoadWaiters;
   std::vector<std::function<void()>> mResultWaiters;
 };
 
 using batch_ptr = std::shared_ptr<batch_record>;
 
-/** A call on a batch that exists: a trainer's, as an entry passes it on, or an
- * owner's. */
+/** An operation on an existing batch. A trainer's entry forwards it to the
+ * batch's owner; an owner sends TakeOver itself. */
 struct batch_call
 {
   enum class kind
@@ -93,8 +97,8 @@
     Results,
     Item,
     End,
-    /** The owner can't store results and asks another entry to own the
-     * batch. */
+    /** Sent by an owner that can't write to the store: asks the receiving entry
+     * to become the owner. */
     TakeOver
   };
   kind mKind = kind::Results;
@@ -107,92 +111,101 @@
 
 /** Accepts batches, lists their results and ends them.
  *
- * Each batch has one owner, an entry that runs it and knows its results; the
- * others pass calls on to it. All batches of one customer's model go to one
- * entry while it answers: it alone then sends runs to that model's servers, so
- * that it knows how full they are, and uses its connections to them again from
- * step to step. When the owner doesn't answer, the entry that was asked takes
- * the batch over by a conditional change of its head. */
+ * Each batch has one owner: the entry that runs it and holds its results. The
+ * other entries forward calls to the owner. All batches of one customer and
+ * model go to the same entry while it responds, so that a single entry sends
+ * runs to that model's servers, knows their load, and reuses its connections
+ * from step to step. When the owner doesn't respond, the entry that received
+ * the call takes the batch over by a conditional update of the batch's
+ * metadata. */
 class batch_service
 {
 public:
   explicit batch_service(service_parts aParts);
 
-  /** All heads that the store holds. */
+  /** Applies a complete listing of the stored batch metadata. */
   void TakeListing(const std::map<std::string, objects::stored_object>& aHeads);
   void TakeEvent(const objects::object_event& aEvent);
-  /** A new batch, read from a caller's request. Accepted by the entry that
-   * shall own it, or by this one when that can't be asked. */
+  /** Handles a submission from a trainer. The batch is accepted by its
+   * designated owner, or by this entry if the designated owner can't be
+   * reached. */
   void Submit(const edge::exchange_ptr& aExchange,
               const submission_origin& aOrigin,
               submission aSubmission);
-  /** One that another entry passed on, since this one shall own it. */
+  /** Handles a submission that another entry forwarded because this entry is
+   * the designated owner. */
   void SubmitHere(const edge::exchange_ptr& aExchange,
                   const submission_origin& aOrigin,
                   submission aSubmission);
   void Serve(const edge::exchange_ptr& aExchange, const batch_call& aCall);
-  /** All heads that are known here. */
+  /** Metadata of all batches that this entry knows. */
   std::vector<batch_head> Heads() const;
-  /** Calls that another entry passed on. */
+  /** Handles a call that another entry forwarded. */
   void ServePeer(const edge::exchange_ptr& aExchange);
   void TakeResult(const std::string& aBatchId, item_result aResult);
-  /** From now on new batches are refused; those that run go on. */
+  /** Refuses new batches from now on; running batches continue. */
   void StopAccepting() { mIsLeaving = true; }
-  /** Batches of this entry whose trainers still wait. */
+  /** Number of batches of this entry that have items without a listed result.
+   */
   std::size_t OpenBatches() const;
-  /** Gives each open batch to another entry, which goes on from what is
-   * listed. */
+  /** Makes another entry the owner of each open batch. The new owner continues
+   * after the listed results and stored texts. */
   void HandOver();
 
 private:
   struct admission;
-  struct placement;
-  /** What came of passing the submission to another entry before. */
-  enum class prior_try
+  struct pending_submission;
+  /** Outcome of an earlier attempt to forward the submission to another entry.
+   */
+  enum class prior_attempt
   {
     None,
     MayHaveBeenAccepted
   };
 
-  void GiveTo(const batch_ptr& aBatch, const std::string& aOwner);
-  /** Asks another entry to take a batch whose results can't be stored here. */
-  void Offer(const batch_ptr& aBatch);
-  void TakeOffer(const edge::exchange_ptr& aExchange, const batch_call& aCall);
-  /** Whether this entry should own no more batches than it does. */
-  bool IsUnfit() const { return mIsLeaving || !mParts.mCanStore(); }
+  void AssignOwner(const batch_ptr& aBatch, const std::string& aOwner);
+  /** Asks another entry to take over a batch whose results this entry can't
+   * store. */
+  void OfferBatch(const batch_ptr& aBatch);
+  void HandleOffer(const edge::exchange_ptr& aExchange,
+                   const batch_call& aCall);
+  /** Whether this entry should take on no more batches. */
+  bool IsUnableToOwn() const { return mIsLeaving || !mParts.mCanStore(); }
   std::optional<std::string> DesignatedOwner(const std::string& aCustomer,
                                              const std::string& aModel) const;
-  /** Another entry, and where it takes calls. */
-  struct other_entry
+  /** Another entry and its address for forwarded calls. */
+  struct peer_entry
   {
     std::string mName;
     edge::endpoint mAddress;
   };
 
-  /** The designated owner, unless that is this entry or nobody. */
-  std::optional<other_entry> OtherOwner(const std::string& aCustomer,
-                                        const std::string& aModel) const;
-  /** A call whose answer has a status alone. */
+  /** The designated owner, or none if that is this entry, if there is no
+   * candidate or if its address is unknown. */
+  std::optional<peer_entry> DesignatedPeer(const std::string& aCustomer,
+                                           const std::string& aModel) const;
+  /** Sends a request to another entry; the response is at most a few kB. */
   void CallPeer(const edge::endpoint& aPeer,
                 const edge::request& aRequest,
                 milliseconds aTimeout,
                 edge::whole_answer aDone);
-  bool AnswerKnown(const edge::exchange_ptr& aExchange,
-                   const submission_origin& aOrigin,
-                   const std::string& aBatchId);
-  /** Passes a submission to the entry that shall own it, or admits it here. */
-  void Place(const std::shared_ptr<placement>& aPlacement);
-  void PassSubmission(const std::shared_ptr<placement>& aPlacement,
-                      const other_entry& aOwner);
+  bool AnswerIfKnown(const edge::exchange_ptr& aExchange,
+                     const submission_origin& aOrigin,
+                     const std::string& aBatchId);
+  /** Forwards a submission to its designated owner, or admits it in this entry.
+   */
+  void ForwardOrAdmit(const std::shared_ptr<pending_submission>& aPending);
+  void ForwardSubmission(const std::shared_ptr<pending_submission>& aPending,
+                         const peer_entry& aOwner);
   void Admit(const edge::exchange_ptr& aExchange,
              const submission_origin& aOrigin,
              submission aSubmission,
-             prior_try aPriorTry);
+             prior_attempt aPriorAttempt);
 
   void TakeHead(const batch_head& aHead);
-  void Forget(const std::string& aBatchId);
-  void ResumeOwn();
-  bool IsMine(const batch_ptr& aBatch) const;
+  void RemoveBatch(const std::string& aBatchId);
+  void LoadOwnedBatches();
+  bool IsOwnedHere(const batch_ptr& aBatch) const;
   void WriteItems(const std::shared_ptr<admission>& aAdmission,
                   std::size_t aPart);
   void WriteHead(const std::shared_ptr<admission>& aAdmission);
@@ -204,18 +217,18 @@
   void FailAdmission(const std::shared_ptr<admission>& aAdmission,
                      const char* aReason);
 
-  void FindThen(const std::string& aBatchId,
-                std::function<void(batch_ptr, objects::store_outcome)> aDone);
-  void ServeKnown(const edge::exchange_ptr& aExchange,
+  void FindBatch(const std::string& aBatchId,
+                 std::function<void(batch_ptr, objects::store_outcome)> aDone);
+  void ServeBatch(const edge::exchange_ptr& aExchange,
                   const batch_call& aCall,
                   const batch_ptr& aBatch);
   void ServeOwned(const edge::exchange_ptr& aExchange,
                   const batch_call& aCall,
                   const batch_ptr& aBatch);
-  void PassOn(const edge::exchange_ptr& aExchange,
-              const batch_call& aCall,
-              const batch_ptr& aBatch,
-              const edge::endpoint& aPeer);
+  void ForwardCall(const edge::exchange_ptr& aExchange,
+                   const batch_call& aCall,
+                   const batch_ptr& aBatch,
+                   const edge::endpoint& aPeer);
   void TakeOver(const edge::exchange_ptr& aExchange,
                 const batch_call& aCall,
                 const batch_ptr& aBatch);
@@ -223,12 +236,13 @@
   void ReadResults(const edge::exchange_ptr& aExchange,
                    const batch_call& aCall,
                    const batch_ptr& aBatch);
-  /** Whether another entry may have listed results that this one, which owns
-   * the batch now, doesn't know of. */
-  bool MayHaveMore(const batch_record& aBatch) const;
-  /** Takes in the blocks that others listed, then tells whether the log is
-   * certainly whole. */
-  void LookForMore(const batch_ptr& aBatch, std::function<void(bool)> aDone);
+  /** Whether another entry may have listed results that this entry, the current
+   * owner, doesn't know of. */
+  bool MayLackResults(const batch_record& aBatch) const;
+  /** Reads and applies the blocks that other entries have listed. The argument
+   * of the callback is true if the log is certainly complete. */
+  void ReadMissingBlocks(const batch_ptr& aBatch,
+                         std::function<void(bool)> aDone);
   void AnswerPage(const edge::exchange_ptr& aExchange,
                   const batch_call& aCall,
                   const batch_ptr& aBatch);
@@ -246,32 +260,34 @@
                  int aPart);
   void LoadResults(const batch_ptr& aBatch);
   void FinishLoad(const batch_ptr& aBatch, bool aIsLoaded);
-  void TellLoaded(const batch_ptr& aBatch);
-  /** The function, unless the batch's log has been thrown away by then. */
-  objects::object_done WhileSame(const batch_ptr& aBatch,
-                                 objects::object_done aDone);
+  void NotifyLoadWaiters(const batch_ptr& aBatch);
+  /** Wraps a callback so that it is called only if the batch's log hasn't been
+   * discarded since. */
+  objects::object_done IfSameGeneration(const batch_ptr& aBatch,
+                                        objects::object_done aDone);
   void Run(const batch_ptr& aBatch);
-  void Drop(const batch_ptr& aBatch);
+  void Unload(const batch_ptr& aBatch);
 
-  /** Stores the texts of long runs now and then while the batch runs. */
-  void PlanSave(const batch_ptr& aBatch);
-  /** Stores all that runs have made, then calls the function: once, whatever
-   * came of it. */
-  void SaveThen(const batch_ptr& aBatch,
-                int aTriesLeft,
-                std::function<void()> aDone);
+  /** Stores the texts of long runs periodically while the batch runs. */
+  void ScheduleSave(const batch_ptr& aBatch);
+  /** Stores all text that the runs have generated, then calls the function
+   * exactly once, whether or not the write succeeded. */
+  void SaveTexts(const batch_ptr& aBatch,
+                 int aTriesLeft,
+                 std::function<void()> aDone);
   void CommitBlock(const batch_ptr& aBatch,
-                   milliseconds aSaveLongerThan,
+                   milliseconds aMinUnsavedTime,
                    std::function<void()> aDone);
-  void PlanCommit(const batch_ptr& aBatch, milliseconds aPause);
+  void ScheduleCommit(const batch_ptr& aBatch, milliseconds aDelay);
   void Commit(const batch_ptr& aBatch);
-  void SettleCommit(const batch_ptr& aBatch);
-  void TakeListedBlock(const batch_ptr& aBatch, const result_block& aBlock);
-  void After(milliseconds aPause, std::function<void()> aAction);
+  void ReadBackCommit(const batch_ptr& aBatch);
+  void ApplyListedBlock(const batch_ptr& aBatch, const result_block& aBlock);
+  void After(milliseconds aDelay, std::function<void()> aAction);
 
   service_parts mParts;
   std::map<std::string, batch_ptr> mBatches;
-  /** Entries that didn't take a batch lately. */
+  /** Entries that recently failed to accept a batch, and until when they are
+   * avoided. */
   std::map<std::string, time_point> mAvoidedUntil;
   bool mIsLeaving = false;
 };
--- a/Duties/Batches/BatchTexts.cpp
+++ b/Duties/Batches/BatchTexts.cpp
@@ -6,9 +6,9 @@
 namespace lavender::batches {
 
 std::vector<text_part>
-batch_runner::Unsaved(const std::string& aBatchId,
-                      milliseconds aLongerThan,
-                      std::size_t aMostBytes) const
+batch_runner::UnsavedParts(const std::string& aBatchId,
+                           milliseconds aMinUnsavedTime,
+                           std::size_t aMaxBytes) const
 {
   std::vector<text_part> parts;
   const auto batch = mBatches.find(aBatchId);
@@ -20,12 +20,12 @@
   for (std::size_t i = 0; i < batch->second.mItems.size(); ++i) {
     const auto& item = batch->second.mItems[i];
     if (item.mPhase == item_phase::Ended || !item.mUnsavedSince ||
-        now - *item.mUnsavedSince < aLongerThan) {
+        now - *item.mUnsavedSince < aMinUnsavedTime) {
       continue;
     }
-    if (auto part = UnsavedPart(item.mMade, item.mSaved)) {
-      bytes += part->mMade.mData.size();
-      if (bytes > aMostBytes) {
+    if (auto part = UnsavedPart(item.mGenerated, item.mSaved)) {
+      bytes += part->mGenerated.mData.size();
+      if (bytes > aMaxBytes) {
         break;
       }
       part->mItem = i;
@@ -36,8 +36,8 @@
 }
 
 void
-batch_runner::NoteSaved(const std::string& aBatchId,
-                        const std::vector<text_part>& aParts)
+batch_runner::MarkPartsSaved(const std::string& aBatchId,
+                             const std::vector<text_part>& aParts)
 {
   const auto batch = mBatches.find(aBatchId);
   if (batch == mBatches.end()) {
@@ -45,16 +45,16 @@
   }
   for (const auto& part : aParts) {
     auto& item = batch->second.mItems[part.mItem];
-    MarkSaved(item.mSaved, item.mMade, part);
+    MarkSaved(item.mSaved, item.mGenerated, part);
     item.mUnsavedSince.reset();
-    if (UnsavedPart(item.mMade, item.mSaved)) {
+    if (UnsavedPart(item.mGenerated, item.mSaved)) {
       item.mUnsavedSince = boot_clock::now();
     }
   }
 }
 
 void
-batch_runner::ForgetSaved(const std::string& aBatchId)
+batch_runner::MarkAllUnsaved(const std::string& aBatchId)
 {
   if (const auto batch = mBatches.find(aBatchId); batch != mBatches.end()) {
     for (auto& item : batch->second.mItems) {
@@ -64,21 +64,21 @@
 }
 
 void
-batch_runner::TakeStored(running_batch& aBatch, stored_texts aStored)
+batch_runner::RestoreTexts(running_batch& aBatch, stored_texts aStored)
 {
   for (auto& [index, stored] : aStored) {
     auto& item = aBatch.mItems[index];
-    if (item.mPhase == item_phase::Ended || !stored.mMade.mLastEvent) {
+    if (item.mPhase == item_phase::Ended || !stored.mGenerated.mLastEvent) {
       continue;
     }
-    item.mMade = std::move(stored.mMade);
+    item.mGenerated = std::move(stored.mGenerated);
     events::line("item_resumed")
       .With("request", item.mItem->mId)
       .With("batch", aBatch.mHead.mId)
-      .With("after_event", *item.mMade.mLastEvent)
-      .With("is_whole", static_cast<std::int64_t>(item.mMade.mIsWhole));
-    if (item.mMade.mIsWhole) {
-      TakeText(aBatch, index);
+      .With("after_event", *item.mGenerated.mLastEvent)
+      .With("is_whole", static_cast<std::int64_t>(item.mGenerated.mIsComplete));
+    if (item.mGenerated.mIsComplete) {
+      ScoreOrFinishItem(aBatch, index);
     }
   }
 }
--- a/Duties/Batches/EngineHealth.cpp
+++ b/Duties/Batches/EngineHealth.cpp
@@ -6,10 +6,11 @@
 namespace lavender::batches {
 
 namespace {
-/** Weight of the newest event; about the last twenty count. */
+/** Weight of the newest event in the moving average: about the last twenty
+ * events count. */
 constexpr double kNewestWeight = 0.05;
-/** Fewer events say nothing about a server's speed. */
-constexpr int kEnoughEvents = 10;
+/** Minimum number of events for an estimate of a server's speed. */
+constexpr int kMinEvents = 10;
 constexpr double kSlowFactor = 2.0;
 } // namespace
 
@@ -34,11 +35,11 @@
 }
 
 double
-UsualEventTime(const engine_healths& aHealths)
+MedianEventTime(const engine_healths& aHealths)
 {
   std::vector<double> times;
   for (const auto& [id, health] : aHealths) {
-    if (health.mEvents >= kEnoughEvents) {
+    if (health.mEvents >= kMinEvents) {
       times.push_back(health.mEventMilliseconds);
     }
   }
@@ -51,17 +52,17 @@
 }
 
 bool
-IsSlow(const engine_health& aHealth, double aUsual)
+IsSlow(const engine_health& aHealth, double aMedian)
 {
-  return aUsual > 0 && aHealth.mEvents >= kEnoughEvents &&
-         aHealth.mEventMilliseconds > kSlowFactor * aUsual;
+  return aMedian > 0 && aHealth.mEvents >= kMinEvents &&
+         aHealth.mEventMilliseconds > kSlowFactor * aMedian;
 }
 
 bool
-MayUse(const engine_healths& aHealths,
-       const std::string& aServer,
-       std::size_t aServers,
-       time_point aNow)
+IsUsable(const engine_healths& aHealths,
+         const std::string& aServer,
+         std::size_t aServers,
+         time_point aNow)
 {
   const auto health = aHealths.find(aServer);
   if (health == aHealths.end() ||
--- a/Duties/Batches/EngineHealth.h
+++ b/Duties/Batches/EngineHealth.h
@@ -7,11 +7,11 @@
 
 namespace lavender::batches {
 
-/** What the runs on one model server show of its speed and soundness. */
+/** Speed and failure rate of one model server, as observed in its runs. */
 struct engine_health
 {
-  /** Mean time between two events of a run, newest counting most; 0 while too
-   * few were seen. */
+  /** Moving average of the time between two events of a run, in ms, weighted
+   * towards recent events; 0 before the first. */
   double mEventMilliseconds = 0;
   int mEvents = 0;
   routing::breaker mBreaker;
@@ -19,31 +19,33 @@
 
 using engine_healths = std::map<std::string, engine_health>;
 
-/** A server that fails this share of its runs gets few more: a run that fails
- * costs its item an attempt, so a server that fails two in five must go. */
+/** Limits of the circuit breaker for runs. A failed run costs its item an
+ * attempt, so the breaker has to open for a server that fails two runs in
+ * five. */
 routing::breaker_limits
 RunBreakerLimits();
 
 void
 NoteEvent(engine_health& aHealth, milliseconds aSinceLast);
 
-/** Time between events of the usual server; 0 while unknown. The median: a few
- * slow servers don't move it. */
+/** Median time between events over all servers, in ms; 0 if unknown. The median
+ * is insensitive to a few slow servers. */
 double
-UsualEventTime(const engine_healths& aHealths);
+MedianEventTime(const engine_healths& aHealths);
 
-/** True for a server that is so much slower than the usual one that moving a
- * run away pays: a busy server is 1.4 times slower than an idle one, and
- * reading a run's tokens again takes a few ms. */
+/** Whether the server is so much slower than the median that moving a run to
+ * another server pays off. For comparison: a busy server is 1.4 times slower
+ * than an idle one, and processing a run's tokens again takes a few ms. */
 bool
-IsSlow(const engine_health& aHealth, double aUsual);
+IsSlow(const engine_health& aHealth, double aMedian);
 
-/** False while the server's failures say that it should get no run. When more
- * than half of the servers fail, the cause is hardly theirs, and all may. */
+/** Whether the server may get runs. False while its circuit breaker is open,
+ * unless more than half of the servers have an open breaker: the cause is then
+ * unlikely to be the servers, and all of them may be used. */
 bool
-MayUse(const engine_healths& aHealths,
-       const std::string& aServer,
-       std::size_t aServers,
-       time_point aNow);
+IsUsable(const engine_healths& aHealths,
+         const std::string& aServer,
+         std::size_t aServers,
+         time_point aNow);
 
 } // namespace lavender::batches
--- a/Duties/Batches/EventStream.cpp
+++ b/Duties/Batches/EventStream.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/** The value of "name: value" or "name:value"; none for another name. */
+/** Returns the value of a line "name: value" or "name:value", or none for a
+ * line with another name. */
 std::optional<std::string_view>
-ValueOf(std::string_view aLine, std::string_view aName)
+FieldValue(std::string_view aLine, std::string_view aName)
 {
   if (aLine.size() <= aName.size() ||
       aLine.compare(0, aName.size(), aName) != 0 ||
@@ -23,15 +24,15 @@
 }
 
 void
-TakeLine(stream_event& aEvent,
-         std::string_view aLine,
-         const version_reader& aReadVersion)
+ParseLine(stream_event& aEvent,
+          std::string_view aLine,
+          const version_parser& aParseVersion)
 {
-  if (const auto version = aReadVersion(aLine)) {
+  if (const auto version = aParseVersion(aLine)) {
     aEvent.mVersion = version;
-  } else if (const auto id = ValueOf(aLine, "id")) {
+  } else if (const auto id = FieldValue(aLine, "id")) {
     aEvent.mId = edge::ParseInteger(*id);
-  } else if (const auto data = ValueOf(aLine, "data")) {
+  } else if (const auto data = FieldValue(aLine, "data")) {
     if (aEvent.mHasData) {
       aEvent.mData += '\n';
     }
@@ -43,22 +44,22 @@
 } // namespace
 
 void
-FeedStream(event_stream& aStream,
-           std::string_view aPiece,
-           const version_reader& aReadVersion,
+ParseChunk(event_stream& aStream,
+           std::string_view aChunk,
+           const version_parser& aParseVersion,
            const std::function<void(stream_event&&)>& aOnEvent)
 {
-  aStream.mRest.append(aPiece);
+  aStream.mBuffer.append(aChunk);
   std::size_t start = 0;
-  for (auto end = aStream.mRest.find('\n'); end != std::string::npos;
-       end = aStream.mRest.find('\n', start)) {
-    auto line = std::string_view(aStream.mRest).substr(start, end - start);
+  for (auto end = aStream.mBuffer.find('\n'); end != std::string::npos;
+       end = aStream.mBuffer.find('\n', start)) {
+    auto line = std::string_view(aStream.mBuffer).substr(start, end - start);
     start = end + 1;
     if (!line.empty() && line.back() == '\r') {
       line.remove_suffix(1);
     }
     if (!line.empty()) {
-      TakeLine(aStream.mCurrent, line, aReadVersion);
+      ParseLine(aStream.mCurrent, line, aParseVersion);
       continue;
     }
     if (aStream.mCurrent.mHasData || aStream.mCurrent.mId) {
@@ -66,7 +67,7 @@
     }
     aStream.mCurrent = {};
   }
-  aStream.mRest.erase(0, start);
+  aStream.mBuffer.erase(0, start);
 }
 
 } // namespace lavender::batches
--- a/Duties/Batches/EventStream.h
+++ b/Duties/Batches/EventStream.h
@@ -8,32 +8,32 @@
 
 namespace lavender::batches {
 
-/** One event of a stream (text/event-stream). */
+/** One event of a text/event-stream response. */
 struct stream_event
 {
   std::optional<std::int64_t> mId;
-  /** Lines of data, joined by line feeds. */
+  /** The data lines, joined by line feeds. */
   std::string mData;
   bool mHasData = false;
-  /** Version of the weights from this event on, if it names one. */
+  /** Weights version from this event on, if the event names one. */
   std::optional<std::int64_t> mVersion;
 };
 
-/** Cuts a stream into whole events; a part of one at the end of a broken
- * stream is never told. */
+/** Incremental parser for an event stream. An incomplete event at the end of a
+ * broken stream is never reported. */
 struct event_stream
 {
-  std::string mRest;
+  std::string mBuffer;
   stream_event mCurrent;
 };
 
-using version_reader =
+using version_parser =
   std::function<std::optional<std::int64_t>(std::string_view)>;
 
 void
-FeedStream(event_stream& aStream,
-           std::string_view aPiece,
-           const version_reader& aReadVersion,
+ParseChunk(event_stream& aStream,
+           std::string_view aChunk,
+           const version_parser& aParseVersion,
            const std::function<void(stream_event&&)>& aOnEvent);
 
 } // namespace lavender::batches
--- a/Duties/Batches/GroupProgress.cpp
+++ b/Duties/Batches/GroupProgress.cpp
@@ -5,28 +5,28 @@
 void
 NoteOpenItem(group_progress& aProgress, const std::string& aGroup)
 {
-  ++aProgress.mOpen[aGroup];
+  ++aProgress.mOpenItems[aGroup];
 }
 
 bool
 NoteResult(group_progress& aProgress, const std::string& aGroup)
 {
-  const auto group = aProgress.mOpen.find(aGroup);
-  if (group == aProgress.mOpen.end() || group->second == 0) {
+  const auto group = aProgress.mOpenItems.find(aGroup);
+  if (group == aProgress.mOpenItems.end() || group->second == 0) {
     return false;
   }
   if (--group->second > 0) {
     return false;
   }
-  ++aProgress.mWholeGroups;
+  ++aProgress.mCompleteGroups;
   return true;
 }
 
 int
 OpenItems(const group_progress& aProgress, const std::string& aGroup)
 {
-  const auto group = aProgress.mOpen.find(aGroup);
-  return group == aProgress.mOpen.end() ? 0 : group->second;
+  const auto group = aProgress.mOpenItems.find(aGroup);
+  return group == aProgress.mOpenItems.end() ? 0 : group->second;
 }
 
 } // namespace lavender::batches
--- a/Duties/Batches/GroupProgress.h
+++ b/Duties/Batches/GroupProgress.h
@@ -3,22 +3,22 @@
 #include <string>
 #include <unordered_map>
 
-/** How many groups of a batch are whole. Pure. */
+/** Counts the complete groups of a batch. No I/O. */
 namespace lavender::batches {
 
 struct group_progress
 {
-  /** Items without a result, by group. */
-  std::unordered_map<std::string, int> mOpen;
-  int mWholeGroups = 0;
+  /** Number of items without a result, by group. */
+  std::unordered_map<std::string, int> mOpenItems;
+  int mCompleteGroups = 0;
 };
 
-/** Counts an item of the batch that has no result. */
+/** Counts an item that has no result yet. */
 void
 NoteOpenItem(group_progress& aProgress, const std::string& aGroup);
 
-/** An item has got its result.
- * @return true when its group is whole now */
+/** Counts a result of an item of the group.
+ * @return true if this result completed the group */
 bool
 NoteResult(group_progress& aProgress, const std::string& aGroup);
 
--- a/Duties/Batches/ListingPace.cpp
+++ b/Duties/Batches/ListingPace.cpp
@@ -8,45 +8,47 @@
 
 namespace {
 
-constexpr milliseconds kGatherEarly{ 500 };
-/** In the tail of a step single results come seconds apart. Few are run again
- * when the entry dies, so a write for each costs more than it saves. */
-constexpr milliseconds kGatherFew{ 1500 };
-/** Fewer than one in this many results of the batch. */
-constexpr std::size_t kFewOf = 16;
-/** Results that come within one turn of the loop go together. */
-constexpr milliseconds kGatherLast{ 10 };
-/** Near the due time a group counts by itself, whatever the others do. */
-constexpr milliseconds kGatherDue{ 100 };
+constexpr milliseconds kEarlyDelay{ 500 };
+/** Delay while few results are pending. In the tail of a step single results
+ * come seconds apart, and few items have to be run again if the entry dies, so
+ * a write for each result costs more than it saves. */
+constexpr milliseconds kFewResultsDelay{ 1500 };
+/** Fewer results than the batch's total divided by this count as few. */
+constexpr std::size_t kFewResultsDivisor = 16;
+/** Short delay that combines results of the same iteration of the event loop.
+ */
+constexpr milliseconds kFinalDelay{ 10 };
+/** Delay near the due time, when each group counts regardless of the others. */
+constexpr milliseconds kNearDueDelay{ 100 };
 constexpr milliseconds kNearDue{ 1500 };
-/** One pace for all whole groups, where the mechanism is off. */
-constexpr milliseconds kGatherEven{ 250 };
+/** Delay for all completed groups if the mechanism is off. */
+constexpr milliseconds kFixedDelay{ 250 };
 
 } // namespace
 
 milliseconds
-GatherTime(const group_progress& aProgress,
-           int aTargetGroups,
-           milliseconds aDueIn,
-           bool aIsGroupWhole,
-           const waiting_results& aResults)
+CommitDelay(const group_progress& aProgress,
+            int aTargetGroups,
+            milliseconds aDueIn,
+            bool aIsGroupComplete,
+            const pending_results& aResults)
 {
-  const bool areFew = aResults.mWaiting * kFewOf < aResults.mTotal;
-  const auto early = areFew ? kGatherFew : kGatherEarly;
-  if (!aIsGroupWhole) {
+  const bool areFew = aResults.mWaiting * kFewResultsDivisor < aResults.mTotal;
+  const auto early = areFew ? kFewResultsDelay : kEarlyDelay;
+  if (!aIsGroupComplete) {
     return early;
   }
   if (!IsOn(mechanism::ListingPace)) {
-    return kGatherEven;
+    return kFixedDelay;
   }
-  if (aProgress.mWholeGroups >= aTargetGroups) {
-    return kGatherLast;
+  if (aProgress.mCompleteGroups >= aTargetGroups) {
+    return kFinalDelay;
   }
   if (aDueIn <= kNearDue) {
-    return kGatherDue;
+    return kNearDueDelay;
   }
-  // A group that waits must be listed when its time to be read comes.
-  return std::min(early, aDueIn - kNearDue + kGatherDue);
+  // A pending group must be listed by the time at which it is due to be read.
+  return std::min(early, aDueIn - kNearDue + kNearDueDelay);
 }
 
 } // namespace lavender::batches
--- a/Duties/Batches/ListingPace.h
+++ b/Duties/Batches/ListingPace.h
@@ -3,29 +3,32 @@
 #include "Duties/Batches/GroupProgress.h"
 #include "Libraries/Core/Clock.h"
 
-/** How long results gather before they are written as one block. Pure.
+/** Decides how long results are collected before they are written as one block.
+ * No I/O.
  *
- * Each write is a priced call to the store, and a trainer can do nothing with a
- * step until as many groups are whole as it waits for. So what comes before
- * that gathers long, at the risk of running it again when the entry dies, and
- * what may end the step is written at once. */
+ * Each write is a billed call to the store, and the trainer can't use a step
+ * before as many groups are complete as it waits for. Results before that point
+ * are therefore collected longer, at the risk of running their items again if
+ * the entry dies; results that may complete the step are written at once. */
 namespace lavender::batches {
 
-/** Results that wait to be written, of all that the batch will have. */
-struct waiting_results
+/** Number of results that wait to be written, and of all results of the batch.
+ */
+struct pending_results
 {
   std::size_t mWaiting = 0;
   std::size_t mTotal = 0;
 };
 
-/** @param aTargetGroups whole groups that the trainer waits for
+/** Returns how long to wait before the pending results are written.
+ * @param aTargetGroups number of complete groups that the trainer waits for
  * @param aDueIn time until the batch's results are due
- * @param aIsGroupWhole whether the newest result made its group whole */
+ * @param aIsGroupWhole whether the newest result completed its group */
 milliseconds
-GatherTime(const group_progress& aProgress,
-           int aTargetGroups,
-           milliseconds aDueIn,
-           bool aIsGroupWhole,
-           const waiting_results& aResults);
+CommitDelay(const group_progress& aProgress,
+            int aTargetGroups,
+            milliseconds aDueIn,
+            bool aIsGroupComplete,
+            const pending_results& aResults);
 
 } // namespace lavender::batches
--- a/Duties/Batches/MadeText.cpp
+++ b/Duties/Batches/MadeText.cpp
@@ -3,87 +3,91 @@
 namespace lavender::batches {
 
 void
-AddEvent(made_text& aMade,
+AddEvent(generated_text& aGenerated,
          std::int64_t aNumber,
          std::string_view aData,
          std::int64_t aVersion)
 {
-  if (aMade.mLastEvent) {
-    aMade.mData += '\n';
+  if (aGenerated.mLastEvent) {
+    aGenerated.mData += '\n';
   }
-  aMade.mData += aData;
-  aMade.mLastEvent = aNumber;
-  if (aMade.mVersions.empty() || aMade.mVersions.back() != aVersion) {
-    aMade.mVersions.push_back(aVersion);
+  aGenerated.mData += aData;
+  aGenerated.mLastEvent = aNumber;
+  if (aGenerated.mVersions.empty() || aGenerated.mVersions.back() != aVersion) {
+    aGenerated.mVersions.push_back(aVersion);
   }
 }
 
 void
-Restart(made_text& aMade)
+Restart(generated_text& aGenerated)
 {
-  const int restarts = aMade.mRestarts + 1;
-  aMade = {};
-  aMade.mRestarts = restarts;
+  const int restarts = aGenerated.mRestarts + 1;
+  aGenerated = {};
+  aGenerated.mRestarts = restarts;
 }
 
 std::optional<text_part>
-UnsavedPart(const made_text& aMade, const save_mark& aMark)
+UnsavedPart(const generated_text& aGenerated, const save_mark& aMark)
 {
-  const bool hasMore = aMade.mLastEvent != aMark.mLastEvent;
-  if (!aMade.mLastEvent || (!hasMore && aMade.mIsWhole == aMark.mIsWhole)) {
+  const bool hasMore = aGenerated.mLastEvent != aMark.mLastEvent;
+  if (!aGenerated.mLastEvent ||
+      (!hasMore && aGenerated.mIsComplete == aMark.mIsComplete)) {
     return std::nullopt;
   }
   text_part part;
   part.mAfter = aMark.mLastEvent;
-  part.mMade = aMade;
+  part.mGenerated = aGenerated;
   if (aMark.mLastEvent) {
-    // The line feed after the last stored event isn't part of either.
-    part.mMade.mData =
-      hasMore ? aMade.mData.substr(aMark.mBytes + 1) : std::string();
+    // The line feed between the stored text and the new part belongs to
+    // neither.
+    part.mGenerated.mData =
+      hasMore ? aGenerated.mData.substr(aMark.mBytes + 1) : std::string();
   }
   return part;
 }
 
 void
-MarkSaved(save_mark& aMark, const made_text& aMade, const text_part& aPart)
+MarkSaved(save_mark& aMark,
+          const generated_text& aGenerated,
+          const text_part& aPart)
 {
-  if (aMade.mRestarts != aPart.mMade.mRestarts ||
+  if (aGenerated.mRestarts != aPart.mGenerated.mRestarts ||
       aMark.mLastEvent != aPart.mAfter) {
     return;
   }
   const bool isFirst = !aPart.mAfter;
-  const bool hasData = aPart.mMade.mLastEvent != aPart.mAfter;
-  aMark.mBytes += aPart.mMade.mData.size() + (!isFirst && hasData ? 1 : 0);
-  aMark.mLastEvent = aPart.mMade.mLastEvent;
-  aMark.mIsWhole = aPart.mMade.mIsWhole;
+  const bool hasData = aPart.mGenerated.mLastEvent != aPart.mAfter;
+  aMark.mBytes += aPart.mGenerated.mData.size() + (!isFirst && hasData ? 1 : 0);
+  aMark.mLastEvent = aPart.mGenerated.mLastEvent;
+  aMark.mIsComplete = aPart.mGenerated.mIsComplete;
 }
 
 void
-TakePart(stored_texts& aStored,
-         const std::string& aWriter,
-         const text_part& aPart)
+ApplyPart(stored_texts& aStored,
+          const std::string& aWriter,
+          const text_part& aPart)
 {
   auto& stored = aStored[aPart.mItem];
-  auto& made = stored.mMade;
+  auto& generated = stored.mGenerated;
   const bool isSameWriter = stored.mWriter == aWriter;
   if (!aPart.mAfter) {
-    const bool isLonger =
-      !made.mLastEvent || *aPart.mMade.mLastEvent > *made.mLastEvent;
+    const bool isLonger = !generated.mLastEvent ||
+                          *aPart.mGenerated.mLastEvent > *generated.mLastEvent;
     if (isSameWriter || isLonger) {
-      stored = { aWriter, aPart.mMade };
+      stored = { aWriter, aPart.mGenerated };
     }
     return;
   }
-  if (!isSameWriter || made.mLastEvent != aPart.mAfter) {
+  if (!isSameWriter || generated.mLastEvent != aPart.mAfter) {
     return;
   }
-  if (aPart.mMade.mLastEvent != aPart.mAfter) {
-    made.mData += '\n';
-    made.mData += aPart.mMade.mData;
-    made.mLastEvent = aPart.mMade.mLastEvent;
+  if (aPart.mGenerated.mLastEvent != aPart.mAfter) {
+    generated.mData += '\n';
+    generated.mData += aPart.mGenerated.mData;
+    generated.mLastEvent = aPart.mGenerated.mLastEvent;
   }
-  made.mVersions = aPart.mMade.mVersions;
-  made.mIsWhole = aPart.mMade.mIsWhole;
+  generated.mVersions = aPart.mGenerated.mVersions;
+  generated.mIsComplete = aPart.mGenerated.mIsComplete;
 }
 
 } // namespace lavender::batches
--- a/Duties/Batches/MadeText.h
+++ b/Duties/Batches/MadeText.h
@@ -7,82 +7,88 @@
 #include <string_view>
 #include <vector>
 
-/** The text that runs of one item have made so far, and the parts of it that
- * are stored so that the next owner of its batch goes on from there. Pure. */
+/** The text that the runs of one item have generated so far, and the stored
+ * parts of it, from which the batch's next owner resumes. No I/O. */
 namespace lavender::batches {
 
-struct made_text
+struct generated_text
 {
-  /** Data of the whole events, with line feeds between. */
+  /** Data of the complete events, joined by line feeds. */
   std::string mData;
-  /** Number of the last event; none before the first. */
+  /** Id of the last event; none before the first. */
   std::optional<std::int64_t> mLastEvent;
-  /** Versions that made an event, oldest first. */
+  /** Weights versions that generated events, in order of use. */
   std::vector<std::int64_t> mVersions;
-  /** The run has ended: nothing follows. */
-  bool mIsWhole = false;
-  /** Times that the text was thrown away and begun anew. */
+  /** True if the run has ended and no event follows. */
+  bool mIsComplete = false;
+  /** Number of times that the text was discarded and started again. */
   int mRestarts = 0;
 };
 
 void
-AddEvent(made_text& aMade,
+AddEvent(generated_text& aGenerated,
          std::int64_t aNumber,
          std::string_view aData,
          std::int64_t aVersion);
 
-/** Throws the text away. */
+/** Discards the text. */
 void
-Restart(made_text& aMade);
+Restart(generated_text& aGenerated);
 
-/** How much of a text is stored. */
+/** The stored prefix of a text. */
 struct save_mark
 {
   std::size_t mBytes = 0;
   std::optional<std::int64_t> mLastEvent;
-  bool mIsWhole = false;
+  bool mIsComplete = false;
 };
 
-/** What one write adds to an item's stored text. */
+/** The part of an item's text that one write adds. */
 struct text_part
 {
-  /** The item's place in its submission. */
+  /** Index of the item in its submission. */
   std::size_t mItem = 0;
-  /** Event that it follows; none when it begins the text. */
+  /** Id of the event that the part follows; none for the first part of a text.
+   */
   std::optional<std::int64_t> mAfter;
-  /** Data of the part alone; the rest speaks of the text up to its end. */
-  made_text mMade;
+  /** mData holds the data of this part only; the other fields describe the text
+   * up to the end of this part. */
+  generated_text mGenerated;
 };
 
-/** The part that isn't stored yet; none when there is nothing. */
+/** Returns the part that isn't stored yet, or none if all of the text is
+ * stored. */
 std::optional<text_part>
-UnsavedPart(const made_text& aMade, const save_mark& aMark);
+UnsavedPart(const generated_text& aGenerated, const save_mark& aMark);
 
-/** Moves the mark to the end of a part that was stored, unless the text was
- * begun anew meanwhile. */
+/** Moves the mark to the end of a part that was stored. Does nothing if the
+ * text was discarded since the part was taken. */
 void
-MarkSaved(save_mark& aMark, const made_text& aMade, const text_part& aPart);
+MarkSaved(save_mark& aMark,
+          const generated_text& aGenerated,
+          const text_part& aPart);
 
-/** An item's text as the store holds it. */
+/** An item's text as read back from the store. */
 struct stored_text
 {
-  /** Who wrote it: an owner's load of the batch. */
+  /** Id of the load of the batch that wrote the text. */
   std::string mWriter;
-  made_text mMade;
+  generated_text mGenerated;
 };
 
-/** By the item's place in its submission. */
+/** Stored texts by the index of the item in its submission. */
 using stored_texts = std::map<std::size_t, stored_text>;
 
-/** Takes in a part that was read back.
+/** Applies a part that was read back from the store.
  *
- * Two entries that both believe to own a batch each run its items, and the
- * parts of their texts alternate. Those of two runs must never be joined, so a
- * part goes on only from one of the same writer; one that begins a text
- * replaces what another writer made only where it is longer. */
+ * When two entries both believe that they own a batch, each of them runs its
+ * items and the stored parts of the two runs interleave. Parts of different
+ * runs must never be joined, so a part only continues a part of the same
+ * writer. A first part replaces the text of another writer only if it is
+ * longer. */
 void
-TakePart(stored_texts& aStored,
-         const std::string& aWriter,
-         const text_part& aPart);
+ApplyPart(stored_texts& aStored,
+          const std::string& aWriter,
+          const text_part& aPart);
 
 } // namespace lavender::batches
--- a/Duties/Batches/PeerCall.h
+++ b/Duties/Batches/PeerCall.h
@@ -2,12 +2,13 @@
 
 #include "Duties/Batches/BatchService.h"
 
-/** How entries pass a trainer's call on to the owner of its batch. */
+/** Encodes the requests by which one entry forwards a trainer's call to the
+ * owner of the batch. */
 namespace lavender::batches {
 
-/** The asked entry doesn't own the batch. */
+/** Status of a response from an entry that doesn't own the batch. */
 constexpr unsigned kNotOwner = 421;
-/** Path below which entries take these calls. */
+/** Path prefix of forwarded calls. */
 constexpr char kPeerPath[] = "/batches/";
 
 edge::request
@@ -16,11 +17,11 @@
 std::optional<batch_call>
 DecodePeerCall(const edge::request& aRequest);
 
-/** Path below which entries take submissions that another one passes on. */
+/** Path prefix of forwarded submissions. */
 constexpr char kPeerSubmissionPath[] = "/submissions/";
 
-/** A submission as one entry passes it to another: the body is the trainer's,
- * its key stays behind. */
+/** A forwarded submission. The body is the trainer's; the trainer's API key
+ * isn't forwarded. */
 struct peer_submission
 {
   std::string mBatchId;
--- a/Duties/Batches/Records.cpp
+++ b/Duties/Batches/Records.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** Items of one object: the store takes 1 MB, and the escapes of JSON and the
- * object's own fields need room. */
-constexpr std::size_t kPartBytes = 700 << 10;
+/** Maximum size of the items in one object: the store limits objects to 1 MB,
+ * and JSON escapes and the object's other fields need room. */
+constexpr std::size_t kMaxItemsObjectBytes = 700 << 10;
 
 std::string
-Numbered(const std::string& aBatchId, int aNumber)
+NumberedName(const std::string& aBatchId, int aNumber)
 {
   char suffix[16];
   std::snprintf(suffix, sizeof suffix, ".%06d", aNumber);
@@ -68,15 +68,15 @@
 EncodePart(const text_part& aPart)
 {
   json::array versions;
-  for (const auto version : aPart.mMade.mVersions) {
+  for (const auto version : aPart.mGenerated.mVersions) {
     versions.emplace_back(version);
   }
   json::value part =
     json::object{ { "item", static_cast<std::int64_t>(aPart.mItem) },
-                  { "last", aPart.mMade.mLastEvent.value_or(0) },
-                  { "text", aPart.mMade.mData },
+                  { "last", aPart.mGenerated.mLastEvent.value_or(0) },
+                  { "text", aPart.mGenerated.mData },
                   { "versions", std::move(versions) },
-                  { "whole", aPart.mMade.mIsWhole } };
+                  { "whole", aPart.mGenerated.mIsComplete } };
   if (aPart.mAfter) {
     part.Set("after", *aPart.mAfter);
   }
@@ -91,12 +91,12 @@
   if (aValue.Find("after")) {
     part.mAfter = json::IntegerAt(aValue, "after", 0);
   }
-  part.mMade.mLastEvent = json::IntegerAt(aValue, "last", 0);
-  part.mMade.mData = json::StringAt(aValue, "text", "");
-  part.mMade.mIsWhole = json::BooleanAt(aValue, "whole", false);
+  part.mGenerated.mLastEvent = json::IntegerAt(aValue, "last", 0);
+  part.mGenerated.mData = json::StringAt(aValue, "text", "");
+  part.mGenerated.mIsComplete = json::BooleanAt(aValue, "whole", false);
   if (const auto* versions = aValue.Find("versions")) {
     for (const auto& version : versions->Elements()) {
-      part.mMade.mVersions.push_back(version.IntegerOr(0));
+      part.mGenerated.mVersions.push_back(version.IntegerOr(0));
     }
   }
   return part;
@@ -191,7 +191,7 @@
   std::string part;
   for (const auto& item : aSubmission.mItems) {
     const auto text = json::Write(EncodeItem(item));
-    if (!part.empty() && part.size() + text.size() > kPartBytes) {
+    if (!part.empty() && part.size() + text.size() > kMaxItemsObjectBytes) {
       parts.push_back("{\"items\":[" + part + "]}");
       part.clear();
     }
@@ -217,13 +217,13 @@
 std::string
 ItemsName(const std::string& aBatchId, int aPart)
 {
-  return Numbered(aBatchId, aPart);
+  return NumberedName(aBatchId, aPart);
 }
 
 std::string
 ResultsName(const std::string& aBatchId, int aNumber)
 {
-  return Numbered(aBatchId, aNumber);
+  return NumberedName(aBatchId, aNumber);
 }
 
 std::string
--- a/Duties/Batches/Records.h
+++ b/Duties/Batches/Records.h
@@ -5,42 +5,45 @@
 
 #include <optional>
 
-/** The product's own objects in the store, to and from JSON. */
+/** Conversion of the stored objects of a batch to and from JSON. */
 namespace lavender::batches {
 
 std::string
 EncodeHead(const batch_head& aHead);
 
-/** The part of a head that changes. */
+/** Encodes the part of the metadata that changes after the batch was accepted.
+ */
 std::string
 EncodeHeadStatus(const std::string& aOwner, bool aIsEnded);
 
 std::optional<batch_head>
 DecodeHead(const objects::stored_object& aObject);
 
-/** Content of the items' objects, each below the store's limit of 1 MB. */
+/** Encodes the items as the content of one or more objects, each smaller than
+ * the store's limit of 1 MB. */
 std::vector<std::string>
 EncodeItems(const submission& aSubmission);
 
-/** Adds a part's items.
- * @return false when the object doesn't hold items */
+/** Adds the items of one object to the submission.
+ * @return false if the object doesn't hold items */
 bool
 DecodeItems(const objects::stored_object& aObject, submission& aSubmission);
 
 std::string
 ItemsName(const std::string& aBatchId, int aPart);
 
-/** Names sort in the order in which the objects were written. */
+/** Name of a results object. Names sort in the order in which the objects were
+ * written. */
 std::string
 ResultsName(const std::string& aBatchId, int aNumber);
 
-/** Results written together. */
+/** Results that are written to the store together. */
 struct result_block
 {
   std::vector<std::string> mItemIds;
-  /** Each result as the JSON text that readers get. */
+  /** JSON text of each result, as trainers read it. */
   std::vector<std::string> mEntries;
-  /** Parts of texts that have no result yet, and who made them. */
+  /** Parts of texts of items without a result, and the id of their writer. */
   std::vector<text_part> mParts;
   std::string mWriter;
 };
--- a/Duties/Batches/ResultLog.cpp
+++ b/Duties/Batches/ResultLog.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/** Takes the listed items out of the waiting ones. */
+/** Removes listed items from the pending ones. */
 void
-DropListed(result_log& aLog)
+RemoveListed(result_log& aLog)
 {
   result_block kept;
   aLog.mPendingIds.clear();
@@ -42,9 +42,9 @@
 }
 
 std::vector<std::string>
-TakeBlock(result_log& aLog, const result_block& aBlock)
+ApplyBlock(result_log& aLog, const result_block& aBlock)
 {
-  std::vector<std::string> news;
+  std::vector<std::string> newIds;
   ++aLog.mNextBlock;
   for (std::size_t i = 0; i < aBlock.mItemIds.size(); ++i) {
     const auto& id = aBlock.mItemIds[i];
@@ -52,17 +52,17 @@
       continue;
     }
     if (aLog.mPendingIds.count(id) == 0) {
-      news.push_back(id);
+      newIds.push_back(id);
     }
     aLog.mListedIds.insert(id);
     aLog.mListed.push_back(aBlock.mEntries[i]);
   }
-  DropListed(aLog);
-  return news;
+  RemoveListed(aLog);
+  return newIds;
 }
 
 result_block
-FirstPending(const result_log& aLog, std::size_t aBytes)
+OldestPending(const result_log& aLog, std::size_t aBytes)
 {
   result_block block;
   std::size_t bytes = 0;
--- a/Duties/Batches/ResultLog.h
+++ b/Duties/Batches/ResultLog.h
@@ -7,15 +7,15 @@
 namespace lavender::batches {
 
 /** The listed results of one batch, in the order that every reader sees, and
- * those that wait to be listed.
+ * the pending results.
  *
- * A result is listed when the block that holds it exists in the store. Blocks
- * are numbered, and each is created only if its number is free; so two entries
- * that both believe to run a batch can waste work, but never give one position
- * two contents. */
+ * A result is listed once the block that holds it exists in the store. Blocks
+ * are numbered, and a block is created only if no block with its number exists.
+ * Two entries that both believe that they own a batch can therefore waste work,
+ * but can't give one position two contents. */
 struct result_log
 {
-  /** JSON text of each listed result; its index is its position. */
+  /** JSON text of each listed result; the index is the result's position. */
   std::vector<std::string> mListed;
   std::unordered_set<std::string> mListedIds;
   result_block mPending;
@@ -23,25 +23,25 @@
   int mNextBlock = 0;
 };
 
-/** True when the item has a result, listed or about to be. */
+/** Whether the item has a listed or pending result. */
 bool
 HasResult(const result_log& aLog, const std::string& aItemId);
 
-/** Adds a result to be listed; the first one of an item counts. */
+/** Adds a pending result. Ignored if the item has a result already. */
 void
 AddPending(result_log& aLog, const std::string& aItemId, std::string aEntry);
 
-/** Takes in a block that exists in the store under the next number, written by
- * this entry or by another. Its results are listed; those of its items that
- * still waited here are dropped.
- * @return ids of the items whose results weren't known here before */
+/** Applies the block that exists in the store under the next number, written by
+ * this entry or by another one. Its results become listed, and pending results
+ * of the same items are dropped.
+ * @return ids of the items that had neither a listed nor a pending result */
 std::vector<std::string>
-TakeBlock(result_log& aLog, const result_block& aBlock);
+ApplyBlock(result_log& aLog, const result_block& aBlock);
 
-/** The results that have waited longest, at most that many bytes but at least
- * one if there is one. */
+/** Returns the oldest pending results: at least one if there is one, and
+ * otherwise no more than the given number of bytes. */
 result_block
-FirstPending(const result_log& aLog, std::size_t aBytes);
+OldestPending(const result_log& aLog, std::size_t aBytes);
 
 struct log_page
 {
@@ -49,8 +49,8 @@
   std::vector<const std::string*> mEntries;
 };
 
-/** Listed results from a position on, at most that many bytes but at least
- * one if there is one. */
+/** Returns the listed results from a position on: at least one if there is one,
+ * and otherwise no more than the given number of bytes. */
 log_page
 ReadPage(const result_log& aLog, std::size_t aAfter, std::size_t aBytes);
 
--- a/Duties/Batches/Schedule.cpp
+++ b/Duties/Batches/Schedule.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** A group stays on its server while that has at most this many runs more
- * than the least loaded one. Reading a prompt of 1,000 tokens again takes
- * about 2 ms, one more run slows the others by a thirtieth, so only a small
- * difference in load is worth it. */
-constexpr int kHomeSlack = 2;
+/** A group stays on its server while that server has at most this many runs
+ * more than the least loaded one. Processing a prompt of 1,000 tokens again
+ * takes about 2 ms, and one more run slows the others on a server by a
+ * thirtieth, so only a small difference in load is worth it. */
+constexpr int kAffinitySlack = 2;
 
 bool
 MayRun(const engine_view& aEngine, const item_need& aNeed, time_point aNow)
@@ -30,18 +30,19 @@
 } // namespace
 
 void
-ForgetOldHomes(group_homes& aHomes, time_point aNow)
+ExpireAffinities(group_homes& aAffinities, time_point aNow)
 {
-  for (auto home = aHomes.begin(); home != aHomes.end();) {
-    home = aNow - home->second.mUsedAt > kHomeKept ? aHomes.erase(home)
-                                                   : std::next(home);
+  for (auto affinity = aAffinities.begin(); affinity != aAffinities.end();) {
+    affinity = aNow - affinity->second.mUsedAt > kAffinityLifetime
+                  ? aAffinities.erase(affinity)
+                  : std::next(affinity);
   }
 }
 
 std::optional<std::size_t>
 ChooseEngine(const std::vector<engine_view>& aEngines,
              const item_need& aNeed,
-             const group_homes& aHomes,
+             const group_homes& aAffinities,
              time_point aNow)
 {
   const auto isBetter = [&](const engine_view& aLeft,
@@ -50,29 +51,31 @@
                                            : aLeft.mOwnRuns < aRight.mOwnRuns;
   };
   std::optional<std::size_t> best;
-  std::optional<std::size_t> home;
+  std::optional<std::size_t> preferred;
   std::optional<std::size_t> avoided;
-  const auto homeName = aHomes.find(aNeed.mGroup);
+  const auto affinity = aAffinities.find(aNeed.mGroup);
   for (std::size_t i = 0; i < aEngines.size(); ++i) {
     const auto& engine = aEngines[i];
     if (!MayRun(engine, aNeed, aNow)) {
       continue;
     }
-    if (engine.mId == aNeed.mAvoided) {
+    if (engine.mId == aNeed.mAvoidedServer) {
       avoided = i;
       continue;
     }
-    if (homeName != aHomes.end() && homeName->second.mServer == engine.mId) {
-      home = i;
+    if (affinity != aAffinities.end() &&
+        affinity->second.mServer == engine.mId) {
+      preferred = i;
     }
     if (!best || isBetter(engine, aEngines[*best])) {
       best = i;
     }
   }
-  if (home && IsOn(mechanism::GroupHomes) &&
-      aEngines[*home].mIsSlow == aEngines[*best].mIsSlow &&
-      aEngines[*home].mOwnRuns <= aEngines[*best].mOwnRuns + kHomeSlack) {
-    return home;
+  if (preferred && IsOn(mechanism::GroupHomes) &&
+      aEngines[*preferred].mIsSlow == aEngines[*best].mIsSlow &&
+      aEngines[*preferred].mOwnRuns <=
+        aEngines[*best].mOwnRuns + kAffinitySlack) {
+    return preferred;
   }
   return best ? best : avoided;
 }
--- a/Duties/Batches/Schedule.h
+++ b/Duties/Batches/Schedule.h
@@ -8,59 +8,61 @@
 #include <string>
 #include <vector>
 
-/** Which item runs next, and on which model server: pure decisions. */
+/** Decides which item runs next and on which model server. No I/O. */
 namespace lavender::batches {
 
-/** A model server as the scheduler sees it. */
+/** A model server, as seen by the scheduler. */
 struct engine_view
 {
   std::string mId;
   std::string mPool;
   std::string mAvailabilityZone;
   int mSlots = 1;
-  /** Items that this entry runs there. */
+  /** Number of runs of this entry on the server. */
   int mOwnRuns = 0;
   std::map<std::string, std::int64_t> mVersions;
-  /** No new work until then: it refused or failed. */
+  /** The server gets no new run before this time, because it rejected or failed
+   * one. */
   time_point mBlockedUntil;
-  /** Makes events much more slowly than the others; taken last. */
+  /** True if the server is much slower than the others; chosen last. */
   bool mIsSlow = false;
 };
 
-/** What an item asks of a server. */
+/** What an item requires of a server. */
 struct item_need
 {
   std::vector<std::string> mPools;
   std::string mModel;
   std::int64_t mMinimumVersion = 0;
   std::string mGroup;
-  /** Server that the last run of the item failed on; taken only when no other
-   * is free. */
-  std::string mAvoided;
+  /** Server on which the item's last run failed; chosen only if no other server
+   * has room. */
+  std::string mAvoidedServer;
 };
 
-/** The wall clocks of the entry that accepted a batch and of the one that runs
- * it may differ by this much: each may be two seconds off, and the batch's age
- * is their difference. An item that is given up early breaks a promise; one
- * that is given up late costs a run. */
-constexpr milliseconds kClockDifference{ 5000 };
+/** Maximum difference between the wall clocks of the entry that accepted a
+ * batch and the entry that runs it: each may be off by two seconds, and a
+ * batch's age is computed from both. Giving an item up early breaks the time
+ * limit promised to the trainer; giving it up late only costs a run. */
+constexpr milliseconds kMaxClockDifference{ 5000 };
 
-/** How long an item of a batch of that age may still wait or run; zero or less
- * when it may be given up.
- * @param aMaximumQueueing time from the submission that its route names */
+/** Time for which an item of a batch of the given age may still wait or run;
+ * zero or negative if it may be given up.
+ * @param aMaximumQueueing time limit of the item's route, counted from the
+ * submission */
 constexpr milliseconds
 TimeUntilGivenUp(milliseconds aAge, milliseconds aMaximumQueueing)
 {
-  return aMaximumQueueing + kClockDifference - aAge;
+  return aMaximumQueueing + kMaxClockDifference - aAge;
 }
 
-/** Order of items: the less comes first. */
+/** Scheduling order of items; the lesser one runs first. */
 struct item_rank
 {
-  /** Batches in the order of their submission. */
+  /** Older batches run first. */
   std::int64_t mSubmittedMs = 0;
-  /** The longest first: a long run that starts late ends last and holds up
-   * its group, and a step waits for its last groups. */
+  /** Long items run first: a long run that starts late ends last and delays its
+   * group, and a step waits for its last groups. */
   std::int64_t mExpectedTokens = 0;
 
   bool operator<(const item_rank& aOther) const
@@ -72,30 +74,32 @@
   }
 };
 
-/** Server that last ran an item of a group, as its prompt is in memory there.
- */
-struct group_home
+/** The server that last ran an item of a group. Its prefix cache holds the
+ * group's prompt. */
+struct group_affinity
 {
   std::string mServer;
   time_point mUsedAt;
 };
 
-using group_homes = std::map<std::string, group_home>;
+using group_homes = std::map<std::string, group_affinity>;
 
-/** Groups whose last run began longer ago are forgotten. Their prompts have
- * yielded to others by then, and each step brings new groups: at 17 trainers
- * with 1,024 samples a step they would grow by gigabytes in a week. */
-constexpr milliseconds kHomeKept{ 60000 };
+/** Groups whose last run started longer ago are forgotten: other prompts have
+ * displaced theirs from the prefix cache by then. Each step brings new groups,
+ * so the map would grow by gigabytes in a week at 17 trainers with 1,024
+ * samples per step. */
+constexpr milliseconds kAffinityLifetime{ 60000 };
 
 void
-ForgetOldHomes(group_homes& aHomes, time_point aNow);
+ExpireAffinities(group_homes& aAffinities, time_point aNow);
 
-/** The least loaded server that may run the item; its group's home while that
- * isn't more loaded by more than a few runs. None when all are full. */
+/** Chooses the least loaded server that may run the item, or the server of the
+ * item's group if that has at most a few more runs. None if all servers are
+ * full. */
 std::optional<std::size_t>
 ChooseEngine(const std::vector<engine_view>& aEngines,
              const item_need& aNeed,
-             const group_homes& aHomes,
+             const group_homes& aAffinities,
              time_point aNow);
 
 } // namespace lavender::batches
--- a/Duties/Batches/TestListingPace.cpp
+++ b/Duties/Batches/TestListingPace.cpp
@@ -17,23 +17,23 @@
 constexpr int kItemsOfGroup = 4;
 constexpr int kTarget = 23;
 
-/** A step as a trainer sees it. */
+/** Outcome of a simulated step. */
 struct played_step
 {
-  /** From the moment at which the last awaited group was made to its listing.
-   */
+  /** Time from the completion of the last awaited group to its listing. */
   milliseconds mDelay{ 0 };
   int mWrites = 0;
 };
 
-/** Items end as in a step of long-tailed lengths: most within two seconds, a
- * few after six. Listed by that pace. */
+/** Simulates a step with a long-tailed distribution of run lengths: most items
+ * end within two seconds, a few after six. aPace decides when the pending
+ * results are written. */
 played_step
 Play(std::mt19937& aRandom,
      const std::function<milliseconds(const group_progress&,
                                       milliseconds,
                                       bool,
-                                      const waiting_results&)>& aPace)
+                                      const pending_results&)>& aPace)
 {
   constexpr milliseconds kDue = 7500ms;
   std::lognormal_distribution<double> length(6.3, 0.84);
@@ -50,7 +50,7 @@
   played_step step;
   std::optional<milliseconds> writeAt;
   std::optional<milliseconds> awaitedAt;
-  waiting_results results{ 0, kGroups * kItemsOfGroup };
+  pending_results results{ 0, kGroups * kItemsOfGroup };
   for (const auto& [at, group] : ends) {
     if (writeAt && *writeAt <= at) {
       ++step.mWrites;
@@ -62,11 +62,11 @@
       results.mWaiting = 0;
     }
     ++results.mWaiting;
-    const bool isWhole = NoteResult(progress, std::to_string(group));
-    if (!awaitedAt && progress.mWholeGroups >= kTarget) {
+    const bool isComplete = NoteResult(progress, std::to_string(group));
+    if (!awaitedAt && progress.mCompleteGroups >= kTarget) {
       awaitedAt = at;
     }
-    const auto planned = at + aPace(progress, kDue - at, isWhole, results);
+    const auto planned = at + aPace(progress, kDue - at, isComplete, results);
     writeAt = writeAt ? std::min(*writeAt, planned) : planned;
   }
   ++step.mWrites;
@@ -78,9 +78,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestListingPace)
 
-// Pattern: a long tail of lengths, and a trainer that waits for nine groups of
-// ten. With one pace for all results either the trainer waits for the last
-// write, or each early group costs one.
+// Guards against two failures with a long tail of run lengths and a trainer
+// that waits for nine groups in ten. With the same delay for all results,
+// either the trainer waits for the last write or each early group costs a
+// write.
 BOOST_AUTO_TEST_CASE(TheAwaitedGroupIsListedAtOnceWithFewWrites)
 {
   std::mt19937 random(1);
@@ -89,16 +90,16 @@
   constexpr int kSteps = 200;
   for (int i = 0; i < kSteps; ++i) {
     auto again = random;
-    const auto step =
-      Play(random,
-           [](const auto& aProgress,
-              auto aDueIn,
-              bool aIsWhole,
-              const auto& aResults) {
-             return GatherTime(aProgress, kTarget, aDueIn, aIsWhole, aResults);
-           });
-    const auto old = Play(again, [](const auto&, auto, bool aIsWhole, auto) {
-      return aIsWhole ? 250ms : 1000ms;
+    const auto step = Play(
+      random,
+      [](const auto& aProgress,
+         auto aDueIn,
+         bool aIsComplete,
+         const auto& aResults) {
+        return CommitDelay(aProgress, kTarget, aDueIn, aIsComplete, aResults);
+      });
+    const auto old = Play(again, [](const auto&, auto, bool aIsComplete, auto) {
+      return aIsComplete ? 250ms : 1000ms;
     });
     paced.mDelay += step.mDelay;
     paced.mWrites += step.mWrites;
@@ -114,29 +115,30 @@
 {
   group_progress progress;
   for (const std::size_t waiting : { 1u, 50u }) {
-    const waiting_results results{ waiting, 100 };
-    BOOST_TEST((GatherTime(progress, 10, 1s, true, results) < 200ms));
-    BOOST_TEST((GatherTime(progress, 10, -1s, true, results) < 200ms));
-    BOOST_TEST((GatherTime(progress, 10, 5s, true, results) >= 500ms));
-    BOOST_TEST((GatherTime(progress, 10, 1s, false, results) >= 500ms));
+    const pending_results results{ waiting, 100 };
+    BOOST_TEST((CommitDelay(progress, 10, 1s, true, results) < 200ms));
+    BOOST_TEST((CommitDelay(progress, 10, -1s, true, results) < 200ms));
+    BOOST_TEST((CommitDelay(progress, 10, 5s, true, results) >= 500ms));
+    BOOST_TEST((CommitDelay(progress, 10, 1s, false, results) >= 500ms));
   }
 }
 
-// Most priced calls of a calm day are writes of one or two results: those of a
-// step's tail come one by one, and nobody waits for them yet.
+// Guards against writing one or two results at a time, which made up most of
+// the billed store calls of a quiet day: the results of a step's tail arrive
+// one by one, and the trainer doesn't wait for them yet.
 BOOST_AUTO_TEST_CASE(AFewResultsOfTheTailGoTogether)
 {
   group_progress progress;
-  const waiting_results few{ 1, 100 };
-  const waiting_results many{ 20, 100 };
-  BOOST_TEST((GatherTime(progress, 10, 5s, true, few) >= 1s));
-  BOOST_TEST((GatherTime(progress, 10, 5s, true, many) <= 500ms));
-  // One that ends the step is listed at once, and one that waits is listed
-  // when the step nears its time.
-  progress.mWholeGroups = 10;
-  BOOST_TEST((GatherTime(progress, 10, 5s, true, few) <= 10ms));
-  progress.mWholeGroups = 9;
-  BOOST_TEST((GatherTime(progress, 10, 1700ms, true, few) <= 300ms));
+  const pending_results few{ 1, 100 };
+  const pending_results many{ 20, 100 };
+  BOOST_TEST((CommitDelay(progress, 10, 5s, true, few) >= 1s));
+  BOOST_TEST((CommitDelay(progress, 10, 5s, true, many) <= 500ms));
+  // A result that completes the step is listed at once, and a pending one is
+  // listed when the step nears its due time.
+  progress.mCompleteGroups = 10;
+  BOOST_TEST((CommitDelay(progress, 10, 5s, true, few) <= 10ms));
+  progress.mCompleteGroups = 9;
+  BOOST_TEST((CommitDelay(progress, 10, 1700ms, true, few) <= 300ms));
 }
 
 BOOST_AUTO_TEST_CASE(AGroupIsWholeWithItsLastResult)
@@ -149,7 +151,7 @@
   BOOST_TEST(NoteResult(progress, "g"));
   BOOST_TEST(!NoteResult(progress, "g"));
   BOOST_TEST(!NoteResult(progress, "unknown"));
-  BOOST_TEST(progress.mWholeGroups == 1);
+  BOOST_TEST(progress.mCompleteGroups == 1);
   BOOST_TEST(OpenItems(progress, "h") == 1);
 }
 
--- a/Tests/Site/TestDecisions.cpp
+++ b/Tests/Site/TestDecisions.cpp
@@ -30,7 +30,7 @@
   return end;
 }
 
-batches::version_reader
+batches::version_parser
 ReadNoVersion()
 {
   return platform::MakeExchangeProtocol().mReadVersionLine;
@@ -43,7 +43,7 @@
   batches::event_stream stream;
   std::vector<batches::stream_event> events;
   for (const auto& piece : aPieces) {
-    batches::FeedStream(stream, piece, ReadNoVersion(), [&](auto&& aEvent) {
+    batches::ParseChunk(stream, piece, ReadNoVersion(), [&](auto&& aEvent) {
       events.push_back(std::move(aEvent));
     });
   }
@@ -154,14 +154,14 @@
     need.mModel = "m";
     need.mMinimumVersion = *rc::gen::inRange(1, 4);
     need.mGroup = "g";
-    need.mAvoided = "s0";
-    const batches::group_homes homes = { { "g", { "s1", now } } };
+    need.mAvoidedServer = "s0";
+    const batches::group_homes affinities = { { "g", { "s1", now } } };
     const auto mayRun = [&](const batches::engine_view& aEngine) {
       return aEngine.mPool == "p" && aEngine.mOwnRuns < aEngine.mSlots &&
              aEngine.mVersions.at("m") >= need.mMinimumVersion &&
              aEngine.mBlockedUntil <= now;
     };
-    const auto chosen = batches::ChooseEngine(engines, need, homes, now);
+    const auto chosen = batches::ChooseEngine(engines, need, affinities, now);
     RC_ASSERT(chosen.has_value() ==
               std::any_of(engines.begin(), engines.end(), mayRun));
     if (!chosen) {
@@ -182,13 +182,13 @@
 BOOST_AUTO_TEST_CASE(GroupsOfLongAgoAreForgotten)
 {
   const auto now = boot_clock::now();
-  batches::group_homes homes = {
-    { "old", { "s1", now - batches::kHomeKept - 1ms } },
-    { "recent", { "s1", now - batches::kHomeKept + 1ms } }
+  batches::group_homes affinities = {
+    { "old", { "s1", now - batches::kAffinityLifetime - 1ms } },
+    { "recent", { "s1", now - batches::kAffinityLifetime + 1ms } }
   };
-  batches::ForgetOldHomes(homes, now);
-  BOOST_TEST(homes.count("old") == 0u);
-  BOOST_TEST(homes.count("recent") == 1u);
+  batches::ExpireAffinities(affinities, now);
+  BOOST_TEST(affinities.count("old") == 0u);
+  BOOST_TEST(affinities.count("recent") == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(TheLongestPrefixOfTheHostDecides)
