--- a/Duties/Batches/BatchRewards.cpp
+++ b/Duties/Batches/BatchRewards.cpp
@@ -26,8 +26,8 @@
   request.mItemId = item.mItem->mId;
   request.mCustomer = aBatch.mHead.mCustomer;
   request.mGiveUpAt = now + TimeUntilGivenUp(age, limits.mMaximumQueueing);
-  request.mRank = [this, ref, dueAt = now - age + limits.mDue] {
-    return rewards::reward_rank{ dueAt, OpenInGroup(ref) };
+  request.mPriority = [this, ref, dueAt = now - age + limits.mDue] {
+    return rewards::reward_priority{ dueAt, OpenItemsInGroup(ref) };
   };
   request.mOnEnd = [this, ref](std::optional<std::string> aScore) {
     TakeScore(ref, std::move(aScore));
@@ -36,7 +36,7 @@
 }
 
 int
-batch_runner::OpenInGroup(const run_ref& aRef) const
+batch_runner::OpenItemsInGroup(const run_ref& aRef) const
 {
   const auto batch = mBatches.find(aRef.mBatchId);
   if (batch == mBatches.end()) {
--- a/Duties/Batches/BatchRunner.h
+++ b/Duties/Batches/BatchRunner.h
@@ -164,7 +164,7 @@
    * item has one, and finishes the item otherwise. */
   void ScoreOrFinishItem(running_batch& aBatch, std::size_t aIndex);
   /** Number of items without a result in the item's group. */
-  int OpenInGroup(const run_ref& aRef) const;
+  int OpenItemsInGroup(const run_ref& aRef) const;
   void RestoreTexts(running_batch& aBatch, stored_texts aStored);
   void TakeScore(const run_ref& aRef, std::optional<std::string> aScore);
   void MarkEnded(running_batch& aBatch, item_progress& aItem);
--- a/Duties/Batches/Schedule.cpp
+++ b/Duties/Batches/Schedule.cpp
@@ -34,8 +34,8 @@
 {
   for (auto affinity = aAffinities.begin(); affinity != aAffinities.end();) {
     affinity = aNow - affinity->second.mUsedAt > kAffinityLifetime
-                  ? aAffinities.erase(affinity)
-                  : std::next(affinity);
+                 ? aAffinities.erase(affinity)
+                 : std::next(affinity);
   }
 }
 
--- a/Duties/Rewards/Hedging.cpp
+++ b/Duties/Rewards/Hedging.cpp
@@ -9,30 +9,30 @@
 
 namespace {
 
-/** Share of the calls that are answered before a second copy is sent. */
+/** Quantile of the recent durations after which a second copy is sent. */
 constexpr double kQuantile = 0.95;
-/** Fewer durations say nothing about the tail. */
-constexpr std::size_t kEnough = 20;
-/** Second copies that one first sending earns: the twentieth beyond the
- * quantile, and as many again for a server that is slow. */
-constexpr double kEarnedByCall = 0.1;
-/** Copies that may be sent in one burst, as when a server goes dark with all
- * that it runs. */
-constexpr double kMostEarned = 12;
+/** Minimum number of durations for an estimate of the quantile. */
+constexpr std::size_t kMinDurations = 20;
+/** Second copies earned by one call: 0.05 for the calls beyond the quantile,
+ * and as many again for a slow server. */
+constexpr double kHedgesEarnedPerCall = 0.1;
+/** Maximum number of copies in one burst, as when a server becomes unreachable
+ * with all the calls that it runs. */
+constexpr double kMaxEarnedHedges = 12;
 
 } // namespace
 
 void
-NoteDuration(recent_durations& aRecent, milliseconds aDuration)
+RecordDuration(recent_durations& aRecent, milliseconds aDuration)
 {
   aRecent.mDurations[aRecent.mCount++ % recent_durations::kKept] = aDuration;
 }
 
 milliseconds
-HedgeAfter(const recent_durations& aRecent, milliseconds aFallback)
+HedgeDelay(const recent_durations& aRecent, milliseconds aFallback)
 {
   const auto known = std::min(aRecent.mCount, recent_durations::kKept);
-  if (known < kEnough) {
+  if (known < kMinDurations) {
     return aFallback;
   }
   std::vector<milliseconds> durations(aRecent.mDurations.begin(),
@@ -46,19 +46,20 @@
 }
 
 void
-NoteFirstSending(hedge_budget& aBudget)
+RecordFirstAttempt(hedge_budget& aBudget)
 {
-  aBudget.mEarned = std::min(aBudget.mEarned + kEarnedByCall, kMostEarned);
+  aBudget.mEarned =
+    std::min(aBudget.mEarned + kHedgesEarnedPerCall, kMaxEarnedHedges);
 }
 
 void
-NoteTurnedAway(hedge_budget& aBudget)
+RecordRejection(hedge_budget& aBudget)
 {
   aBudget.mEarned = 0;
 }
 
 bool
-TakeHedge(hedge_budget& aBudget)
+ConsumeHedge(hedge_budget& aBudget)
 {
   if (aBudget.mEarned < 1 || !IsOn(mechanism::HedgedRewards)) {
     return false;
--- a/Duties/Rewards/Hedging.h
+++ b/Duties/Rewards/Hedging.h
@@ -5,44 +5,49 @@
 #include <array>
 #include <optional>
 
-/** When a second copy of a call goes to another server (hedged request), so
- * that one slow or dark server doesn't hold up a whole group. Pure. */
+/** Decides when a second copy of a call is sent to another server (hedged
+ * request), so that one slow or unreachable server doesn't delay a whole
+ * group. No I/O. */
 namespace lavender::rewards {
 
-/** Durations of the last calls that were answered. */
+/** Durations of the most recent successful calls, in a ring buffer. */
 struct recent_durations
 {
   static constexpr std::size_t kKept = 128;
   std::array<milliseconds, kKept> mDurations{};
-  /** All that were ever noted; the newest is at (mCount - 1) % kKept. */
+  /** Number of durations recorded so far; the newest is at (mCount - 1) %
+   * kKept. */
   std::size_t mCount = 0;
 };
 
 void
-NoteDuration(recent_durations& aRecent, milliseconds aDuration);
+RecordDuration(recent_durations& aRecent, milliseconds aDuration);
 
-/** How long to wait before the second copy: longer than nearly all of the last
- * calls took; the fallback while too few are known. */
+/** Time to wait before the second copy is sent: a high quantile of the recent
+ * durations, or the fallback while there are too few of them. */
 milliseconds
-HedgeAfter(const recent_durations& aRecent, milliseconds aFallback);
+HedgeDelay(const recent_durations& aRecent, milliseconds aFallback);
 
-/** Second copies earned by first ones and not yet sent. Without it a service
- * that turns slow as a whole would get every call twice. */
+/** Budget of second copies: each call's first attempt adds a fraction of a
+ * copy. Without a budget a service that is slow as a whole would get every
+ * call twice. */
 struct hedge_budget
 {
   double mEarned = 0;
 };
 
-/** Counts a call's first sending. */
+/** Records the first attempt of a call. */
 void
-NoteFirstSending(hedge_budget& aBudget);
+RecordFirstAttempt(hedge_budget& aBudget);
 
-/** A server had no place: the service is full, and copies would keep it so. */
+/** Records that a server rejected an attempt for lack of a free slot. Empties
+ * the budget: the service is full, and copies would keep it full. */
 void
-NoteTurnedAway(hedge_budget& aBudget);
+RecordRejection(hedge_budget& aBudget);
 
-/** Takes one second copy out of the budget; false when it is used up. */
+/** Takes one second copy from the budget.
+ * @return false if the budget is used up */
 bool
-TakeHedge(hedge_budget& aBudget);
+ConsumeHedge(hedge_budget& aBudget);
 
 } // namespace lavender::rewards
--- a/Duties/Rewards/RewardCall.h
+++ b/Duties/Rewards/RewardCall.h
@@ -6,49 +6,51 @@
 #include <optional>
 #include <string>
 
-/** Calls that score finished samples: once the text of an item is whole, a
- * request that came with the item goes to a plain service, and the signature of
- * its answer is the item's score. */
+/** Calls that score finished samples. When the text of an item is complete, the
+ * request that was submitted with the item is sent to a plain service, and the
+ * signature of its response is the item's score. */
 namespace lavender::rewards {
 
-/** The call as the trainer gave it. It is idempotent under its id. */
+/** A reward call as the trainer submitted it. The call is idempotent under its
+ * id. */
 struct reward_call
 {
   std::string mId;
   std::string mHost;
   std::string mPath;
-  /** As submitted: decoded only when it is sent. */
+  /** Base64 as submitted; decoded only when the call is sent. */
   std::string mBodyBase64;
 };
 
-/** Order of calls that wait for a place: the less comes first. */
-struct reward_rank
+/** Order of waiting calls; the lesser one is sent first. */
+struct reward_priority
 {
-  /** When the item's batch is due. */
+  /** Time at which the item's batch is due. */
   time_point mDueAt;
-  /** Items of its group that have no result; a trainer needs whole groups, so
-   * the call that ends one is worth most. */
-  int mOpenInGroup = 0;
+  /** Number of items without a result in the item's group. A trainer needs
+   * whole groups, so the call that completes a group is the most valuable. */
+  int mOpenItemsInGroup = 0;
 
-  bool operator<(const reward_rank& aOther) const
+  bool operator<(const reward_priority& aOther) const
   {
-    return mDueAt != aOther.mDueAt ? mDueAt < aOther.mDueAt
-                                   : mOpenInGroup < aOther.mOpenInGroup;
+    return mDueAt != aOther.mDueAt
+             ? mDueAt < aOther.mDueAt
+             : mOpenItemsInGroup < aOther.mOpenItemsInGroup;
   }
 };
 
-/** What the runner of an item asks for. */
+/** A reward call, as requested by the runner of the item. */
 struct reward_request
 {
   reward_call mCall;
   std::string mItemId;
-  /** Customer of the batch. */
+  /** Customer that owns the batch. */
   std::string mCustomer;
-  /** When the item may be given up. */
+  /** Time from which on the item may be given up. */
   time_point mGiveUpAt;
-  std::function<reward_rank()> mRank;
-  /** Called once with the score, or with none when the service failed the call
-   * for good; never after the call was cancelled. */
+  std::function<reward_priority()> mPriority;
+  /** Called once with the score, or with none if the service has failed the
+   * call as often as its route allows. Not called after a cancellation. */
   std::function<void(std::optional<std::string>)> mOnEnd;
 };
 
--- a/Duties/Rewards/RewardCaller.cpp
+++ b/Duties/Rewards/RewardCaller.cpp
@@ -12,32 +12,33 @@
 
 namespace {
 
-/** A server on the same network accepts within a few ms. */
+/** Connections to a server on the same network are established within a few ms.
+ */
 constexpr milliseconds kConnectTimeout = 150ms;
-/** Pause after a server had no place, or while no server can be used: some
- * places come free in it. */
-constexpr milliseconds kBusyPause = 60ms;
-/** How often a call is looked at again for which there is no route. */
-constexpr milliseconds kNoRoutePause = 500ms;
-/** Time for a call whose route names none. */
-constexpr milliseconds kDefaultTime = 10s;
+/** Delay after a server had no free slot, or while no server is usable. Some
+ * slots become free in that time. */
+constexpr milliseconds kBusyDelay = 60ms;
+/** Interval at which a call without a route is dispatched again. */
+constexpr milliseconds kNoRouteDelay = 500ms;
+/** Time limit of a call whose route names none. */
+constexpr milliseconds kDefaultTimeout = 10s;
 
 milliseconds
-Since(time_point aStart, time_point aNow)
+MillisecondsBetween(time_point aStart, time_point aEnd)
 {
-  return std::chrono::duration_cast<milliseconds>(aNow - aStart);
+  return std::chrono::duration_cast<milliseconds>(aEnd - aStart);
 }
 
 } // namespace
 
-/** One sending of a call to one server. */
-struct reward_caller::sending
+/** One attempt of a call at one server. */
+struct reward_caller::send_attempt
 {
   forwarding::server_pick mPick;
   edge::call_handle mHandle;
   time_point mSentAt;
-  /** Given up as silent then. */
-  time_point mEndsAt;
+  /** Time at which the attempt is abandoned. */
+  time_point mDeadline;
   site::answer_facts mFacts;
   unsigned mStatus = 0;
   bool mIsHedge = false;
@@ -48,18 +49,18 @@
 {
   std::uint64_t mNumber = 0;
   reward_request mRequest;
-  time_point mAskedAt;
-  /** Not sent before then. */
+  time_point mStartedAt;
+  /** Earliest time of the next attempt. */
   time_point mNotBefore;
-  std::vector<std::shared_ptr<sending>> mOpen;
-  /** Servers that didn't serve it, or that have it now. */
-  std::vector<std::string> mTried;
-  /** When a second copy is sent; max for never. */
+  std::vector<std::shared_ptr<send_attempt>> mOpenAttempts;
+  /** Servers that failed the call or are processing it. */
+  std::vector<std::string> mTriedServers;
+  /** Time at which a second copy is sent; max for never. */
   time_point mHedgeAt = time_point::max();
   std::unique_ptr<boost::asio::steady_timer> mTimer;
   int mErrors = 0;
-  int mSendings = 0;
-  bool mIsOver = false;
+  int mAttempts = 0;
+  bool mIsFinished = false;
 };
 
 reward_caller::reward_caller(caller_parts aParts)
@@ -72,13 +73,13 @@
 reward_caller::Start(reward_request aRequest)
 {
   auto started = std::make_shared<call>();
-  started->mNumber = ++mNumbers;
+  started->mNumber = ++mLastNumber;
   started->mRequest = std::move(aRequest);
-  started->mAskedAt = boot_clock::now();
-  started->mNotBefore = started->mAskedAt;
+  started->mStartedAt = boot_clock::now();
+  started->mNotBefore = started->mStartedAt;
   started->mTimer = std::make_unique<boost::asio::steady_timer>(mParts.mLoop);
   mCalls[started->mNumber] = started;
-  PlanDispatch(0ms);
+  ScheduleDispatch(0ms);
   return started->mNumber;
 }
 
@@ -89,20 +90,20 @@
   if (found == mCalls.end()) {
     return;
   }
-  // Held here: the list's own pointer goes with its entry.
+  // Keeps the call alive while its map entry is erased.
   const auto cancelled = found->second;
-  Retire(cancelled);
+  RemoveCall(cancelled);
 }
 
 void
-reward_caller::PlanDispatch(milliseconds aPause)
+reward_caller::ScheduleDispatch(milliseconds aDelay)
 {
-  const auto at = boot_clock::now() + aPause;
+  const auto at = boot_clock::now() + aDelay;
   if (mDispatchAt <= at) {
     return;
   }
   mDispatchAt = at;
-  mTimer.expires_after(aPause);
+  mTimer.expires_after(aDelay);
   mTimer.async_wait([this](const auto& aError) {
     if (!aError) {
       mDispatchAt = time_point::max();
@@ -115,16 +116,16 @@
 reward_caller::Dispatch()
 {
   const auto now = boot_clock::now();
-  std::vector<std::pair<reward_rank, call_ptr>> waiting;
+  std::vector<std::pair<reward_priority, call_ptr>> waiting;
   for (const auto& [number, held] : mCalls) {
-    if (!held->mOpen.empty()) {
+    if (!held->mOpenAttempts.empty()) {
       continue;
     }
     if (held->mNotBefore > now) {
-      PlanDispatch(Since(now, held->mNotBefore) + 1ms);
+      ScheduleDispatch(MillisecondsBetween(now, held->mNotBefore) + 1ms);
       continue;
     }
-    waiting.emplace_back(held->mRequest.mRank(), held);
+    waiting.emplace_back(held->mRequest.mPriority(), held);
   }
   if (IsOn(mechanism::RewardOrder)) {
     std::stable_sort(waiting.begin(),
@@ -133,25 +134,25 @@
                        return aLeft.first < aRight.first;
                      });
   }
-  for (const auto& [rank, next] : waiting) {
-    if (!next->mIsOver && !Send(next)) {
-      PlanDispatch(kBusyPause);
+  for (const auto& [priority, next] : waiting) {
+    if (!next->mIsFinished && !Send(next)) {
+      ScheduleDispatch(kBusyDelay);
     }
   }
 }
 
 std::optional<forwarding::server_pick>
-reward_caller::PickFor(const call_ptr& aCall, const site::route& aRoute)
+reward_caller::PickServer(const call_ptr& aCall, const site::route& aRoute)
 {
-  auto pick = mParts.mRouter.Pick(aRoute, aCall->mTried);
+  auto pick = mParts.mRouter.Pick(aRoute, aCall->mTriedServers);
   if (!pick) {
-    // Each server has been tried: all but those that have the call now may be
-    // again.
-    aCall->mTried.clear();
-    for (const auto& open : aCall->mOpen) {
-      aCall->mTried.push_back(open->mPick.mServer.mId);
+    // All servers have been tried. They may be tried again, except for those
+    // that are processing the call.
+    aCall->mTriedServers.clear();
+    for (const auto& open : aCall->mOpenAttempts) {
+      aCall->mTriedServers.push_back(open->mPick.mServer.mId);
     }
-    pick = mParts.mRouter.Pick(aRoute, aCall->mTried);
+    pick = mParts.mRouter.Pick(aRoute, aCall->mTriedServers);
   }
   return pick;
 }
@@ -170,17 +171,17 @@
 {
   const auto route = RouteOf(*aCall);
   if (!route) {
-    // It may come back with the next configuration; until then the item waits,
-    // as one without a route of its own does.
-    aCall->mNotBefore = boot_clock::now() + kNoRoutePause;
+    // A later configuration may have a route again. Until then the item waits,
+    // like an item without a route of its own.
+    aCall->mNotBefore = boot_clock::now() + kNoRouteDelay;
     events::line("reward_unroutable")
       .With("request", aCall->mRequest.mItemId)
       .With("reward", aCall->mRequest.mCall.mId);
     return false;
   }
-  const auto pick = PickFor(aCall, *route);
-  if (!pick || mUnderWay[pick->mPool] >=
-                 MostUnderWay(mParts.mRouter.PlacesOf(pick->mPool))) {
+  const auto pick = PickServer(aCall, *route);
+  if (!pick || mInFlight[pick->mPool] >=
+                 MaxInFlight(mParts.mRouter.PlacesOf(pick->mPool))) {
     return false;
   }
   SendTo(aCall, *route, *pick);
@@ -195,47 +196,47 @@
   const auto now = boot_clock::now();
   const auto timeLeft =
     std::max(1ms,
-             std::min(Since(now, aCall->mRequest.mGiveUpAt),
-                      aRoute.mTimeout.value_or(kDefaultTime)));
-  auto sent = std::make_shared<sending>();
+             std::min(MillisecondsBetween(now, aCall->mRequest.mGiveUpAt),
+                      aRoute.mTimeout.value_or(kDefaultTimeout)));
+  auto sent = std::make_shared<send_attempt>();
   sent->mPick = aPick;
   sent->mSentAt = now;
-  sent->mEndsAt = now + PatienceFor(aRoute.mTargetLatency, timeLeft);
-  sent->mIsHedge = !aCall->mOpen.empty();
-  aCall->mOpen.push_back(sent);
-  aCall->mTried.push_back(aPick.mServer.mId);
-  if (aCall->mSendings++ == 0) {
-    NoteFirstSending(mBudget);
+  sent->mDeadline = now + AttemptTimeout(aRoute.mTargetLatency, timeLeft);
+  sent->mIsHedge = !aCall->mOpenAttempts.empty();
+  aCall->mOpenAttempts.push_back(sent);
+  aCall->mTriedServers.push_back(aPick.mServer.mId);
+  if (aCall->mAttempts++ == 0) {
+    RecordFirstAttempt(mBudget);
   }
   aCall->mHedgeAt = sent->mIsHedge
                       ? time_point::max()
-                      : now + HedgeAfter(mDurations, aRoute.mTargetLatency);
-  ++mUnderWay[aPick.mPool];
+                      : now + HedgeDelay(mDurations, aRoute.mTargetLatency);
+  ++mInFlight[aPick.mPool];
   mParts.mRouter.NoteSent(aPick, now);
   events::line("reward_sent")
     .With("request", aCall->mRequest.mItemId)
     .With("reward", aCall->mRequest.mCall.mId)
     .With("server", aPick.mServer.mId)
     .With("requests_there", static_cast<std::int64_t>(aPick.mRequests))
-    .With("sending", static_cast<std::int64_t>(aCall->mSendings))
+    .With("sending", static_cast<std::int64_t>(aCall->mAttempts))
     .With("hedge", static_cast<std::int64_t>(sent->mIsHedge))
-    .With("waited_ms", Since(aCall->mAskedAt, now));
-  StartSending(aCall, sent, timeLeft);
-  Arm(aCall);
+    .With("waited_ms", MillisecondsBetween(aCall->mStartedAt, now));
+  SendRequest(aCall, sent, timeLeft);
+  ArmTimer(aCall);
 }
 
 void
-reward_caller::StartSending(const call_ptr& aCall,
-                            const std::shared_ptr<sending>& aSending,
-                            milliseconds aTimeLeft)
+reward_caller::SendRequest(const call_ptr& aCall,
+                           const std::shared_ptr<send_attempt>& aAttempt,
+                           milliseconds aTimeLeft)
 {
   const auto& asked = aCall->mRequest;
-  const auto& server = aSending->mPick.mServer;
+  const auto& server = aAttempt->mPick.mServer;
   edge::request request;
   request.mMethod = "POST";
   request.mTarget = asked.mCall.mPath;
   request.mHeaders.Set("Host", asked.mCall.mHost);
-  // Checked when the batch was submitted.
+  // The encoding was checked when the batch was submitted.
   request.mBody = DecodeBase64(asked.mCall.mBodyBase64).mValue.value_or("");
   site::attempt attempt;
   attempt.mAttemptId = asked.mCall.mId;
@@ -246,14 +247,14 @@
   options.mConnectTimeout = kConnectTimeout;
   options.mSilenceTimeout = aTimeLeft + 1s;
   edge::call_events events;
-  events.mOnHead = [this, aSending](const edge::response& aHead) {
-    TakeHead(aSending, aHead);
+  events.mOnHead = [this, aAttempt](const edge::response& aHead) {
+    TakeHead(aAttempt, aHead);
   };
   events.mOnBody = [](std::string_view) {};
-  events.mOnEnd = [this, aCall, aSending](edge::call_end aEnd) {
-    TakeEnd(aCall, aSending, aEnd);
+  events.mOnEnd = [this, aCall, aAttempt](edge::call_end aEnd) {
+    TakeEnd(aCall, aAttempt, aEnd);
   };
-  aSending->mHandle =
+  aAttempt->mHandle =
     mParts.mClients.Start(server.mAddress,
                           mParts.mProtocol.mAddress(request, attempt),
                           options,
@@ -261,181 +262,183 @@
 }
 
 void
-reward_caller::TakeHead(const std::shared_ptr<sending>& aSending,
+reward_caller::TakeHead(const std::shared_ptr<send_attempt>& aAttempt,
                         const edge::response& aHead)
 {
-  aSending->mStatus = aHead.mStatus;
-  aSending->mFacts = mParts.mProtocol.mReadAnswer(aHead);
-  if (aSending->mFacts.mLoad) {
+  aAttempt->mStatus = aHead.mStatus;
+  aAttempt->mFacts = mParts.mProtocol.mReadAnswer(aHead);
+  if (aAttempt->mFacts.mLoad) {
     mParts.mRouter.TakeLoad(
-      aSending->mPick, *aSending->mFacts.mLoad, boot_clock::now());
+      aAttempt->mPick, *aAttempt->mFacts.mLoad, boot_clock::now());
   }
 }
 
-answer_kind
-reward_caller::KindOf(const call& aCall,
-                      const sending& aSending,
-                      edge::call_end aEnd)
+response_kind
+reward_caller::Classify(const call& aCall,
+                        const send_attempt& aAttempt,
+                        edge::call_end aEnd)
 {
-  answer_view view;
+  response_summary view;
   view.mEnd = aEnd;
-  view.mStatus = aSending.mStatus;
-  view.mIsNotExecuted = aSending.mFacts.mIsNotExecuted;
-  view.mIsForeign = aSending.mFacts.mAttemptId != aCall.mRequest.mCall.mId;
-  view.mIsSigned = !aSending.mFacts.mSignature.empty();
-  return Judge(view);
+  view.mStatus = aAttempt.mStatus;
+  view.mIsNotExecuted = aAttempt.mFacts.mIsNotExecuted;
+  view.mIsForeign = aAttempt.mFacts.mAttemptId != aCall.mRequest.mCall.mId;
+  view.mHasSignature = !aAttempt.mFacts.mSignature.empty();
+  return ClassifyResponse(view);
 }
 
 void
 reward_caller::TakeEnd(const call_ptr& aCall,
-                       const std::shared_ptr<sending>& aSending,
+                       const std::shared_ptr<send_attempt>& aAttempt,
                        edge::call_end aEnd)
 {
-  if (aCall->mIsOver || !aSending->mIsOpen) {
+  if (aCall->mIsFinished || !aAttempt->mIsOpen) {
     return;
   }
-  const auto kind = KindOf(*aCall, *aSending, aEnd);
-  aCall->mErrors += kind == answer_kind::ServerError ? 1 : 0;
-  aCall->mOpen.erase(
-    std::remove(aCall->mOpen.begin(), aCall->mOpen.end(), aSending),
-    aCall->mOpen.end());
-  Close(aSending,
-        kind == answer_kind::Scored       ? routing::evidence::Success
-        : kind == answer_kind::TurnedAway ? routing::evidence::Neutral
-                                          : routing::evidence::Failure);
-  LogAnswer(*aCall, *aSending, kind, aEnd);
-  if (kind == answer_kind::TurnedAway) {
-    NoteTurnedAway(mBudget);
+  const auto kind = Classify(*aCall, *aAttempt, aEnd);
+  aCall->mErrors += kind == response_kind::ServerError ? 1 : 0;
+  aCall->mOpenAttempts.erase(std::remove(aCall->mOpenAttempts.begin(),
+                                         aCall->mOpenAttempts.end(),
+                                         aAttempt),
+                             aCall->mOpenAttempts.end());
+  CloseAttempt(aAttempt,
+               kind == response_kind::Scored     ? routing::evidence::Success
+               : kind == response_kind::Rejected ? routing::evidence::Neutral
+                                                 : routing::evidence::Failure);
+  LogResponse(*aCall, *aAttempt, kind, aEnd);
+  if (kind == response_kind::Rejected) {
+    RecordRejection(mBudget);
   }
-  Decide(aCall, aSending, kind);
+  ActOnResponse(aCall, aAttempt, kind);
 }
 
 void
-reward_caller::LogAnswer(const call& aCall,
-                         const sending& aSending,
-                         answer_kind aKind,
-                         edge::call_end aEnd)
+reward_caller::LogResponse(const call& aCall,
+                           const send_attempt& aAttempt,
+                           response_kind aKind,
+                           edge::call_end aEnd)
 {
   events::line("reward_answered")
     .With("request", aCall.mRequest.mItemId)
     .With("reward", aCall.mRequest.mCall.mId)
-    .With("server", aSending.mPick.mServer.mId)
+    .With("server", aAttempt.mPick.mServer.mId)
     .With("outcome", WordFor(aKind))
     .With("end", edge::WordFor(aEnd))
-    .With("status", static_cast<std::int64_t>(aSending.mStatus))
+    .With("status", static_cast<std::int64_t>(aAttempt.mStatus))
     .With("errors", static_cast<std::int64_t>(aCall.mErrors))
-    .With("hedge", static_cast<std::int64_t>(aSending.mIsHedge))
-    .With("took_ms", Since(aSending.mSentAt, boot_clock::now()));
+    .With("hedge", static_cast<std::int64_t>(aAttempt.mIsHedge))
+    .With("took_ms", MillisecondsBetween(aAttempt.mSentAt, boot_clock::now()));
   mParts.mMetrics.Count("lavender_reward_answers_total",
                         { { "outcome", WordFor(aKind) } });
 }
 
 void
-reward_caller::Decide(const call_ptr& aCall,
-                      const std::shared_ptr<sending>& aSending,
-                      answer_kind aKind)
+reward_caller::ActOnResponse(const call_ptr& aCall,
+                             const std::shared_ptr<send_attempt>& aAttempt,
+                             response_kind aKind)
 {
   const auto now = boot_clock::now();
   const auto route = RouteOf(*aCall);
-  // Without its route nobody knows how often the call may fail.
+  // Without the route it is unknown how often the call may fail.
   const auto step =
-    route || aKind == answer_kind::Scored
+    route || aKind == response_kind::Scored
       ? DecideNext(aKind, aCall->mErrors, route ? route->mMaximumAttempts : 1)
       : next_step::SendLater;
   switch (step) {
     case next_step::Deliver:
-      NoteDuration(mDurations, Since(aSending->mSentAt, now));
-      Finish(aCall, std::move(aSending->mFacts.mSignature));
+      RecordDuration(mDurations, MillisecondsBetween(aAttempt->mSentAt, now));
+      FinishCall(aCall, std::move(aAttempt->mFacts.mSignature));
       return;
     case next_step::GiveUp:
-      Finish(aCall, std::nullopt);
+      FinishCall(aCall, std::nullopt);
       return;
     case next_step::SendLater:
     case next_step::SendAgain:
       break;
   }
-  const auto pause = aKind == answer_kind::ServerError
+  const auto delay = aKind == response_kind::ServerError
                        ? 0ms
-                       : PauseBefore(step, aCall->mSendings);
-  aCall->mNotBefore = now + pause;
-  PlanDispatch(pause);
+                       : RetryDelay(step, aCall->mAttempts);
+  aCall->mNotBefore = now + delay;
+  ScheduleDispatch(delay);
 }
 
 void
-reward_caller::Arm(const call_ptr& aCall)
+reward_caller::ArmTimer(const call_ptr& aCall)
 {
   auto at = aCall->mHedgeAt;
-  for (const auto& open : aCall->mOpen) {
-    at = std::min(at, open->mEndsAt);
+  for (const auto& open : aCall->mOpenAttempts) {
+    at = std::min(at, open->mDeadline);
   }
-  aCall->mTimer->expires_after(std::max(0ms, Since(boot_clock::now(), at)) +
-                               1ms);
+  aCall->mTimer->expires_after(
+    std::max(0ms, MillisecondsBetween(boot_clock::now(), at)) + 1ms);
   aCall->mTimer->async_wait([this, aCall](const auto& aError) {
-    if (!aError && !aCall->mIsOver) {
-      Look(aCall);
+    if (!aError && !aCall->mIsFinished) {
+      CheckTimeouts(aCall);
     }
   });
 }
 
 void
-reward_caller::Look(const call_ptr& aCall)
+reward_caller::CheckTimeouts(const call_ptr& aCall)
 {
   const auto now = boot_clock::now();
-  const auto open = aCall->mOpen;
+  const auto open = aCall->mOpenAttempts;
   for (const auto& sent : open) {
-    if (now >= sent->mEndsAt && sent->mIsOpen) {
+    if (now >= sent->mDeadline && sent->mIsOpen) {
       sent->mHandle.Cancel();
       TakeEnd(aCall, sent, edge::call_end::TimedOut);
     }
   }
-  if (aCall->mIsOver || aCall->mOpen.empty()) {
+  if (aCall->mIsFinished || aCall->mOpenAttempts.empty()) {
     return;
   }
   if (now >= aCall->mHedgeAt) {
     aCall->mHedgeAt = time_point::max();
-    if (TakeHedge(mBudget) && Send(aCall)) {
+    if (ConsumeHedge(mBudget) && Send(aCall)) {
       mParts.mMetrics.Count("lavender_reward_hedges_total", {});
       return;
     }
   }
-  Arm(aCall);
+  ArmTimer(aCall);
 }
 
 void
-reward_caller::Close(const std::shared_ptr<sending>& aSending,
-                     routing::evidence aEvidence)
+reward_caller::CloseAttempt(const std::shared_ptr<send_attempt>& aAttempt,
+                            routing::evidence aEvidence)
 {
-  if (!aSending->mIsOpen) {
+  if (!aAttempt->mIsOpen) {
     return;
   }
-  aSending->mIsOpen = false;
-  aSending->mHandle.Cancel();
-  --mUnderWay[aSending->mPick.mPool];
+  aAttempt->mIsOpen = false;
+  aAttempt->mHandle.Cancel();
+  --mInFlight[aAttempt->mPick.mPool];
   mParts.mRouter.NoteEnded(
-    aSending->mPick, aSending->mSentAt, aEvidence, boot_clock::now());
+    aAttempt->mPick, aAttempt->mSentAt, aEvidence, boot_clock::now());
 }
 
 void
-reward_caller::Retire(const call_ptr& aCall)
+reward_caller::RemoveCall(const call_ptr& aCall)
 {
   mCalls.erase(aCall->mNumber);
-  aCall->mIsOver = true;
+  aCall->mIsFinished = true;
   aCall->mTimer->cancel();
-  for (const auto& open : std::exchange(aCall->mOpen, {})) {
-    Close(open, routing::evidence::Neutral);
+  for (const auto& open : std::exchange(aCall->mOpenAttempts, {})) {
+    CloseAttempt(open, routing::evidence::Neutral);
   }
-  PlanDispatch(0ms);
+  ScheduleDispatch(0ms);
 }
 
 void
-reward_caller::Finish(const call_ptr& aCall, std::optional<std::string> aScore)
+reward_caller::FinishCall(const call_ptr& aCall,
+                          std::optional<std::string> aScore)
 {
-  Retire(aCall);
+  RemoveCall(aCall);
   mParts.mMetrics.Count("lavender_rewards_total",
                         { { "end", aScore ? "scored" : "given_up" } });
   mParts.mMetrics.Observe("lavender_reward_seconds",
                           { { "end", aScore ? "scored" : "given_up" } },
-                          boot_clock::now() - aCall->mAskedAt);
+                          boot_clock::now() - aCall->mStartedAt);
   const auto done = std::move(aCall->mRequest.mOnEnd);
   done(std::move(aScore));
 }
--- a/Duties/Rewards/RewardCaller.h
+++ b/Duties/Rewards/RewardCaller.h
@@ -12,7 +12,7 @@
 
 namespace lavender::rewards {
 
-/** What the caller works with; all outlive it. */
+/** Collaborators of a reward_caller; all of them must outlive it. */
 struct caller_parts
 {
   boost::asio::io_context& mLoop;
@@ -25,71 +25,73 @@
 
 /** Makes the reward calls of the items that this entry runs.
  *
- * A call goes by the route that its host and path have in the configuration in
- * force when it is sent, and again, each time to another server, until one
- * answers or the service has failed it as often as the route allows. */
+ * Each attempt of a call uses the route that the call's host and path have in
+ * the configuration in force at that time. An attempt goes to a server that
+ * hasn't been tried, until one returns a score or the service has failed the
+ * call as often as the route allows. */
 class reward_caller
 {
 public:
   explicit reward_caller(caller_parts aParts);
 
-  /** @return a number by which the call can be cancelled; never 0 */
+  /** @return the number of the call for Cancel; never 0 */
   std::uint64_t Start(reward_request aRequest);
-  /** Cuts the call, also at its server; does nothing once it has ended. */
+  /** Cancels the call, including its requests to servers. Does nothing if the
+   * call has ended. */
   void Cancel(std::uint64_t aNumber);
-  /** Calls that have no end yet, waiting ones included. */
+  /** Number of calls that haven't ended, including those not sent yet. */
   std::size_t Open() const { return mCalls.size(); }
 
 private:
-  struct sending;
+  struct send_attempt;
   struct call;
   using call_ptr = std::shared_ptr<call>;
 
   void Dispatch();
-  void PlanDispatch(milliseconds aPause);
+  void ScheduleDispatch(milliseconds aDelay);
   std::shared_ptr<const site::route> RouteOf(const call& aCall) const;
-  /** @return false when the call can't be sent now */
+  /** @return false if the call can't be sent now */
   bool Send(const call_ptr& aCall);
   void SendTo(const call_ptr& aCall,
               const site::route& aRoute,
               const forwarding::server_pick& aPick);
-  void StartSending(const call_ptr& aCall,
-                    const std::shared_ptr<sending>& aSending,
-                    milliseconds aTimeLeft);
-  std::optional<forwarding::server_pick> PickFor(const call_ptr& aCall,
-                                                 const site::route& aRoute);
-  void TakeHead(const std::shared_ptr<sending>& aSending,
+  void SendRequest(const call_ptr& aCall,
+                   const std::shared_ptr<send_attempt>& aAttempt,
+                   milliseconds aTimeLeft);
+  std::optional<forwarding::server_pick> PickServer(const call_ptr& aCall,
+                                                    const site::route& aRoute);
+  void TakeHead(const std::shared_ptr<send_attempt>& aAttempt,
                 const edge::response& aHead);
-  static answer_kind KindOf(const call& aCall,
-                            const sending& aSending,
-                            edge::call_end aEnd);
+  static response_kind Classify(const call& aCall,
+                                const send_attempt& aAttempt,
+                                edge::call_end aEnd);
   void TakeEnd(const call_ptr& aCall,
-               const std::shared_ptr<sending>& aSending,
+               const std::shared_ptr<send_attempt>& aAttempt,
                edge::call_end aEnd);
-  void LogAnswer(const call& aCall,
-                 const sending& aSending,
-                 answer_kind aKind,
-                 edge::call_end aEnd);
-  void Decide(const call_ptr& aCall,
-              const std::shared_ptr<sending>& aSending,
-              answer_kind aKind);
-  void Arm(const call_ptr& aCall);
-  void Look(const call_ptr& aCall);
-  void Close(const std::shared_ptr<sending>& aSending,
-             routing::evidence aEvidence);
-  /** Takes a call off the list, and cuts what is still under way for it. */
-  void Retire(const call_ptr& aCall);
-  void Finish(const call_ptr& aCall, std::optional<std::string> aScore);
+  void LogResponse(const call& aCall,
+                   const send_attempt& aAttempt,
+                   response_kind aKind,
+                   edge::call_end aEnd);
+  void ActOnResponse(const call_ptr& aCall,
+                     const std::shared_ptr<send_attempt>& aAttempt,
+                     response_kind aKind);
+  void ArmTimer(const call_ptr& aCall);
+  void CheckTimeouts(const call_ptr& aCall);
+  void CloseAttempt(const std::shared_ptr<send_attempt>& aAttempt,
+                    routing::evidence aEvidence);
+  /** Removes a call and cancels its open attempts. */
+  void RemoveCall(const call_ptr& aCall);
+  void FinishCall(const call_ptr& aCall, std::optional<std::string> aScore);
 
   caller_parts mParts;
   std::map<std::uint64_t, call_ptr> mCalls;
-  /** Sendings under way, by pool. */
-  std::map<std::string, int> mUnderWay;
+  /** Number of open attempts by pool. */
+  std::map<std::string, int> mInFlight;
   recent_durations mDurations;
   hedge_budget mBudget;
   boost::asio::steady_timer mTimer;
   time_point mDispatchAt = time_point::max();
-  std::uint64_t mNumbers = 0;
+  std::uint64_t mLastNumber = 0;
 };
 
 } // namespace lavender::rewards
--- a/Duties/Rewards/RewardDecision.cpp
+++ b/Duties/Rewards/RewardDecision.cpp
@@ -9,91 +9,93 @@
 
 namespace {
 
-constexpr int kTargetsOfPatience = 2;
-constexpr int kShareOfPlaces = 2;
-/** However few places are known, so that calls go on while entries of servers
- * are missing. */
-constexpr int kLeastUnderWay = 4;
+constexpr int kTimeoutInTargetLatencies = 2;
+constexpr int kSlotDivisor = 2;
+/** Lower bound of the limit, so that calls continue while entries of servers
+ * are missing from the directory. */
+constexpr int kMinInFlight = 4;
 constexpr unsigned kServerError = 500;
-/** Sendings that follow each other at once. */
-constexpr int kSentAtOnce = 2;
-/** Some places come free in it. */
-constexpr milliseconds kFirstPause{ 60 };
-constexpr milliseconds kLongestPause{ 1000 };
-constexpr int kMostDoublings = 8;
+/** Number of attempts that are made without delay. */
+constexpr int kImmediateAttempts = 2;
+/** Some slots become free in this time. */
+constexpr milliseconds kFirstDelay{ 60 };
+constexpr milliseconds kMaxDelay{ 1000 };
+constexpr int kMaxDoublings = 8;
 
 } // namespace
 
 const char*
-WordFor(answer_kind aKind)
+WordFor(response_kind aKind)
 {
   switch (aKind) {
-    case answer_kind::Scored:
+    case response_kind::Scored:
       return "scored";
-    case answer_kind::ServerError:
+    case response_kind::ServerError:
       return "server_error";
-    case answer_kind::TurnedAway:
+    case response_kind::Rejected:
       return "turned_away";
-    case answer_kind::Unusable:
+    case response_kind::Unusable:
       return "unusable";
   }
   return "unknown";
 }
 
-answer_kind
-Judge(const answer_view& aAnswer)
+response_kind
+ClassifyResponse(const response_summary& aResponse)
 {
-  if (aAnswer.mEnd != edge::call_end::Complete || aAnswer.mIsForeign) {
-    return answer_kind::Unusable;
+  if (aResponse.mEnd != edge::call_end::Complete || aResponse.mIsForeign) {
+    return response_kind::Unusable;
   }
-  if (aAnswer.mIsNotExecuted) {
-    return answer_kind::TurnedAway;
+  if (aResponse.mIsNotExecuted) {
+    return response_kind::Rejected;
   }
-  if (aAnswer.mStatus >= 200 && aAnswer.mStatus < 300 && aAnswer.mIsSigned) {
-    return answer_kind::Scored;
+  if (aResponse.mStatus >= 200 && aResponse.mStatus < 300 &&
+      aResponse.mHasSignature) {
+    return response_kind::Scored;
   }
-  return aAnswer.mStatus == kServerError ? answer_kind::ServerError
-                                         : answer_kind::Unusable;
+  return aResponse.mStatus == kServerError ? response_kind::ServerError
+                                           : response_kind::Unusable;
 }
 
 next_step
-DecideNext(answer_kind aKind, int aErrors, int aMaximumAttempts)
+DecideNext(response_kind aKind, int aErrors, int aMaximumAttempts)
 {
   switch (aKind) {
-    case answer_kind::Scored:
+    case response_kind::Scored:
       return next_step::Deliver;
-    case answer_kind::ServerError:
+    case response_kind::ServerError:
       return aErrors >= std::max(aMaximumAttempts, 1) ? next_step::GiveUp
                                                       : next_step::SendAgain;
-    case answer_kind::TurnedAway:
+    case response_kind::Rejected:
       return next_step::SendLater;
-    case answer_kind::Unusable:
+    case response_kind::Unusable:
       return next_step::SendAgain;
   }
   return next_step::SendLater;
 }
 
 milliseconds
-PauseBefore(next_step aStep, int aSendings)
+RetryDelay(next_step aStep, int aAttempts)
 {
-  if (aStep == next_step::SendAgain && aSendings <= kSentAtOnce) {
+  if (aStep == next_step::SendAgain && aAttempts <= kImmediateAttempts) {
     return milliseconds(0);
   }
-  const auto doublings = std::clamp(aSendings - kSentAtOnce, 0, kMostDoublings);
-  return std::min(kFirstPause * (1 << doublings), kLongestPause);
+  const auto doublings =
+    std::clamp(aAttempts - kImmediateAttempts, 0, kMaxDoublings);
+  return std::min(kFirstDelay * (1 << doublings), kMaxDelay);
 }
 
 milliseconds
-PatienceFor(milliseconds aTargetLatency, milliseconds aTimeLeft)
+AttemptTimeout(milliseconds aTargetLatency, milliseconds aTimeLeft)
 {
-  return std::min(aTargetLatency * kTargetsOfPatience, aTimeLeft);
+  return std::min(aTargetLatency * kTimeoutInTargetLatencies, aTimeLeft);
 }
 
 int
-MostUnderWay(int aPlaces)
+MaxInFlight(int aSlots)
 {
   return IsOn(mechanism::RewardLimit)
-           ? std::max(aPlaces / kShareOfPlaces, kLeastUnderWay)
+           ? std::max(aSlots / kSlotDivisor, kMinInFlight)
            : std::numeric_limits<int>::max();
 }
 
--- a/Duties/Rewards/RewardDecision.h
+++ b/Duties/Rewards/RewardDecision.h
@@ -2,72 +2,75 @@
 
 #include "Libraries/Edge/Caller.h"
 
-/** What follows from the end of one sending of a reward call: pure decisions.
+/** Decides what follows from the end of one attempt of a reward call. No I/O.
  */
 namespace lavender::rewards {
 
-/** What one sending brought. */
-enum class answer_kind
+/** Classification of the response to one attempt. */
+enum class response_kind
 {
-  /** A whole success with the service's signature. */
+  /** A complete 2xx response with the service's signature. */
   Scored,
-  /** The server ran the call and failed it; counts towards giving up. */
+  /** The server executed the call and failed (status 500). Counts towards
+   * giving up. */
   ServerError,
-  /** The server turned the call away and says that it didn't run it. */
-  TurnedAway,
-  /** No answer that can be used: reset, silence, another call's answer, bytes
-   * that are no answer, a status that says nothing of the call. */
+  /** The server rejected the call and states that it didn't execute it. */
+  Rejected,
+  /** No usable response: a reset connection, a time-out, a response to another
+   * call, a malformed response, or a status that says nothing about the call.
+   */
   Unusable
 };
 
 const char*
-WordFor(answer_kind aKind);
+WordFor(response_kind aKind);
 
-struct answer_view
+struct response_summary
 {
   edge::call_end mEnd = edge::call_end::Complete;
   unsigned mStatus = 0;
   bool mIsNotExecuted = false;
-  /** The answer doesn't bear the call's id. */
+  /** The response doesn't carry the call's id. */
   bool mIsForeign = false;
-  bool mIsSigned = false;
+  bool mHasSignature = false;
 };
 
-answer_kind
-Judge(const answer_view& aAnswer);
+response_kind
+ClassifyResponse(const response_summary& aResponse);
 
 enum class next_step
 {
   Deliver,
-  /** To another server, at once. */
+  /** Retry at another server without delay. */
   SendAgain,
-  /** After a pause. */
+  /** Retry after a delay. */
   SendLater,
   /** The service has failed the call as often as its route allows. */
   GiveUp
 };
 
-/** @param aErrors answers of the kind ServerError so far, this one included;
- * those that an earlier owner of the item got aren't known, so an item is given
- * up late rather than early */
+/** @param aErrors number of ServerError responses so far, including this one.
+ * Responses that an earlier owner of the item received aren't counted, so an
+ * item may be given up late but never early. */
 next_step
-DecideNext(answer_kind aKind, int aErrors, int aMaximumAttempts);
+DecideNext(response_kind aKind, int aErrors, int aMaximumAttempts);
 
-/** How long to wait before a call is sent again. The first sending may have met
- * one bad server, so the second goes at once; after that the service itself is
- * in trouble, and calls that come again at once would keep it there. */
+/** Time to wait before the next attempt. The first attempt may have met a
+ * single bad server, so the second is made at once. After that the service
+ * itself is in trouble, and immediate retries would keep it there. */
 milliseconds
-PauseBefore(next_step aStep, int aSendings);
+RetryDelay(next_step aStep, int aAttempts);
 
-/** How long a server may be silent before the call goes to another one: twice
- * the target, which all but the slowest answers keep, and at most what is
- * left. */
+/** Time after which an attempt is abandoned and the call goes to another
+ * server: twice the target latency, which all but the slowest responses meet,
+ * but no more than the time left. */
 milliseconds
-PatienceFor(milliseconds aTargetLatency, milliseconds aTimeLeft);
+AttemptTimeout(milliseconds aTargetLatency, milliseconds aTimeLeft);
 
-/** Calls that may be under way at once to servers with that many places: half
- * of them, so that callers with a target of some tens of ms find the rest. */
+/** Maximum number of open attempts to servers with the given total number of
+ * slots: half of the slots, so that callers with a target latency of some tens
+ * of ms find the other half free. */
 int
-MostUnderWay(int aPlaces);
+MaxInFlight(int aSlots);
 
 } // namespace lavender::rewards
--- a/Duties/Rewards/TestHedging.cpp
+++ b/Duties/Rewards/TestHedging.cpp
@@ -12,51 +12,52 @@
 {
   recent_durations recent;
   for (int i = 0; i < 10; ++i) {
-    NoteDuration(recent, 20ms);
+    RecordDuration(recent, 20ms);
   }
-  BOOST_TEST((HedgeAfter(recent, 800ms) == 800ms));
+  BOOST_TEST((HedgeDelay(recent, 800ms) == 800ms));
 }
 
 BOOST_AUTO_TEST_CASE(TheSecondCopyComesWhenNearlyAllOthersHadAnAnswer)
 {
   recent_durations recent;
   for (int i = 1; i <= 100; ++i) {
-    NoteDuration(recent, milliseconds(i));
+    RecordDuration(recent, milliseconds(i));
   }
-  const auto after = HedgeAfter(recent, 800ms);
+  const auto after = HedgeDelay(recent, 800ms);
   BOOST_TEST((after >= 90ms && after <= 99ms));
-  // What was long ago is forgotten.
+  // Old durations are displaced.
   for (std::size_t i = 0; i < recent_durations::kKept; ++i) {
-    NoteDuration(recent, 5ms);
+    RecordDuration(recent, 5ms);
   }
-  BOOST_TEST((HedgeAfter(recent, 800ms) == 5ms));
+  BOOST_TEST((HedgeDelay(recent, 800ms) == 5ms));
 }
 
-// A service that turns slow as a whole gets every call twice, which makes it
-// slower still: copies are a small share of the calls, whatever happens.
+// Guards against doubling the load of a service that is slow as a whole, which
+// would slow it down further: copies must stay a small share of the calls in
+// all cases.
 BOOST_AUTO_TEST_CASE(CopiesAreASmallShareOfTheCalls)
 {
   hedge_budget budget;
   int copies = 0;
   constexpr int kCalls = 1000;
   for (int i = 0; i < kCalls; ++i) {
-    NoteFirstSending(budget);
-    copies += TakeHedge(budget) ? 1 : 0;
+    RecordFirstAttempt(budget);
+    copies += ConsumeHedge(budget) ? 1 : 0;
   }
   BOOST_TEST(copies > 0);
   BOOST_TEST(copies <= kCalls / 8);
 }
 
-// Callers are turned away by a service that is full, while copies of calls
-// which it already runs take its places.
+// Guards against copies that occupy the slots of a full service while it
+// rejects other callers.
 BOOST_AUTO_TEST_CASE(AFullServiceGetsNoCopies)
 {
   hedge_budget budget;
   for (int i = 0; i < 100; ++i) {
-    NoteFirstSending(budget);
+    RecordFirstAttempt(budget);
   }
-  NoteTurnedAway(budget);
-  BOOST_TEST(!TakeHedge(budget));
+  RecordRejection(budget);
+  BOOST_TEST(!ConsumeHedge(budget));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
