--- a/Tests/Site/TestBatchOwners.cpp
+++ b/Tests/Site/TestBatchOwners.cpp
@@ -29,9 +29,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestBatchOwners)
 
-// Servers turn runs away that other places were free for, and connections are
-// opened for each step anew: a model's batches ran at whichever entry took
-// them, and none of these knew what the others had sent.
+// Guards against rejected runs while other servers have free slots, and against
+// new connections for each step: batches of one model ran at whichever entry
+// accepted them, and none of the entries knew what the others had sent.
 BOOST_AUTO_TEST_CASE(BatchesOfOneModelRunAtOneEntry)
 {
   batch_site site;
@@ -52,9 +52,9 @@
   BOOST_TEST(owners.size() == 1u);
 }
 
-// A trainer's submission fails for as long as the entry that shall own it is
-// dead, or is done elsewhere only after seconds. The entry that was asked takes
-// it, and doesn't ask the dead one again for a while.
+// Guards against submissions that fail or take seconds while their designated
+// owner is dead. The entry that received the submission accepts it, and avoids
+// the dead entry for a while.
 BOOST_AUTO_TEST_CASE(TheAskedEntryOwnsABatchWhenTheDesignatedOneIsSilent)
 {
   batch_site site;
@@ -73,8 +73,8 @@
     site.mLoop.RunUntil([&] { return asked.ListedIds("b2").size() == 3; }));
 }
 
-// The designated entry accepts a batch and its answer is lost. The batch must
-// be accepted once and run by one of the two.
+// Guards against a batch that is accepted twice after the designated owner's
+// response was lost.
 BOOST_AUTO_TEST_CASE(ALostAnswerOfTheDesignatedEntryAcceptsOnce)
 {
   batch_site site;
@@ -94,8 +94,9 @@
   }
 }
 
-// A trainer is told "not run" and the batch runs: the designated entry took the
-// submission and fell silent, and then the store turned the asked entry away.
+// Guards against a 503 ("not run") for a batch that runs: the designated owner
+// received the submission and went silent, and then the store refused the
+// receiving entry's write.
 BOOST_AUTO_TEST_CASE(ASilentDesignatedEntryLeavesNoRoomForNotRun)
 {
   for (const bool wasSent : { true, false }) {
@@ -114,9 +115,9 @@
   }
 }
 
-// A batch changes its owner again and again while its results are read: they
-// came so slowly over a narrow link that the reader's entry took the owner for
-// dead in the middle of a page, and so did the readers of the next owner.
+// Guards against repeated changes of owner while results are read over a slow
+// link: the forwarding entry took the owner for dead in the middle of a page,
+// and so did readers of the next owner.
 BOOST_AUTO_TEST_CASE(APageThatArrivesSlowlyDoesntCostItsOwnerTheBatch)
 {
   batch_site site;
@@ -133,8 +134,8 @@
   BOOST_TEST(OwnerOf(site, "b1") == "a");
 }
 
-// An entry that leaves takes no batch that another one passes on; the trainer
-// isn't sent away for that.
+// An entry that is shutting down accepts no forwarded batch, and the trainer's
+// submission still succeeds.
 BOOST_AUTO_TEST_CASE(ALeavingEntryIsntGivenBatches)
 {
   batch_site site;
@@ -146,15 +147,14 @@
   leaving.mService.StopAccepting();
   BOOST_TEST(asked.Submit("b1", 3).mAnswer.mStatus == 202u);
   BOOST_TEST(OwnerOf(site, "b1") == "b");
-  // Asked itself, it passes the batch to one that stays.
+  // A submission that it receives itself is forwarded to another entry.
   site.mWeights["b"] = 1;
   BOOST_TEST(leaving.Submit("b2", 3).mAnswer.mStatus == 202u);
   BOOST_TEST(OwnerOf(site, "b2") == "b");
 }
 
-// A step misses its time though others could list its results: its owner is cut
-// off from the store, keeps the results in memory, and answers readers as if
-// there were none.
+// Guards against a step that misses its due time because its owner can't reach
+// the store, keeps the results in memory and reports none to readers.
 BOOST_AUTO_TEST_CASE(AnOwnerThatCantStoreHandsItsBatchesOverUnasked)
 {
   batch_site site;
@@ -171,15 +171,15 @@
     site.mLoop.RunUntil([&] { return OwnerOf(site, "b1") == "b"; }, 3s));
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return other.ListedIds("b1").size() == 4; }));
-  // Back again, it asks the new owner as any other entry does.
+  // Once it can store again, it forwards calls to the new owner.
   owner.mCanStore = true;
   BOOST_TEST(owner.ListedIds("b1").size() == 4u);
   BOOST_TEST(OwnerOf(site, "b1") == "b");
 }
 
-// A trainer's submission is refused for as long as the entry that it reached is
-// cut off from the store, though others would take it. The first one that is
-// asked instead may be cut off too.
+// Guards against refusing submissions while the receiving entry can't reach the
+// store although other entries can. The first entry that is asked instead may
+// be cut off as well.
 BOOST_AUTO_TEST_CASE(NewBatchesGoToAnEntryThatCanStore)
 {
   batch_site site;
@@ -188,16 +188,17 @@
   constexpr double kPreferred = 1e9;
   site.mWeights["b"] = kPreferred;
   batch_entry asked(site, "a");
-  batch_entry cutOff(site, "b");
-  batch_entry fit(site, "c");
-  asked.mCanStore = cutOff.mCanStore = false;
+  batch_entry unableToStore(site, "b");
+  batch_entry ableToStore(site, "c");
+  asked.mCanStore = unableToStore.mCanStore = false;
   BOOST_TEST(asked.Submit("b1", 3).mAnswer.mStatus == 202u);
   BOOST_TEST(OwnerOf(site, "b1") == "c");
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return asked.ListedIds("b1").size() == 3; }));
 }
 
-// The store serves nobody: batches are refused at once, not sent about.
+// No entry can reach the store: the batch is refused at once instead of being
+// forwarded in turn.
 BOOST_AUTO_TEST_CASE(ABatchThatNobodyCanStoreIsRefusedAtOnce)
 {
   batch_site site;
@@ -212,9 +213,9 @@
   BOOST_TEST(!IsAccepted(site, "b1"));
 }
 
-// A step ends seconds late though its entry was back at once: the one that ran
-// it was killed, and the long runs began anew. What they had made is stored now
-// and then, and the next owner goes on after the last stored event.
+// Guards against restarting long runs after their owner was killed, which
+// delayed steps by seconds. The generated text is stored periodically, and the
+// next owner resumes after the last stored event.
 BOOST_AUTO_TEST_CASE(ALongRunGoesOnWhereItsOwnerDied)
 {
   batch_site site;
@@ -237,7 +238,7 @@
   BOOST_TEST(OwnerOf(site, "b1") == "b");
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return second.ListedIds("b1").size() == 2; }));
-  // A run from nothing is one that the first owner began.
+  // The first of the two runs is the first owner's.
   BOOST_TEST(server.mRuns.at("b1i0") == 2);
   BOOST_TEST(server.mAfterEvents.at("b1i0").back() >= 10);
   const auto page = second.Read("b1", 0);
@@ -251,8 +252,8 @@
   }
 }
 
-// An entry that is told to end gives its batches away in time, and the runs
-// that are under way begin anew elsewhere: it stores them first.
+// Guards against restarting the running items when an entry shuts down: it
+// stores their texts before it hands its batches over.
 BOOST_AUTO_TEST_CASE(AnEntryThatLeavesHandsItsTextsOver)
 {
   batch_site site;
--- a/Tests/Site/TestBatchPositions.cpp
+++ b/Tests/Site/TestBatchPositions.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/** Takes a batch away from its owner, as another entry's claim would. */
+/** Changes the owner of a batch in the store, as another entry's claim does. */
 void
-GiveTo(batch_site& aSite, const std::string& aBatchId, const char* aOwner)
+ChangeOwner(batch_site& aSite, const std::string& aBatchId, const char* aOwner)
 {
   auto& object = aSite.mState.mKinds["batches"].at(aBatchId);
   object.mRevision = ++aSite.mState.mRevision;
@@ -50,10 +50,10 @@
              id + "-1\n" + id + "-2\n" + id + "-3\n" + id + "-4");
 }
 
-// A trainer reads results, and later another result stands at a position that
-// it had read. An entry loses a batch to another one while it loads it and
-// gets it back at once; the answers of the store to the first load came into
-// the log of the second, which shifted the numbers of its blocks.
+// Guards against results that change their position after a trainer has read
+// them. An entry lost a batch while loading it and got it back at once; the
+// store's responses to the first load were applied to the log of the second and
+// shifted its block numbers.
 BOOST_AUTO_TEST_CASE(ABatchLostAndRegainedWhileLoadingKeepsItsPositions)
 {
   batch_site site;
@@ -62,54 +62,54 @@
   site.Add(server);
   site.mState.mLatency = 15ms;
   batch_entry owner(site, "a");
-  const auto pass = [&](milliseconds aTime) {
+  const auto runFor = [&](milliseconds aTime) {
     site.mLoop.RunUntil([] { return false; }, aTime);
   };
   BOOST_TEST(owner.Submit("b1", 60).mAnswer.mStatus == 202u);
   std::vector<std::string> seen;
   for (int turn = 0; turn < 12; ++turn) {
-    GiveTo(site, "b1", "b");
-    pass(40ms);
-    // Two loads overlap: the read starts one, the loss and the next read come
-    // before the store has answered it.
-    GiveTo(site, "b1", "a");
-    pass(20ms);
+    ChangeOwner(site, "b1", "b");
+    runFor(40ms);
+    // Two loads overlap: the read starts a load, and the loss of the batch and
+    // the next read come before the store's response.
+    ChangeOwner(site, "b1", "a");
+    runFor(20ms);
     owner.StartReading("b1");
-    pass(milliseconds(2 + turn));
-    GiveTo(site, "b1", "b");
-    GiveTo(site, "b1", "a");
-    pass(20ms);
+    runFor(milliseconds(2 + turn));
+    ChangeOwner(site, "b1", "b");
+    ChangeOwner(site, "b1", "a");
+    runFor(20ms);
     owner.StartReading("b1");
     BOOST_TEST(site.mLoop.RunUntil([&] {
       const auto now = owner.ListedIds("b1");
-      const bool isWhole = now.size() >= seen.size();
-      seen = isWhole ? now : seen;
-      return isWhole;
+      const bool isComplete = now.size() >= seen.size();
+      seen = isComplete ? now : seen;
+      return isComplete;
     }));
-    pass(250ms);
+    runFor(250ms);
   }
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return owner.ListedIds("b1").size() == 60; }));
   BOOST_TEST(IsPrefix(seen, owner.ListedIds("b1")));
-  // What the store holds alone gives the same positions.
-  GiveTo(site, "b1", "c");
+  // A log that is loaded from the store has the same positions.
+  ChangeOwner(site, "b1", "c");
   batch_entry reader(site, "c");
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return reader.ListedIds("b1").size() == 60; }));
   BOOST_TEST(reader.ListedIds("b1") == owner.ListedIds("b1"));
 }
 
-// A trainer has read all results of a step, and later the last one is missing.
-// Its batch had changed its owner; the entry that had it before didn't know yet
-// and listed one more block, which the new owner, having loaded the batch just
-// before, never saw: it writes nothing more once the batch is ended.
+// Guards against a result that disappears after it was read. The batch had
+// changed its owner; the previous owner didn't know yet and listed one more
+// block. The new owner had just loaded the batch and never saw that block,
+// since it writes nothing once the batch has ended.
 BOOST_AUTO_TEST_CASE(WhatAnEarlierOwnerListedLateIsShown)
 {
   for (const bool isEnded : { true, false }) {
     batch_site site;
     batch_entry first(site, "a");
     BOOST_TEST(first.Submit("b1", 3).mAnswer.mStatus == 202u);
-    GiveTo(site, "b1", "b");
+    ChangeOwner(site, "b1", "b");
     batch_entry owner(site, "b");
     BOOST_TEST(owner.ListedIds("b1").empty());
     BOOST_TEST((!isEnded || owner.End("b1") == 200u));
@@ -132,14 +132,14 @@
   }
 }
 
-// While the store can't be asked, an owner that doesn't know whether another
-// one listed more says so instead of showing less than was shown.
+// While the store is unavailable, an owner that can't know whether another
+// entry listed more results responds with 503 instead of an incomplete page.
 BOOST_AUTO_TEST_CASE(AnOwnerThatCantBeSureOfTheEndSaysSo)
 {
   batch_site site;
   batch_entry first(site, "a");
   BOOST_TEST(first.Submit("b1", 3).mAnswer.mStatus == 202u);
-  GiveTo(site, "b1", "b");
+  ChangeOwner(site, "b1", "b");
   batch_entry owner(site, "b");
   BOOST_TEST(owner.ListedIds("b1").empty());
   site.mLoop.RunUntil([] { return false; }, 600ms);
@@ -156,8 +156,8 @@
   BOOST_TEST(read() == 200u);
 }
 
-// A trainer waits for a step while its entry has died. Whoever is asked next
-// takes the batch over and goes on after what was listed.
+// Guards against a step that never ends because its owner died. The entry that
+// is asked next takes the batch over and continues after the listed results.
 BOOST_AUTO_TEST_CASE(AnotherEntryTakesOverWhenTheOwnerIsSilent)
 {
   batch_site site;
@@ -177,9 +177,9 @@
   BOOST_TEST(IsPrefix(before, other.ListedIds("b1")));
 }
 
-// A trainer submits a batch and the store's answer to it is lost, or comes to
-// pass late. The batch must be accepted once, whatever the trainer is told,
-// and no 503 may be given for one that runs.
+// The store's response to the write of the metadata is lost, or the write takes
+// effect late. The batch must be accepted only once, and a batch that runs must
+// not be refused with 503.
 BOOST_AUTO_TEST_CASE(ALostAnswerToTheHeadNeverMakesARefusedBatchRun)
 {
   for (const auto fault : { standin::store_fault::LoseAnswers,
@@ -206,8 +206,8 @@
   }
 }
 
-// A server dies in the middle of an event. The text must go on after the last
-// whole one, with neither a gap nor a doubled event.
+// A server dies in the middle of an event. The text must continue after the
+// last complete event, with neither a gap nor a duplicated event.
 BOOST_AUTO_TEST_CASE(ABrokenStreamGoesOnAfterItsLastWholeEvent)
 {
   batch_site site;
@@ -227,8 +227,9 @@
   }
 }
 
-// A trainer ends a batch and its items go on to use the servers. The runs must
-// be cut when the end is asked for, not when the store has taken it.
+// Guards against items that keep using servers after their batch was ended.
+// Runs must be cancelled when the end is requested, not when the store has
+// recorded it.
 BOOST_AUTO_TEST_CASE(AnEndCutsTheRunsEvenWhileTheStoreIsSilent)
 {
   batch_site site;
@@ -247,9 +248,9 @@
   BOOST_TEST(entry.End("b1") == 200u);
 }
 
-// An item that fails on every server must not be tried for ever, and is given
-// up only after twice the failures that its route names, since most come from
-// a few bad servers; three times as many would break the operators' limit.
+// An item that fails on every server must be given up eventually, but only
+// after twice the failures that its route allows, since most failures come from
+// a few bad servers. Three times as many would exceed the operators' limit.
 BOOST_AUTO_TEST_CASE(AnItemThatAlwaysFailsIsGivenUpInTheEnd)
 {
   batch_site site;
@@ -267,8 +268,8 @@
   }
 }
 
-// A trainer that asked for samples of one version each gets one whose text was
-// made under two: its server changed its weights in the middle of the run.
+// Guards against a text of two weights versions where the route asks for one:
+// the server changed its weights during the run.
 BOOST_AUTO_TEST_CASE(AMixedTextIsMadeAnewWhereOneVersionIsAskedFor)
 {
   for (const bool isSingle : { true, false }) {
@@ -298,8 +299,8 @@
   }
 }
 
-// A server that loads weights, or is full, turns a burst of runs away again and
-// again: each time its pause ended, all its places were tried at once.
+// Guards against bursts of rejected runs at a server that is full or loading
+// weights: each time its delay ended, all its slots were tried at once.
 BOOST_AUTO_TEST_CASE(AServerThatTurnedRunsAwayIsTriedWithOne)
 {
   constexpr int kItems = 24;
@@ -310,20 +311,20 @@
   server.mIsFull = true;
   BOOST_TEST(entry.Submit("b1", kItems).mAnswer.mStatus == 202u);
   BOOST_TEST(site.mLoop.RunUntil([&] { return server.mTurnedAway >= kItems; }));
-  // The burst at the start was sent before anything was known. From then on
-  // one goes with each look, of which there are at most ten a second.
+  // The initial burst was sent before the server was known to be full. After
+  // it, each dispatch sends one probe run, at most ten times a second.
   const auto start = boot_clock::now();
   site.mLoop.RunUntil([] { return false; }, 1s);
-  const auto looks = (boot_clock::now() - start) / 100ms;
-  BOOST_TEST(server.mTurnedAway <= kItems + 1 + looks);
+  const auto dispatches = (boot_clock::now() - start) / 100ms;
+  BOOST_TEST(server.mTurnedAway <= kItems + 1 + dispatches);
   BOOST_TEST(server.mTurnedAway > kItems);
   server.mIsFull = false;
   BOOST_TEST(site.mLoop.RunUntil(
     [&] { return entry.ListedIds("b1").size() == kItems; }));
 }
 
-// An entry's memory grows with every server that ever ran an item there:
-// servers start anew under other names all day.
+// Guards against memory that grows with every server that ever ran an item:
+// servers restart under new names all day.
 BOOST_AUTO_TEST_CASE(ServersThatAreNoMoreAreForgotten)
 {
   batch_site site;
@@ -344,9 +345,9 @@
   BOOST_TEST(entry.mRunner.KnownServers() == 0u);
 }
 
-// A trainer finds an item given up seconds before its time: the clock of the
-// entry that accepted the batch was behind, that of the entry which runs it is
-// ahead, and the age of the batch is their difference.
+// Guards against giving an item up seconds early: the clock of the accepting
+// entry was behind and that of the running entry ahead, and the batch's age is
+// their difference.
 BOOST_AUTO_TEST_CASE(AnItemIsntGivenUpEarlyBecauseClocksDiffer)
 {
   for (const auto& [age, isGivenUp] :
@@ -359,7 +360,7 @@
       std::chrono::system_clock::now().time_since_epoch() - age);
     auto& head = site.mState.mKinds["batches"].at("b1");
     head.mSpec.Set("submittedMs", std::int64_t{ submitted.count() });
-    GiveTo(site, "b1", "b");
+    ChangeOwner(site, "b1", "b");
     batch_entry other(site, "b");
     const bool isListed = site.mLoop.RunUntil(
       [&] { return other.ListedIds("b1").size() == 3; }, isGivenUp ? 20s : 2s);
--- a/Tests/Site/TestDecisions.cpp
+++ b/Tests/Site/TestDecisions.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 forwarding::attempt_end
-AnyEnd()
+GenerateAttemptEnd()
 {
   forwarding::attempt_end end;
   end.mEnd = *rc::gen::element(edge::call_end::Complete,
@@ -31,19 +31,19 @@
 }
 
 batches::version_parser
-ReadNoVersion()
+VersionParser()
 {
   return platform::MakeExchangeProtocol().mReadVersionLine;
 }
 
-/** All events of a stream that arrives in these pieces. */
+/** Returns the events of a stream that arrives in these chunks. */
 std::vector<batches::stream_event>
-Events(const std::vector<std::string>& aPieces)
+ParseEvents(const std::vector<std::string>& aChunks)
 {
   batches::event_stream stream;
   std::vector<batches::stream_event> events;
-  for (const auto& piece : aPieces) {
-    batches::ParseChunk(stream, piece, ReadNoVersion(), [&](auto&& aEvent) {
+  for (const auto& chunk : aChunks) {
+    batches::ParseChunk(stream, chunk, VersionParser(), [&](auto&& aEvent) {
       events.push_back(std::move(aEvent));
     });
   }
@@ -63,13 +63,13 @@
 
 BOOST_AUTO_TEST_SUITE(TestDecisions)
 
-/** A request that may run once never goes to a second server unless the first
- * says that it didn't run it, and no refusal says "not run" of one that may
- * have. */
+/** A request that may run only once goes to a second server only if the first
+ * one states that it didn't execute it, and no refusal says "not run" of a
+ * request that may have run. */
 BOOST_AUTO_TEST_CASE(NothingRunsTwiceOrIsFalselyCalledNotRun)
 {
   BOOST_TEST(rc::check("attempts", [] {
-    const auto end = AnyEnd();
+    const auto end = GenerateAttemptEnd();
     forwarding::attempt_budget budget;
     budget.mRepetition = *rc::gen::element(site::repetition::Idempotent,
                                            site::repetition::AtMostOnce);
@@ -97,8 +97,8 @@
   }));
 }
 
-/** However a stream is cut into pieces, the same events come out; a part of
- * one at its end never does. */
+/** The same events result however a stream is split into chunks, and an
+ * incomplete event at its end is never reported. */
 BOOST_AUTO_TEST_CASE(EventsDontDependOnHowTheBytesArrive)
 {
   BOOST_TEST(rc::check("streams", [] {
@@ -112,26 +112,26 @@
         "id: " + std::to_string(i) + "\ndata: text " + std::to_string(i) + "\n";
       bytes += *rc::gen::arbitrary<bool>() ? "data:more\n\n" : "\n";
     }
-    const auto whole = Events({ bytes + "id: 99\ndata: half" });
+    const auto whole = ParseEvents({ bytes + "id: 99\ndata: half" });
     RC_ASSERT(whole.size() == static_cast<std::size_t>(count));
-    std::vector<std::string> pieces;
+    std::vector<std::string> chunks;
     for (std::size_t start = 0; start < bytes.size();) {
       const auto size = *rc::gen::inRange<std::size_t>(1, 12);
-      pieces.push_back(bytes.substr(start, size));
+      chunks.push_back(bytes.substr(start, size));
       start += size;
     }
-    const auto cut = Events(pieces);
-    RC_ASSERT(cut.size() == whole.size());
-    for (std::size_t i = 0; i < cut.size(); ++i) {
-      RC_ASSERT(cut[i].mId == whole[i].mId);
-      RC_ASSERT(cut[i].mData == whole[i].mData);
-      RC_ASSERT(cut[i].mVersion == whole[i].mVersion);
+    const auto fromChunks = ParseEvents(chunks);
+    RC_ASSERT(fromChunks.size() == whole.size());
+    for (std::size_t i = 0; i < fromChunks.size(); ++i) {
+      RC_ASSERT(fromChunks[i].mId == whole[i].mId);
+      RC_ASSERT(fromChunks[i].mData == whole[i].mData);
+      RC_ASSERT(fromChunks[i].mVersion == whole[i].mVersion);
     }
   }));
 }
 
-/** An item is never placed on a server that is full, blocked, in another pool
- * or too old, and a slow one only when no other has room. */
+/** An item is never sent to a server that is full, blocked, in another pool or
+ * too old, and to a slow one only if no other server has room. */
 BOOST_AUTO_TEST_CASE(ItemsGoOnlyWhereTheyMayRun)
 {
   BOOST_TEST(rc::check("schedule", [] {
@@ -177,8 +177,9 @@
   }));
 }
 
-// An entry's memory grows by every group it ever ran and ends the process in
-// weeks. Groups that weren't used for a minute are forgotten, the others kept.
+// Guards against memory that grows with every group that an entry ever ran,
+// which ended the process within weeks. Groups that haven't been used for a
+// minute are forgotten.
 BOOST_AUTO_TEST_CASE(GroupsOfLongAgoAreForgotten)
 {
   const auto now = boot_clock::now();
@@ -210,7 +211,8 @@
   BOOST_TEST(!site::FindRoute(configuration, "other", "/a/"));
 }
 
-/** In whatever order versions arrive, what is in force never goes back. */
+/** The configuration in force never goes back to an older version, in whatever
+ * order versions arrive. */
 BOOST_AUTO_TEST_CASE(ConfigurationNeverReverts)
 {
   BOOST_TEST(rc::check("versions", [] {
@@ -227,9 +229,9 @@
   }));
 }
 
-// Callers get "no server" after an outage of the store: the servers' entries
-// lapsed meanwhile, and are back a moment later. They are kept for two seconds
-// after the store's return; what is missing then is gone.
+// Guards against "no server" responses after an outage of the store, during
+// which the servers' entries expired. Entries are kept for two seconds after
+// the store's return; those still missing then are removed.
 BOOST_AUTO_TEST_CASE(EntriesThatLapsedInAnOutageAreKeptForAMoment)
 {
   const auto start = boot_clock::now();
@@ -249,8 +251,8 @@
   BOOST_TEST(directory.mRows.empty());
 }
 
-// Another writer leaves entries with fields missing or of another type; none
-// of them may get a request.
+// Entries written by others may lack fields or have fields of the wrong type.
+// Such a server must not get requests.
 BOOST_AUTO_TEST_CASE(MalformedServerEntriesNameNoServer)
 {
   const std::string good =
@@ -277,8 +279,8 @@
   BOOST_TEST(!decode("[]"));
 }
 
-// A caller's key must not reach a server, and a caller must not choose the
-// customer, the server or the time that the server works for.
+// A caller's API key must not reach a server, and a caller must not choose the
+// customer, the server or the deadline of a request.
 BOOST_AUTO_TEST_CASE(WhatACallerSaysOfItselfIsReplaced)
 {
   edge::request request;
@@ -304,8 +306,8 @@
   BOOST_TEST(sent.mHeaders.ValueOr("X-Attempt-Id", "") == "a1");
 }
 
-/** Windows follow each other without a gap, and entries act one after the
- * other, all within the time that a report may take. */
+/** Usage windows are contiguous, and entries report one after the other, all
+ * within the time that a report may take. */
 BOOST_AUTO_TEST_CASE(WindowsAndPlacesAreInOrder)
 {
   BOOST_TEST(rc::check("windows", [] {
--- a/Tests/Site/TestRewards.cpp
+++ b/Tests/Site/TestRewards.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/** A site whose items are scored by servers of a plain service. */
+/** A site with one model server, whose items are scored by servers of a plain
+ * service. */
 struct reward_site : batch_site
 {
   reward_site()
@@ -20,7 +21,7 @@
     batch_site::Add(mEngine);
   }
 
-  /** Results of a batch once it has that many. */
+  /** Waits until a batch has that many results, and returns them. */
   std::vector<json::value> Results(batch_entry& aEntry,
                                    const std::string& aBatchId,
                                    std::size_t aCount)
@@ -86,9 +87,9 @@
   BOOST_TEST(!seen[0].mHeaders.Find("Authorization"));
 }
 
-// A trainer waits for a group for good: one item's reward call fails each time.
-// The item is given up after as many errors as the call's route allows, not
-// before and not after, and the others are listed with their scores.
+// Guards against a group that never completes because one item's reward call
+// always fails. The item is given up after exactly as many errors as the call's
+// route allows, and the other items are listed with their scores.
 BOOST_AUTO_TEST_CASE(ACallThatAlwaysFailsEndsItsItemAfterItsAttempts)
 {
   reward_site site;
@@ -113,39 +114,39 @@
   }
 }
 
-// Samples are lost though their text is whole: servers behind the reward calls
-// reset, give another call's answer, are full or go silent. None of this is a
-// failure of the call, which goes on at another server.
+// Guards against losing samples whose text is complete because reward servers
+// reset connections, respond to another call, are full or go silent. None of
+// these counts as a failure of the call, which is retried at another server.
 BOOST_AUTO_TEST_CASE(FaultsOfAServerDontLoseTheSample)
 {
   const auto abort = [](const edge::exchange_ptr& aExchange) {
     aExchange->Abort();
   };
-  const auto answerAnother = [](const edge::exchange_ptr& aExchange) {
+  const auto respondToAnotherCall = [](const edge::exchange_ptr& aExchange) {
     auto answer = plain_server::Answer(aExchange, 200);
     answer.mHeaders.Set("X-Attempt-Id", "another");
     aExchange->Answer(std::move(answer));
   };
-  const auto failAnother = [](const edge::exchange_ptr& aExchange) {
+  const auto failAnotherCall = [](const edge::exchange_ptr& aExchange) {
     auto answer = plain_server::Answer(aExchange, 500);
     answer.mHeaders.Set("X-Attempt-Id", "another");
     aExchange->Answer(std::move(answer));
   };
-  const auto turnAway = [](const edge::exchange_ptr& aExchange) {
+  const auto reject = [](const edge::exchange_ptr& aExchange) {
     aExchange->Answer(plain_server::TurnAway(aExchange));
   };
   for (const std::function<void(const edge::exchange_ptr&)>& fault :
        { std::function<void(const edge::exchange_ptr&)>(abort),
-         std::function<void(const edge::exchange_ptr&)>(answerAnother),
-         std::function<void(const edge::exchange_ptr&)>(failAnother),
-         std::function<void(const edge::exchange_ptr&)>(turnAway),
+         std::function<void(const edge::exchange_ptr&)>(respondToAnotherCall),
+         std::function<void(const edge::exchange_ptr&)>(failAnotherCall),
+         std::function<void(const edge::exchange_ptr&)>(reject),
          std::function<void(const edge::exchange_ptr&)>(kStaySilent) }) {
     reward_site site;
     plain_server bad(site.mLoop);
-    plain_server sound(site.mLoop);
+    plain_server healthy(site.mLoop);
     bad.mServe = fault;
     site.Add(bad, "p1");
-    site.Add(sound, "p2");
+    site.Add(healthy, "p2");
     batch_entry entry(site, "a");
     entry.Submit("b1", 12);
     BOOST_TEST(CountScored(site.Results(entry, "b1", 12)) == 12);
@@ -153,46 +154,48 @@
   }
 }
 
-// Shopkeepers wait for a price while a step's texts end together: their reward
-// calls took every place of the service that both use.
+// Guards against reward calls that occupy all slots of a service when many
+// texts of a step are completed together, so that the service's other callers
+// have to wait.
 BOOST_AUTO_TEST_CASE(AWaveOfCallsLeavesPlacesForOthers)
 {
   reward_site site;
   std::vector<std::unique_ptr<plain_server>> servers;
-  std::vector<edge::exchange_ptr> held;
-  std::size_t most = 0;
+  std::vector<edge::exchange_ptr> openExchanges;
+  std::size_t maxInFlight = 0;
   constexpr int kServers = 4;
   for (int i = 0; i < kServers; ++i) {
     servers.push_back(std::make_unique<plain_server>(site.mLoop));
     servers.back()->mServe = [&](const edge::exchange_ptr& aExchange) {
-      held.push_back(aExchange);
-      most = std::max(most, held.size());
+      openExchanges.push_back(aExchange);
+      maxInFlight = std::max(maxInFlight, openExchanges.size());
     };
     site.Add(*servers.back(), "p" + std::to_string(i));
   }
   batch_entry entry(site, "a");
   entry.Submit("b1", 60);
-  constexpr std::size_t kHalfOfThePlaces = 8;
+  constexpr std::size_t kHalfOfTheSlots = 8;
   while (entry.ListedIds("b1").size() < 60) {
-    site.mLoop.RunUntil([&] { return held.size() >= kHalfOfThePlaces; }, 60ms);
-    for (const auto& exchange : std::exchange(held, {})) {
+    site.mLoop.RunUntil([&] { return openExchanges.size() >= kHalfOfTheSlots; },
+                        60ms);
+    for (const auto& exchange : std::exchange(openExchanges, {})) {
       exchange->Answer(plain_server::Answer(exchange, 200));
     }
   }
-  BOOST_TEST(most <= kHalfOfThePlaces);
-  BOOST_TEST(most > kHalfOfThePlaces / 2);
+  BOOST_TEST(maxInFlight <= kHalfOfTheSlots);
+  BOOST_TEST(maxInFlight > kHalfOfTheSlots / 2);
 }
 
-// Work is done for nobody: a batch has ended, and the calls that score its
-// texts go on, or begin.
+// Guards against reward calls that continue or start after their batch has
+// ended.
 BOOST_AUTO_TEST_CASE(AnEndedBatchMakesNoMoreCalls)
 {
   reward_site site;
   plain_server service(site.mLoop);
   site.Add(service, "p1");
-  std::vector<edge::exchange_ptr> held;
+  std::vector<edge::exchange_ptr> openExchanges;
   service.mServe = [&](const edge::exchange_ptr& aExchange) {
-    held.push_back(aExchange);
+    openExchanges.push_back(aExchange);
   };
   batch_entry entry(site, "a");
   entry.Submit("b1", 20);
@@ -204,9 +207,9 @@
   BOOST_TEST(entry.mRewards.Open() == 0u);
 }
 
-// The entry that runs a batch goes silent while most texts wait for their
-// scores. The next one runs them again, and each result is listed once, with
-// the score of a call that was made for it.
+// The owner goes silent while most texts wait for their scores. The next owner
+// makes the reward calls again, and each result is listed once, with the score
+// of its own call.
 BOOST_AUTO_TEST_CASE(TheNextOwnerScoresWhatTheLastOneLeft)
 {
   reward_site site;
@@ -230,8 +233,8 @@
   BOOST_TEST(std::set<std::string>(ids.begin(), ids.end()).size() == 12u);
 }
 
-// The operator moves the reward calls to another service: a call that is sent
-// after that goes there, though its text was made before.
+// The operator routes the reward calls to another service. A call that is sent
+// after that goes to the new service, even if its text was completed before.
 BOOST_AUTO_TEST_CASE(ACallFollowsItsRoute)
 {
   reward_site site;
@@ -249,7 +252,7 @@
   BOOST_TEST(after.mRequests == 4);
 }
 
-// A scored sample is read back by another entry with the score it had.
+// Another entry returns a scored sample with its score.
 BOOST_AUTO_TEST_CASE(ScoresAreListedWithTheTexts)
 {
   reward_site site;
--- a/Tests/Site/TestSubmissions.cpp
+++ b/Tests/Site/TestSubmissions.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/** Why a submission with these items can't be read; empty when it can. */
+/** Returns the reason for which a submission with these items is invalid; empty
+ * if it is valid. */
 std::string
 ProblemWith(const std::string& aItems)
 {
@@ -25,8 +26,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestSubmissions)
 
-// A trainer waits for a step that never ends: one item's body can't be decoded,
-// so no server was ever sent it. It is told at once what is wrong instead.
+// Guards against a step that never ends: an item's body couldn't be decoded, so
+// the item was never sent to a server. Such a submission must be refused with
+// an error that names the item.
 BOOST_AUTO_TEST_CASE(ABodyThatCantBeDecodedIsRefusedAtOnce)
 {
   BOOST_TEST(ProblemWith(Item("i1", "aGVsbG8=")) == "");
@@ -38,16 +40,17 @@
   }
 }
 
-// A trainer waits for as many results as it submitted items, and two of them
-// bear one id: a result is listed once for each id.
+// Guards against a step that never ends because two items have the same id: a
+// result is listed once for each id.
 BOOST_AUTO_TEST_CASE(AnIdThatStandsTwiceIsRefusedAtOnce)
 {
   const auto problem = ProblemWith(Item("i1", "") + "," + Item("i1", ""));
   BOOST_TEST(problem.find("i1") != std::string::npos);
 }
 
-// A trainer waits for a score that never comes: the call that shall bring it
-// can't be made. It is told at once what is wrong instead.
+// Guards against waiting for a score that never arrives because the reward call
+// is malformed. Such a submission must be refused with an error that names the
+// item.
 BOOST_AUTO_TEST_CASE(ARewardCallThatCantBeMadeIsRefusedAtOnce)
 {
   const auto with = [](const std::string& aId, const std::string& aScorer) {
