--- a/Duties/Batches/BatchAdmission.cpp
+++ b/Duties/Batches/BatchAdmission.cpp
@@ -74,7 +74,7 @@
     return;
   }
   const auto name = ItemsName(aAdmission->mHead.mId, static_cast<int>(aPart));
-  const auto take =
+  const auto handleReply =
     [this, aAdmission, aPart](const objects::object_reply& aReply) {
       // On a conflict, an earlier submission of the same batch has written the
       // same items.
@@ -91,13 +91,13 @@
     kItemsKind,
     name,
     aAdmission->mItems[aPart],
-    [this, aAdmission, name, take](const objects::object_reply& aReply) {
+    [this, aAdmission, name, handleReply](const objects::object_reply& aReply) {
       if (aReply.mOutcome == store_outcome::Unknown &&
           aAdmission->mTriesLeft-- > 0) {
         mParts.mStore.mGet(
-          kItemsKind, name, objects::freshness::Linearizable, take);
+          kItemsKind, name, objects::freshness::Linearizable, handleReply);
       } else {
-        take(aReply);
+        handleReply(aReply);
       }
     });
 }
--- a/Duties/Batches/BatchLoading.cpp
+++ b/Duties/Batches/BatchLoading.cpp
@@ -41,21 +41,21 @@
   aBatch->mLog = {};
   aBatch->mStored.clear();
   ++aBatch->mGeneration;
-  auto gathered = std::make_shared<submission>();
-  gathered->mId = aBatch->mHead.mId;
-  gathered->mModel = aBatch->mHead.mModel;
-  gathered->mMinimumVersion = aBatch->mHead.mMinimumVersion;
-  gathered->mTargetGroups = aBatch->mHead.mTargetGroups;
-  LoadItems(aBatch, gathered, 0);
+  auto loaded = std::make_shared<submission>();
+  loaded->mId = aBatch->mHead.mId;
+  loaded->mModel = aBatch->mHead.mModel;
+  loaded->mMinimumVersion = aBatch->mHead.mMinimumVersion;
+  loaded->mTargetGroups = aBatch->mHead.mTargetGroups;
+  LoadItems(aBatch, loaded, 0);
 }
 
 void
 batch_service::LoadItems(const batch_ptr& aBatch,
-                         std::shared_ptr<submission> aGathered,
+                         std::shared_ptr<submission> aLoaded,
                          int aPart)
 {
   if (aPart == aBatch->mHead.mParts) {
-    aBatch->mSubmission = aGathered;
+    aBatch->mSubmission = aLoaded;
     LoadResults(aBatch);
     return;
   }
@@ -65,10 +65,10 @@
     objects::freshness::Linearizable,
     IfSameGeneration(
       aBatch,
-      [this, aBatch, aGathered, aPart](const objects::object_reply& aReply) {
+      [this, aBatch, aLoaded, aPart](const objects::object_reply& aReply) {
         if (aReply.mOutcome == store_outcome::Done &&
-            DecodeItems(aReply.mObject, *aGathered)) {
-          LoadItems(aBatch, aGathered, aPart + 1);
+            DecodeItems(aReply.mObject, *aLoaded)) {
+          LoadItems(aBatch, aLoaded, aPart + 1);
         } else {
           FinishLoad(aBatch, false);
         }
@@ -78,7 +78,7 @@
 void
 batch_service::LoadResults(const batch_ptr& aBatch)
 {
-  const auto take = [this, aBatch](const objects::object_reply& aReply) {
+  const auto handleReply = [this, aBatch](const objects::object_reply& aReply) {
     if (aReply.mOutcome == store_outcome::NotFound) {
       FinishLoad(aBatch, true);
       return;
@@ -101,7 +101,7 @@
   mParts.mStore.mGet(kResultsKind,
                      ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
                      objects::freshness::Linearizable,
-                     IfSameGeneration(aBatch, take));
+                     IfSameGeneration(aBatch, handleReply));
 }
 
 void
--- a/Duties/Batches/BatchRewards.cpp
+++ b/Duties/Batches/BatchRewards.cpp
@@ -60,7 +60,7 @@
     events::line("item_unscored")
       .With("request", item->mItem->mId)
       .With("batch", aRef.mBatchId)
-      .With("reason", "its reward call failed too often");
+      .With("reason", "its reward call failed as often as its route allows");
   }
   const auto end = aScore ? item_end::Completed : item_end::GivenUp;
   FinishItem(batch, *item, end, std::move(aScore));
--- a/Duties/Batches/BatchService.h
+++ b/Duties/Batches/BatchService.h
@@ -256,7 +256,7 @@
   void Load(const batch_ptr& aBatch, std::function<void(bool)> aDone);
   void StartLoad(const batch_ptr& aBatch);
   void LoadItems(const batch_ptr& aBatch,
-                 std::shared_ptr<submission> aGathered,
+                 std::shared_ptr<submission> aLoaded,
                  int aPart);
   void LoadResults(const batch_ptr& aBatch);
   void FinishLoad(const batch_ptr& aBatch, bool aIsLoaded);
