--- a/Duties/Batches/Batch.h
+++ b/Duties/Batches/Batch.h
@@ -58,7 +58,7 @@
 
 /** Metadata of an accepted batch, including its owner. Stored as an object of
  * its own, separate from the items and the results. */
-struct batch_head
+struct batch_metadata
 {
   std::string mId;
   std::string mCustomer;
@@ -82,7 +82,7 @@
 /** Time since the batch was submitted. Inexact by the clock difference between
  * this instance and the one that accepted the batch. */
 milliseconds
-AgeOf(const batch_head& aHead);
+AgeOf(const batch_metadata& aHead);
 
 /** Result of one item. */
 struct item_result
@@ -98,12 +98,12 @@
 };
 
 /** Kinds of the stored objects. */
-constexpr char kHeadKind[] = "batches";
-constexpr char kItemsKind[] = "batchitems";
-constexpr char kResultsKind[] = "batchresults";
+constexpr char kBatchMetadataKind[] = "batches";
+constexpr char kBatchItemsKind[] = "batchitems";
+constexpr char kBatchResultsKind[] = "batchresults";
 
 /** Whether an id may be used as part of an object name and of a URL path. */
 bool
-IsUsableId(const std::string& aId);
+IsValidId(const std::string& aId);
 
 } // namespace lavender::batches
--- a/Duties/Batches/BatchAdmission.cpp
+++ b/Duties/Batches/BatchAdmission.cpp
@@ -23,7 +23,7 @@
 struct batch_service::admission
 {
   edge::exchange_ptr mExchange;
-  batch_head mHead;
+  batch_metadata mHead;
   std::shared_ptr<submission> mSubmission;
   std::vector<std::string> mItems;
   int mTriesLeft = kMaxTries;
@@ -73,7 +73,8 @@
     WriteHead(aAdmission);
     return;
   }
-  const auto name = ItemsName(aAdmission->mHead.mId, static_cast<int>(aPart));
+  const auto name =
+    ItemsObjectName(aAdmission->mHead.mId, static_cast<int>(aPart));
   const auto handleReply =
     [this, aAdmission, aPart](const objects::object_reply& aReply) {
       // On a conflict, an earlier submission of the same batch has written the
@@ -88,14 +89,14 @@
       }
     };
   mParts.mStore.mCreate(
-    kItemsKind,
+    kBatchItemsKind,
     name,
     aAdmission->mItems[aPart],
     [this, aAdmission, name, handleReply](const objects::object_reply& aReply) {
       if (aReply.mOutcome == store_outcome::Unknown &&
           aAdmission->mTriesLeft-- > 0) {
         mParts.mStore.mGet(
-          kItemsKind, name, objects::freshness::Linearizable, handleReply);
+          kBatchItemsKind, name, objects::freshness::Linearizable, handleReply);
       } else {
         handleReply(aReply);
       }
@@ -106,7 +107,7 @@
 batch_service::WriteHead(const std::shared_ptr<admission>& aAdmission)
 {
   mParts.mStore.mCreate(
-    kHeadKind,
+    kBatchMetadataKind,
     aAdmission->mHead.mId,
     EncodeHead(aAdmission->mHead),
     [this, aAdmission](const objects::object_reply& aReply) {
@@ -140,7 +141,7 @@
       aAdmission->mMayExist = true;
       if (aAdmission->mTriesLeft-- > 0) {
         mParts.mStore.mGet(
-          kHeadKind,
+          kBatchMetadataKind,
           aAdmission->mHead.mId,
           objects::freshness::Linearizable,
           [this, aAdmission](const objects::object_reply& aRead) {
@@ -157,7 +158,7 @@
 
 void
 batch_service::TakeExistingHead(const std::shared_ptr<admission>& aAdmission,
-                                const batch_head& aHead)
+                                const batch_metadata& aHead)
 {
   // The batch was accepted by a request whose response was lost, by an earlier
   // process of this entry, or by another entry. Results may already be listed.
--- a/Duties/Batches/BatchCalls.cpp
+++ b/Duties/Batches/BatchCalls.cpp
@@ -42,7 +42,7 @@
     return;
   }
   mParts.mStore.mGet(
-    kHeadKind,
+    kBatchMetadataKind,
     aBatchId,
     objects::freshness::Linearizable,
     [this, done = std::move(aDone)](const objects::object_reply& aReply) {
@@ -63,7 +63,7 @@
 batch_service::Serve(const edge::exchange_ptr& aExchange,
                      const batch_call& aCall)
 {
-  if (!IsUsableId(aCall.mBatchId)) {
+  if (!IsValidId(aCall.mBatchId)) {
     aExchange->Answer({ 404, {}, {} });
     return;
   }
@@ -154,7 +154,7 @@
       events::line("owner_silent")
         .With("batch", aCall.mBatchId)
         .With("owner", aBatch->mHead.mOwner)
-        .With("end", edge::WordFor(aEnd))
+        .With("end", edge::ToString(aEnd))
         .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
       TakeOver(aExchange, aCall, aBatch);
     });
@@ -203,7 +203,7 @@
 batch_service::Claim(const batch_ptr& aBatch, std::function<void(bool)> aDone)
 {
   mParts.mStore.mReplaceStatus(
-    kHeadKind,
+    kBatchMetadataKind,
     aBatch->mHead.mId,
     aBatch->mHead.mRevision,
     EncodeHeadStatus(mParts.mName, aBatch->mHead.mIsEnded),
@@ -218,7 +218,7 @@
       events::line("batch_claimed")
         .With("batch", aBatch->mHead.mId)
         .With("owner", aBatch->mHead.mOwner)
-        .With("outcome", objects::WordFor(aReply.mOutcome));
+        .With("outcome", objects::ToString(aReply.mOutcome));
       done(IsOwnedHere(aBatch));
     });
 }
@@ -308,7 +308,7 @@
     return;
   }
   mParts.mStore.mReplaceStatus(
-    kHeadKind,
+    kBatchMetadataKind,
     aBatch->mHead.mId,
     aBatch->mHead.mRevision,
     EncodeHeadStatus(mParts.mName, true),
--- a/Duties/Batches/BatchListing.cpp
+++ b/Duties/Batches/BatchListing.cpp
@@ -45,7 +45,7 @@
 } // namespace
 
 void
-batch_service::TakeResult(const std::string& aBatchId, item_result aResult)
+batch_service::AddResult(const std::string& aBatchId, item_result aResult)
 {
   const auto found = mBatches.find(aBatchId);
   if (found == mBatches.end() || !found->second->mIsLoaded) {
@@ -115,8 +115,8 @@
   }
   aBatch->mIsCommitting = true;
   mParts.mStore.mCreate(
-    kResultsKind,
-    ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
     EncodeBlock(*block),
     [this,
      aBatch,
@@ -156,7 +156,7 @@
     if (aBatch->mGeneration != generation || aBatch->mHead.mIsEnded) {
       return;
     }
-    if (!mParts.mCanStore()) {
+    if (!mParts.mCanReachStore()) {
       OfferBatch(aBatch);
     }
     const auto unsaved = mParts.mRunner.UnsavedParts(
@@ -188,8 +188,8 @@
 {
   aBatch->mIsCommitting = true;
   mParts.mStore.mGet(
-    kResultsKind,
-    ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
     IfSameGeneration(aBatch,
                      [this, aBatch](const objects::object_reply& aReply) {
@@ -255,8 +255,8 @@
   }
   aBatch->mIsCommitting = true;
   mParts.mStore.mGet(
-    kResultsKind,
-    ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
     [this, aBatch, generation = aBatch->mGeneration, done = std::move(aDone)](
       const objects::object_reply& aReply) {
--- a/Duties/Batches/BatchLoading.cpp
+++ b/Duties/Batches/BatchLoading.cpp
@@ -60,8 +60,8 @@
     return;
   }
   mParts.mStore.mGet(
-    kItemsKind,
-    ItemsName(aBatch->mHead.mId, aPart),
+    kBatchItemsKind,
+    ItemsObjectName(aBatch->mHead.mId, aPart),
     objects::freshness::Linearizable,
     IfSameGeneration(
       aBatch,
@@ -98,10 +98,11 @@
     }
     LoadResults(aBatch);
   };
-  mParts.mStore.mGet(kResultsKind,
-                     ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
-                     objects::freshness::Linearizable,
-                     IfSameGeneration(aBatch, handleReply));
+  mParts.mStore.mGet(
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    objects::freshness::Linearizable,
+    IfSameGeneration(aBatch, handleReply));
 }
 
 void
--- a/Duties/Batches/BatchOwners.cpp
+++ b/Duties/Batches/BatchOwners.cpp
@@ -128,9 +128,9 @@
 }
 
 void
-batch_service::SubmitHere(const edge::exchange_ptr& aExchange,
-                          const submission_origin& aOrigin,
-                          submission aSubmission)
+batch_service::SubmitLocally(const edge::exchange_ptr& aExchange,
+                             const submission_origin& aOrigin,
+                             submission aSubmission)
 {
   if (AnswerIfKnown(aExchange, aOrigin, aSubmission.mId)) {
     return;
@@ -181,7 +181,7 @@
       events::line("designated_owner_silent")
         .With("batch", aPending->mSubmission.mId)
         .With("owner", owner)
-        .With("end", edge::WordFor(aEnd))
+        .With("end", edge::ToString(aEnd))
         .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
       mAvoidedUntil[owner] =
         boot_clock::now() +
@@ -220,7 +220,7 @@
 void
 batch_service::AssignOwner(const batch_ptr& aBatch, const std::string& aOwner)
 {
-  mParts.mStore.mReplaceStatus(kHeadKind,
+  mParts.mStore.mReplaceStatus(kBatchMetadataKind,
                                aBatch->mHead.mId,
                                aBatch->mHead.mRevision,
                                EncodeHeadStatus(aOwner, aBatch->mHead.mIsEnded),
@@ -255,7 +255,7 @@
              events::line("batch_offered")
                .With("batch", aBatch->mHead.mId)
                .With("to", owner)
-               .With("end", edge::WordFor(aEnd))
+               .With("end", edge::ToString(aEnd))
                .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
              aBatch->mIsOffered = false;
              if (!isTaken) {
--- a/Duties/Batches/BatchRewards.cpp
+++ b/Duties/Batches/BatchRewards.cpp
@@ -25,8 +25,8 @@
   request.mCall = *item.mItem->mReward;
   request.mItemId = item.mItem->mId;
   request.mCustomer = aBatch.mHead.mCustomer;
-  request.mGiveUpAt = now + TimeUntilGivenUp(age, limits.mMaximumQueueing);
-  request.mPriority = [this, ref, dueAt = now - age + limits.mDue] {
+  request.mGiveUpAt = now + TimeUntilGivenUp(age, limits.mMaximumQueueTime);
+  request.mPriority = [this, ref, dueAt = now - age + limits.mResultsDueAfter] {
     return rewards::reward_priority{ dueAt, OpenItemsInGroup(ref) };
   };
   request.mOnEnd = [this, ref](std::optional<std::string> aScore) {
--- a/Duties/Batches/BatchRunner.h
+++ b/Duties/Batches/BatchRunner.h
@@ -60,13 +60,13 @@
 /** A batch that this entry is running. */
 struct running_batch
 {
-  batch_head mHead;
+  batch_metadata mHead;
   std::shared_ptr<const submission> mSubmission;
   std::vector<item_progress> mItems;
   group_progress mGroups;
 };
 
-struct runner_parts
+struct runner_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -74,7 +74,7 @@
   const site::server_directory& mDirectory;
   const site::configuration_ptr& mConfiguration;
   metrics::registry& mMetrics;
-  rewards::reward_caller& mRewards;
+  rewards::reward_client& mRewards;
   std::function<void(const std::string& aBatchId, item_result)> mOnResult;
 };
 
@@ -82,13 +82,13 @@
 class batch_runner
 {
 public:
-  explicit batch_runner(runner_parts aParts);
+  explicit batch_runner(runner_dependencies aParts);
 
   /** Adds a batch and starts its items.
    * @param aHasResult items for which it returns true aren't run
    * @param aStored text that earlier runs generated; each item resumes after
    * its stored text */
-  void Add(const batch_head& aHead,
+  void Add(const batch_metadata& aHead,
            std::shared_ptr<const submission> aSubmission,
            const std::function<bool(const std::string&)>& aHasResult,
            stored_texts aStored);
@@ -133,9 +133,9 @@
   std::shared_ptr<const site::route> RouteOf(const running_batch& aBatch,
                                              const batch_item& aItem) const;
   std::vector<engine_view> Engines() const;
-  static item_need RequirementsOf(const running_batch& aBatch,
-                                  const item_progress& aItem,
-                                  const site::route& aRoute);
+  static item_requirements RequirementsOf(const running_batch& aBatch,
+                                          const item_progress& aItem,
+                                          const site::route& aRoute);
   void DispatchNow();
   /** Removes the state of servers that are gone from the directory and of old
    * groups. Restarted servers mostly have a new name, so the state would grow
@@ -179,7 +179,7 @@
                  edge::call_end aEnd,
                  unsigned aStatus);
 
-  runner_parts mParts;
+  runner_dependencies mParts;
   std::map<std::string, running_batch> mBatches;
   std::map<std::string, int> mRunsByServer;
   std::map<std::string, time_point> mBlocked;
@@ -190,7 +190,7 @@
    * versions in the server directory. */
   std::map<std::string, std::map<std::string, std::int64_t>> mSeenVersions;
   engine_healths mHealths;
-  group_homes mAffinities;
+  group_affinities mAffinities;
   boost::asio::steady_timer mTimer;
   std::uint64_t mLastRunNumber = 0;
   bool mIsDispatchPosted = false;
--- a/Duties/Batches/BatchRuns.cpp
+++ b/Duties/Batches/BatchRuns.cpp
@@ -37,7 +37,7 @@
 struct batch_runner::run_state
 {
   edge::response mHead;
-  site::answer_facts mFacts;
+  site::response_metadata mFacts;
   event_stream mStream;
   std::int64_t mVersion = 0;
   bool mHasEvents = false;
@@ -67,7 +67,7 @@
     probe->second = item.mRunNumber;
   }
   item.mLastEventAt = boot_clock::now();
-  routing::NoteSent(mHealths[aEngine.mId].mBreaker, item.mLastEventAt);
+  routing::RecordSent(mHealths[aEngine.mId].mBreaker, item.mLastEventAt);
   ++mRunsByServer[aEngine.mId];
   if (!item.mItem->mGroup.empty()) {
     mAffinities[item.mItem->mGroup] = { aEngine.mId, item.mLastEventAt };
@@ -83,7 +83,7 @@
   attempt.mServerId = aEngine.mId;
   attempt.mCustomer = aBatch.mHead.mCustomer;
   attempt.mTimeLeft =
-    std::clamp(TimeUntilGivenUp(AgeOf(aBatch.mHead), aRoute.mMaximumQueueing),
+    std::clamp(TimeUntilGivenUp(AgeOf(aBatch.mHead), aRoute.mMaximumQueueTime),
                milliseconds(1),
                kMaxRunTime);
   attempt.mAfterEvent = item.mGenerated.mLastEvent;
@@ -96,7 +96,7 @@
   edge::call_events events;
   events.mOnHead = [this, ref, run](const edge::response& aHead) {
     run->mHead = aHead;
-    run->mFacts = mParts.mProtocol.mReadAnswer(aHead);
+    run->mFacts = mParts.mProtocol.mReadResponseMetadata(aHead);
     run->mVersion = run->mFacts.mVersion.value_or(0);
   };
   events.mOnBody = [this, ref, run](std::string_view aChunk) {
@@ -245,7 +245,7 @@
     .With("batch", aBatch.mHead.mId)
     .With("server", aItem.mServer)
     .With("outcome", aOutcome)
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aStatus))
     .With("events", aItem.mGenerated.mLastEvent.value_or(-1));
 }
--- a/Duties/Batches/BatchService.cpp
+++ b/Duties/Batches/BatchService.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 using objects::store_outcome;
 
-batch_service::batch_service(service_parts aParts)
+batch_service::batch_service(service_dependencies aParts)
   : mParts(std::move(aParts))
 {
 }
@@ -26,7 +26,7 @@
   }
   // A batch that the listing lacks was removed, unless the batch is newer than
   // the listing.
-  for (const auto& head : Heads()) {
+  for (const auto& head : ListBatches()) {
     if (aHeads.count(head.mId) == 0 &&
         std::chrono::system_clock::now() - head.mSubmittedAt > kListingLag) {
       RemoveBatch(head.mId);
@@ -58,10 +58,10 @@
   }
 }
 
-std::vector<batch_head>
-batch_service::Heads() const
+std::vector<batch_metadata>
+batch_service::ListBatches() const
 {
-  std::vector<batch_head> heads;
+  std::vector<batch_metadata> heads;
   for (const auto& [id, batch] : mBatches) {
     heads.push_back(batch->mHead);
   }
@@ -81,7 +81,7 @@
 }
 
 void
-batch_service::TakeHead(const batch_head& aHead)
+batch_service::TakeHead(const batch_metadata& aHead)
 {
   auto& batch = mBatches[aHead.mId];
   if (!batch) {
--- a/Duties/Batches/BatchService.h
+++ b/Duties/Batches/BatchService.h
@@ -23,20 +23,21 @@
 
 /** Encodes results and pages of results for trainers. The platform adapter
  * supplies the functions. */
-struct page_format
+struct results_encoder
 {
   std::function<std::string(const item_result&)> mEncodeResult;
-  std::function<std::string(std::size_t aTotal, const log_page&)> mEncodePage;
+  std::function<std::string(std::size_t aTotal, const results_page&)>
+    mEncodePage;
 };
 
-struct service_parts
+struct service_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
   edge::client_pool& mClients;
   batch_runner& mRunner;
   metrics::registry& mMetrics;
-  page_format mFormat;
+  results_encoder mFormat;
   /** Name of this entry. */
   std::string mName;
   /** Address at which another entry accepts forwarded calls; none if unknown.
@@ -46,15 +47,15 @@
   std::function<std::vector<weighted_candidate>()> mEntries;
   /** False while this entry's writes don't reach the store although those of
    * other entries do. */
-  std::function<bool()> mCanStore;
+  std::function<bool()> mCanReachStore;
   /** Called once for each accepted batch, whichever entry accepted it. */
-  std::function<void(const batch_head&)> mOnAccepted;
+  std::function<void(const batch_metadata&)> mOnAccepted;
 };
 
 /** State of one batch in this entry. */
 struct batch_record
 {
-  batch_head mHead;
+  batch_metadata mHead;
   /** True if the items and results are in memory. Only the owner loads them. */
   bool mIsLoaded = false;
   bool mIsLoading = false;
@@ -121,7 +122,7 @@
 class batch_service
 {
 public:
-  explicit batch_service(service_parts aParts);
+  explicit batch_service(service_dependencies aParts);
 
   /** Applies a complete listing of the stored batch metadata. */
   void TakeListing(const std::map<std::string, objects::stored_object>& aHeads);
@@ -134,15 +135,15 @@
               submission aSubmission);
   /** Handles a submission that another entry forwarded because this entry is
    * the designated owner. */
-  void SubmitHere(const edge::exchange_ptr& aExchange,
-                  const submission_origin& aOrigin,
-                  submission aSubmission);
+  void SubmitLocally(const edge::exchange_ptr& aExchange,
+                     const submission_origin& aOrigin,
+                     submission aSubmission);
   void Serve(const edge::exchange_ptr& aExchange, const batch_call& aCall);
   /** Metadata of all batches that this entry knows. */
-  std::vector<batch_head> Heads() const;
+  std::vector<batch_metadata> ListBatches() const;
   /** Handles a call that another entry forwarded. */
   void ServePeer(const edge::exchange_ptr& aExchange);
-  void TakeResult(const std::string& aBatchId, item_result aResult);
+  void AddResult(const std::string& aBatchId, item_result aResult);
   /** Refuses new batches from now on; running batches continue. */
   void StopAccepting() { mIsLeaving = true; }
   /** Number of batches of this entry that have items without a listed result.
@@ -170,7 +171,7 @@
   void HandleOffer(const edge::exchange_ptr& aExchange,
                    const batch_call& aCall);
   /** Whether this entry should take on no more batches. */
-  bool IsUnableToOwn() const { return mIsLeaving || !mParts.mCanStore(); }
+  bool IsUnableToOwn() const { return mIsLeaving || !mParts.mCanReachStore(); }
   std::optional<std::string> DesignatedOwner(const std::string& aCustomer,
                                              const std::string& aModel) const;
   /** Another entry and its address for forwarded calls. */
@@ -202,7 +203,7 @@
              submission aSubmission,
              prior_attempt aPriorAttempt);
 
-  void TakeHead(const batch_head& aHead);
+  void TakeHead(const batch_metadata& aHead);
   void RemoveBatch(const std::string& aBatchId);
   void LoadOwnedBatches();
   bool IsOwnedHere(const batch_ptr& aBatch) const;
@@ -212,7 +213,7 @@
   void TakeHeadReply(const std::shared_ptr<admission>& aAdmission,
                      const objects::object_reply& aReply);
   void TakeExistingHead(const std::shared_ptr<admission>& aAdmission,
-                        const batch_head& aHead);
+                        const batch_metadata& aHead);
   void Accept(const std::shared_ptr<admission>& aAdmission);
   void FailAdmission(const std::shared_ptr<admission>& aAdmission,
                      const char* aReason);
@@ -284,7 +285,7 @@
   void ApplyListedBlock(const batch_ptr& aBatch, const result_block& aBlock);
   void After(milliseconds aDelay, std::function<void()> aAction);
 
-  service_parts mParts;
+  service_dependencies mParts;
   std::map<std::string, batch_ptr> mBatches;
   /** Entries that recently failed to accept a batch, and until when they are
    * avoided. */
--- a/Duties/Batches/Records.h
+++ b/Duties/Batches/Records.h
@@ -9,14 +9,14 @@
 namespace lavender::batches {
 
 std::string
-EncodeHead(const batch_head& aHead);
+EncodeHead(const batch_metadata& aHead);
 
 /** Encodes the part of the metadata that changes after the batch was accepted.
  */
 std::string
 EncodeHeadStatus(const std::string& aOwner, bool aIsEnded);
 
-std::optional<batch_head>
+std::optional<batch_metadata>
 DecodeHead(const objects::stored_object& aObject);
 
 /** Encodes the items as the content of one or more objects, each smaller than
@@ -30,12 +30,12 @@
 DecodeItems(const objects::stored_object& aObject, submission& aSubmission);
 
 std::string
-ItemsName(const std::string& aBatchId, int aPart);
+ItemsObjectName(const std::string& aBatchId, int aPart);
 
 /** Name of a results object. Names sort in the order in which the objects were
  * written. */
 std::string
-ResultsName(const std::string& aBatchId, int aNumber);
+ResultsObjectName(const std::string& aBatchId, int aNumber);
 
 /** Results that are written to the store together. */
 struct result_block
--- a/Duties/Batches/ResultLog.h
+++ b/Duties/Batches/ResultLog.h
@@ -43,7 +43,7 @@
 result_block
 OldestPending(const result_log& aLog, std::size_t aBytes);
 
-struct log_page
+struct results_page
 {
   std::size_t mNext = 0;
   std::vector<const std::string*> mEntries;
@@ -51,7 +51,7 @@
 
 /** Returns the listed results from a position on: at least one if there is one,
  * and otherwise no more than the given number of bytes. */
-log_page
+results_page
 ReadPage(const result_log& aLog, std::size_t aAfter, std::size_t aBytes);
 
 } // namespace lavender::batches
--- a/Duties/Batches/Schedule.cpp
+++ b/Duties/Batches/Schedule.cpp
@@ -15,7 +15,9 @@
 constexpr int kAffinitySlack = 2;
 
 bool
-MayRun(const engine_view& aEngine, const item_need& aNeed, time_point aNow)
+MayRun(const engine_view& aEngine,
+       const item_requirements& aNeed,
+       time_point aNow)
 {
   const auto version = aEngine.mVersions.find(aNeed.mModel);
   const bool hasModel =
@@ -30,7 +32,7 @@
 } // namespace
 
 void
-ExpireAffinities(group_homes& aAffinities, time_point aNow)
+ExpireAffinities(group_affinities& aAffinities, time_point aNow)
 {
   for (auto affinity = aAffinities.begin(); affinity != aAffinities.end();) {
     affinity = aNow - affinity->second.mUsedAt > kAffinityLifetime
@@ -41,8 +43,8 @@
 
 std::optional<std::size_t>
 ChooseEngine(const std::vector<engine_view>& aEngines,
-             const item_need& aNeed,
-             const group_homes& aAffinities,
+             const item_requirements& aNeed,
+             const group_affinities& aAffinities,
              time_point aNow)
 {
   const auto isBetter = [&](const engine_view& aLeft,
--- a/Duties/Batches/Schedule.h
+++ b/Duties/Batches/Schedule.h
@@ -29,7 +29,7 @@
 };
 
 /** What an item requires of a server. */
-struct item_need
+struct item_requirements
 {
   std::vector<std::string> mPools;
   std::string mModel;
@@ -57,7 +57,7 @@
 }
 
 /** Scheduling order of items; the lesser one runs first. */
-struct item_rank
+struct item_priority
 {
   /** Older batches run first. */
   std::int64_t mSubmittedMs = 0;
@@ -65,7 +65,7 @@
    * group, and a step waits for its last groups. */
   std::int64_t mExpectedTokens = 0;
 
-  bool operator<(const item_rank& aOther) const
+  bool operator<(const item_priority& aOther) const
   {
     if (mSubmittedMs != aOther.mSubmittedMs) {
       return mSubmittedMs < aOther.mSubmittedMs;
@@ -82,7 +82,7 @@
   time_point mUsedAt;
 };
 
-using group_homes = std::map<std::string, group_affinity>;
+using group_affinities = std::map<std::string, group_affinity>;
 
 /** Groups whose last run started longer ago are forgotten: other prompts have
  * displaced theirs from the prefix cache by then. Each step brings new groups,
@@ -91,15 +91,15 @@
 constexpr milliseconds kAffinityLifetime{ 60000 };
 
 void
-ExpireAffinities(group_homes& aAffinities, time_point aNow);
+ExpireAffinities(group_affinities& aAffinities, time_point aNow);
 
 /** Chooses the least loaded server that may run the item, or the server of the
  * item's group if that has at most a few more runs. None if all servers are
  * full. */
 std::optional<std::size_t>
 ChooseEngine(const std::vector<engine_view>& aEngines,
-             const item_need& aNeed,
-             const group_homes& aAffinities,
+             const item_requirements& aNeed,
+             const group_affinities& aAffinities,
              time_point aNow);
 
 } // namespace lavender::batches
--- a/Duties/Rewards/RewardCaller.cpp
+++ b/Duties/Rewards/RewardCaller.cpp
@@ -32,20 +32,20 @@
 } // namespace
 
 /** One attempt of a call at one server. */
-struct reward_caller::send_attempt
+struct reward_client::send_attempt
 {
-  forwarding::server_pick mPick;
+  forwarding::selected_server mPick;
   edge::call_handle mHandle;
   time_point mSentAt;
   /** Time at which the attempt is abandoned. */
   time_point mDeadline;
-  site::answer_facts mFacts;
+  site::response_metadata mFacts;
   unsigned mStatus = 0;
   bool mIsHedge = false;
   bool mIsOpen = true;
 };
 
-struct reward_caller::call
+struct reward_client::call
 {
   std::uint64_t mNumber = 0;
   reward_request mRequest;
@@ -63,28 +63,29 @@
   bool mIsFinished = false;
 };
 
-reward_caller::reward_caller(caller_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+reward_client::reward_client(client_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
 std::uint64_t
-reward_caller::Start(reward_request aRequest)
+reward_client::Start(reward_request aRequest)
 {
   auto started = std::make_shared<call>();
   started->mNumber = ++mLastNumber;
   started->mRequest = std::move(aRequest);
   started->mStartedAt = boot_clock::now();
   started->mNotBefore = started->mStartedAt;
-  started->mTimer = std::make_unique<boost::asio::steady_timer>(mParts.mLoop);
+  started->mTimer =
+    std::make_unique<boost::asio::steady_timer>(mDependencies.mLoop);
   mCalls[started->mNumber] = started;
   ScheduleDispatch(0ms);
   return started->mNumber;
 }
 
 void
-reward_caller::Cancel(std::uint64_t aNumber)
+reward_client::Cancel(std::uint64_t aNumber)
 {
   const auto found = mCalls.find(aNumber);
   if (found == mCalls.end()) {
@@ -96,7 +97,7 @@
 }
 
 void
-reward_caller::ScheduleDispatch(milliseconds aDelay)
+reward_client::ScheduleDispatch(milliseconds aDelay)
 {
   const auto at = boot_clock::now() + aDelay;
   if (mDispatchAt <= at) {
@@ -113,7 +114,7 @@
 }
 
 void
-reward_caller::Dispatch()
+reward_client::Dispatch()
 {
   const auto now = boot_clock::now();
   std::vector<std::pair<reward_priority, call_ptr>> waiting;
@@ -141,10 +142,10 @@
   }
 }
 
-std::optional<forwarding::server_pick>
-reward_caller::PickServer(const call_ptr& aCall, const site::route& aRoute)
+std::optional<forwarding::selected_server>
+reward_client::PickServer(const call_ptr& aCall, const site::route& aRoute)
 {
-  auto pick = mParts.mRouter.Pick(aRoute, aCall->mTriedServers);
+  auto pick = mDependencies.mRouter.SelectServer(aRoute, aCall->mTriedServers);
   if (!pick) {
     // All servers have been tried. They may be tried again, except for those
     // that are processing the call.
@@ -152,22 +153,23 @@
     for (const auto& open : aCall->mOpenAttempts) {
       aCall->mTriedServers.push_back(open->mPick.mServer.mId);
     }
-    pick = mParts.mRouter.Pick(aRoute, aCall->mTriedServers);
+    pick = mDependencies.mRouter.SelectServer(aRoute, aCall->mTriedServers);
   }
   return pick;
 }
 
 std::shared_ptr<const site::route>
-reward_caller::RouteOf(const call& aCall) const
+reward_client::RouteOf(const call& aCall) const
 {
   const auto& asked = aCall.mRequest.mCall;
-  return mParts.mConfiguration
-           ? site::FindRoute(*mParts.mConfiguration, asked.mHost, asked.mPath)
+  return mDependencies.mConfiguration
+           ? site::FindRoute(
+               *mDependencies.mConfiguration, asked.mHost, asked.mPath)
            : nullptr;
 }
 
 bool
-reward_caller::Send(const call_ptr& aCall)
+reward_client::Send(const call_ptr& aCall)
 {
   const auto route = RouteOf(*aCall);
   if (!route) {
@@ -181,7 +183,7 @@
   }
   const auto pick = PickServer(aCall, *route);
   if (!pick || mInFlight[pick->mPool] >=
-                 MaxInFlight(mParts.mRouter.PlacesOf(pick->mPool))) {
+                 MaxInFlight(mDependencies.mRouter.SlotsOf(pick->mPool))) {
     return false;
   }
   SendTo(aCall, *route, *pick);
@@ -189,9 +191,9 @@
 }
 
 void
-reward_caller::SendTo(const call_ptr& aCall,
+reward_client::SendTo(const call_ptr& aCall,
                       const site::route& aRoute,
-                      const forwarding::server_pick& aPick)
+                      const forwarding::selected_server& aPick)
 {
   const auto now = boot_clock::now();
   const auto timeLeft =
@@ -212,7 +214,7 @@
                       ? time_point::max()
                       : now + HedgeDelay(mDurations, aRoute.mTargetLatency);
   ++mInFlight[aPick.mPool];
-  mParts.mRouter.NoteSent(aPick, now);
+  mDependencies.mRouter.RecordSent(aPick, now);
   events::line("reward_sent")
     .With("request", aCall->mRequest.mItemId)
     .With("reward", aCall->mRequest.mCall.mId)
@@ -226,7 +228,7 @@
 }
 
 void
-reward_caller::SendRequest(const call_ptr& aCall,
+reward_client::SendRequest(const call_ptr& aCall,
                            const std::shared_ptr<send_attempt>& aAttempt,
                            milliseconds aTimeLeft)
 {
@@ -254,27 +256,27 @@
   events.mOnEnd = [this, aCall, aAttempt](edge::call_end aEnd) {
     TakeEnd(aCall, aAttempt, aEnd);
   };
-  aAttempt->mHandle =
-    mParts.mClients.Start(server.mAddress,
-                          mParts.mProtocol.mAddress(request, attempt),
-                          options,
-                          std::move(events));
+  aAttempt->mHandle = mDependencies.mClients.Start(
+    server.mAddress,
+    mDependencies.mProtocol.mAddress(request, attempt),
+    options,
+    std::move(events));
 }
 
 void
-reward_caller::TakeHead(const std::shared_ptr<send_attempt>& aAttempt,
+reward_client::TakeHead(const std::shared_ptr<send_attempt>& aAttempt,
                         const edge::response& aHead)
 {
   aAttempt->mStatus = aHead.mStatus;
-  aAttempt->mFacts = mParts.mProtocol.mReadAnswer(aHead);
+  aAttempt->mFacts = mDependencies.mProtocol.mReadResponseMetadata(aHead);
   if (aAttempt->mFacts.mLoad) {
-    mParts.mRouter.TakeLoad(
+    mDependencies.mRouter.RecordLoad(
       aAttempt->mPick, *aAttempt->mFacts.mLoad, boot_clock::now());
   }
 }
 
 response_kind
-reward_caller::Classify(const call& aCall,
+reward_client::Classify(const call& aCall,
                         const send_attempt& aAttempt,
                         edge::call_end aEnd)
 {
@@ -282,13 +284,13 @@
   view.mEnd = aEnd;
   view.mStatus = aAttempt.mStatus;
   view.mIsNotExecuted = aAttempt.mFacts.mIsNotExecuted;
-  view.mIsForeign = aAttempt.mFacts.mAttemptId != aCall.mRequest.mCall.mId;
+  view.mIsMismatched = aAttempt.mFacts.mAttemptId != aCall.mRequest.mCall.mId;
   view.mHasSignature = !aAttempt.mFacts.mSignature.empty();
   return ClassifyResponse(view);
 }
 
 void
-reward_caller::TakeEnd(const call_ptr& aCall,
+reward_client::TakeEnd(const call_ptr& aCall,
                        const std::shared_ptr<send_attempt>& aAttempt,
                        edge::call_end aEnd)
 {
@@ -313,7 +315,7 @@
 }
 
 void
-reward_caller::LogResponse(const call& aCall,
+reward_client::LogResponse(const call& aCall,
                            const send_attempt& aAttempt,
                            response_kind aKind,
                            edge::call_end aEnd)
@@ -322,18 +324,18 @@
     .With("request", aCall.mRequest.mItemId)
     .With("reward", aCall.mRequest.mCall.mId)
     .With("server", aAttempt.mPick.mServer.mId)
-    .With("outcome", WordFor(aKind))
-    .With("end", edge::WordFor(aEnd))
+    .With("outcome", ToString(aKind))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aAttempt.mStatus))
     .With("errors", static_cast<std::int64_t>(aCall.mErrors))
     .With("hedge", static_cast<std::int64_t>(aAttempt.mIsHedge))
     .With("took_ms", MillisecondsBetween(aAttempt.mSentAt, boot_clock::now()));
-  mParts.mMetrics.Count("lavender_reward_answers_total",
-                        { { "outcome", WordFor(aKind) } });
+  mDependencies.mMetrics.Count("lavender_reward_answers_total",
+                               { { "outcome", ToString(aKind) } });
 }
 
 void
-reward_caller::ActOnResponse(const call_ptr& aCall,
+reward_client::ActOnResponse(const call_ptr& aCall,
                              const std::shared_ptr<send_attempt>& aAttempt,
                              response_kind aKind)
 {
@@ -364,7 +366,7 @@
 }
 
 void
-reward_caller::ArmTimer(const call_ptr& aCall)
+reward_client::ArmTimer(const call_ptr& aCall)
 {
   auto at = aCall->mHedgeAt;
   for (const auto& open : aCall->mOpenAttempts) {
@@ -380,7 +382,7 @@
 }
 
 void
-reward_caller::CheckTimeouts(const call_ptr& aCall)
+reward_client::CheckTimeouts(const call_ptr& aCall)
 {
   const auto now = boot_clock::now();
   const auto open = aCall->mOpenAttempts;
@@ -396,7 +398,7 @@
   if (now >= aCall->mHedgeAt) {
     aCall->mHedgeAt = time_point::max();
     if (ConsumeHedge(mBudget) && Send(aCall)) {
-      mParts.mMetrics.Count("lavender_reward_hedges_total", {});
+      mDependencies.mMetrics.Count("lavender_reward_hedges_total", {});
       return;
     }
   }
@@ -404,7 +406,7 @@
 }
 
 void
-reward_caller::CloseAttempt(const std::shared_ptr<send_attempt>& aAttempt,
+reward_client::CloseAttempt(const std::shared_ptr<send_attempt>& aAttempt,
                             routing::evidence aEvidence)
 {
   if (!aAttempt->mIsOpen) {
@@ -413,12 +415,12 @@
   aAttempt->mIsOpen = false;
   aAttempt->mHandle.Cancel();
   --mInFlight[aAttempt->mPick.mPool];
-  mParts.mRouter.NoteEnded(
+  mDependencies.mRouter.RecordEnd(
     aAttempt->mPick, aAttempt->mSentAt, aEvidence, boot_clock::now());
 }
 
 void
-reward_caller::RemoveCall(const call_ptr& aCall)
+reward_client::RemoveCall(const call_ptr& aCall)
 {
   mCalls.erase(aCall->mNumber);
   aCall->mIsFinished = true;
@@ -430,15 +432,15 @@
 }
 
 void
-reward_caller::FinishCall(const call_ptr& aCall,
+reward_client::FinishCall(const call_ptr& aCall,
                           std::optional<std::string> aScore)
 {
   RemoveCall(aCall);
-  mParts.mMetrics.Count("lavender_rewards_total",
-                        { { "end", aScore ? "scored" : "given_up" } });
-  mParts.mMetrics.Observe("lavender_reward_seconds",
-                          { { "end", aScore ? "scored" : "given_up" } },
-                          boot_clock::now() - aCall->mStartedAt);
+  mDependencies.mMetrics.Count("lavender_rewards_total",
+                               { { "end", aScore ? "scored" : "given_up" } });
+  mDependencies.mMetrics.Observe("lavender_reward_seconds",
+                                 { { "end", aScore ? "scored" : "given_up" } },
+                                 boot_clock::now() - aCall->mStartedAt);
   const auto done = std::move(aCall->mRequest.mOnEnd);
   done(std::move(aScore));
 }
--- a/Duties/Rewards/RewardCaller.h
+++ b/Duties/Rewards/RewardCaller.h
@@ -12,8 +12,8 @@
 
 namespace lavender::rewards {
 
-/** Collaborators of a reward_caller; all of them must outlive it. */
-struct caller_parts
+/** Collaborators of a reward_client; all of them must outlive it. */
+struct client_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -29,10 +29,10 @@
  * the configuration in force at that time. An attempt goes to a server that
  * hasn't been tried, until one returns a score or the service has failed the
  * call as often as the route allows. */
-class reward_caller
+class reward_client
 {
 public:
-  explicit reward_caller(caller_parts aParts);
+  explicit reward_client(client_dependencies aParts);
 
   /** @return the number of the call for Cancel; never 0 */
   std::uint64_t Start(reward_request aRequest);
@@ -54,12 +54,13 @@
   bool Send(const call_ptr& aCall);
   void SendTo(const call_ptr& aCall,
               const site::route& aRoute,
-              const forwarding::server_pick& aPick);
+              const forwarding::selected_server& aPick);
   void SendRequest(const call_ptr& aCall,
                    const std::shared_ptr<send_attempt>& aAttempt,
                    milliseconds aTimeLeft);
-  std::optional<forwarding::server_pick> PickServer(const call_ptr& aCall,
-                                                    const site::route& aRoute);
+  std::optional<forwarding::selected_server> PickServer(
+    const call_ptr& aCall,
+    const site::route& aRoute);
   void TakeHead(const std::shared_ptr<send_attempt>& aAttempt,
                 const edge::response& aHead);
   static response_kind Classify(const call& aCall,
@@ -83,7 +84,7 @@
   void RemoveCall(const call_ptr& aCall);
   void FinishCall(const call_ptr& aCall, std::optional<std::string> aScore);
 
-  caller_parts mParts;
+  client_dependencies mDependencies;
   std::map<std::uint64_t, call_ptr> mCalls;
   /** Number of open attempts by pool. */
   std::map<std::string, int> mInFlight;
--- a/Duties/Rewards/RewardDecision.cpp
+++ b/Duties/Rewards/RewardDecision.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 const char*
-WordFor(response_kind aKind)
+ToString(response_kind aKind)
 {
   switch (aKind) {
     case response_kind::Scored:
@@ -43,7 +43,7 @@
 response_kind
 ClassifyResponse(const response_summary& aResponse)
 {
-  if (aResponse.mEnd != edge::call_end::Complete || aResponse.mIsForeign) {
+  if (aResponse.mEnd != edge::call_end::Complete || aResponse.mIsMismatched) {
     return response_kind::Unusable;
   }
   if (aResponse.mIsNotExecuted) {
--- a/Duties/Rewards/RewardDecision.h
+++ b/Duties/Rewards/RewardDecision.h
@@ -23,7 +23,7 @@
 };
 
 const char*
-WordFor(response_kind aKind);
+ToString(response_kind aKind);
 
 struct response_summary
 {
@@ -31,7 +31,7 @@
   unsigned mStatus = 0;
   bool mIsNotExecuted = false;
   /** The response doesn't carry the call's id. */
-  bool mIsForeign = false;
+  bool mIsMismatched = false;
   bool mHasSignature = false;
 };
 
