--- a/Duties/Batches/Batch.h
+++ b/Duties/Batches/Batch.h
@@ -82,7 +82,7 @@
 /** Time since the batch was submitted. Inexact by the clock difference between
  * this instance and the one that accepted the batch. */
 milliseconds
-AgeOf(const batch_metadata& aHead);
+AgeOf(const batch_metadata& aMetadata);
 
 /** Result of one item. */
 struct item_result
--- a/Duties/Batches/BatchAdmission.cpp
+++ b/Duties/Batches/BatchAdmission.cpp
@@ -23,10 +23,10 @@
 struct batch_service::admission
 {
   edge::exchange_ptr mExchange;
-  batch_metadata mHead;
+  batch_metadata mMetadata;
   std::shared_ptr<submission> mSubmission;
   std::vector<std::string> mItems;
-  int mTriesLeft = kMaxTries;
+  int mTriesLeft = kMaximumTries;
   /** True if the metadata may exist in the store, now or later. */
   bool mMayExist = false;
 };
@@ -47,20 +47,20 @@
   admitted->mExchange = aExchange;
   admitted->mMayExist = aPriorAttempt == prior_attempt::MayHaveBeenAccepted;
   admitted->mItems = EncodeItems(aSubmission);
-  auto& head = admitted->mHead;
-  head.mId = aSubmission.mId;
-  head.mCustomer = aOrigin.mCustomer;
-  head.mHost = aOrigin.mHost;
-  head.mModel = aSubmission.mModel;
-  head.mMinimumVersion = aSubmission.mMinimumVersion;
-  head.mTargetGroups = aSubmission.mTargetGroups;
-  head.mTotal = static_cast<int>(aSubmission.mItems.size());
+  auto& metadata = admitted->mMetadata;
+  metadata.mId = aSubmission.mId;
+  metadata.mCustomer = aOrigin.mCustomer;
+  metadata.mHost = aOrigin.mHost;
+  metadata.mModel = aSubmission.mModel;
+  metadata.mMinimumVersion = aSubmission.mMinimumVersion;
+  metadata.mTargetGroups = aSubmission.mTargetGroups;
+  metadata.mTotal = static_cast<int>(aSubmission.mItems.size());
   for (const auto& item : aSubmission.mItems) {
-    head.mExpectedTokens += item.mExpectedTokens;
+    metadata.mExpectedTokens += item.mExpectedTokens;
   }
-  head.mParts = static_cast<int>(admitted->mItems.size());
-  head.mSubmittedAt = std::chrono::system_clock::now();
-  head.mOwner = mParts.mName;
+  metadata.mParts = static_cast<int>(admitted->mItems.size());
+  metadata.mSubmittedAt = std::chrono::system_clock::now();
+  metadata.mOwner = mDependencies.mName;
   admitted->mSubmission = std::make_shared<submission>(std::move(aSubmission));
   WriteItems(admitted, 0);
 }
@@ -70,82 +70,86 @@
                           std::size_t aPart)
 {
   if (aPart == aAdmission->mItems.size()) {
-    WriteHead(aAdmission);
+    WriteMetadata(aAdmission);
     return;
   }
   const auto name =
-    ItemsObjectName(aAdmission->mHead.mId, static_cast<int>(aPart));
-  const auto handleReply =
-    [this, aAdmission, aPart](const objects::object_reply& aReply) {
+    ItemsObjectName(aAdmission->mMetadata.mId, static_cast<int>(aPart));
+  const auto handleResponse =
+    [this, aAdmission, aPart](const objects::object_reply& aResponse) {
       // On a conflict, an earlier submission of the same batch has written the
       // same items.
-      if (aReply.mOutcome == store_outcome::Done ||
-          aReply.mOutcome == store_outcome::Conflict) {
+      if (aResponse.mOutcome == store_outcome::Done ||
+          aResponse.mOutcome == store_outcome::Conflict) {
         WriteItems(aAdmission, aPart + 1);
-      } else if (aReply.mOutcome == store_outcome::NotFound) {
+      } else if (aResponse.mOutcome == store_outcome::NotFound) {
         WriteItems(aAdmission, aPart);
       } else {
         FailAdmission(aAdmission, "items not stored");
       }
     };
-  mParts.mStore.mCreate(
+  mDependencies.mStore.mCreate(
     kBatchItemsKind,
     name,
     aAdmission->mItems[aPart],
-    [this, aAdmission, name, handleReply](const objects::object_reply& aReply) {
-      if (aReply.mOutcome == store_outcome::Unknown &&
+    [this, aAdmission, name, handleResponse](
+      const objects::object_reply& aResponse) {
+      if (aResponse.mOutcome == store_outcome::Unknown &&
           aAdmission->mTriesLeft-- > 0) {
-        mParts.mStore.mGet(
-          kBatchItemsKind, name, objects::freshness::Linearizable, handleReply);
+        mDependencies.mStore.mGet(kBatchItemsKind,
+                                  name,
+                                  objects::freshness::Linearizable,
+                                  handleResponse);
       } else {
-        handleReply(aReply);
+        handleResponse(aResponse);
       }
     });
 }
 
 void
-batch_service::WriteHead(const std::shared_ptr<admission>& aAdmission)
+batch_service::WriteMetadata(const std::shared_ptr<admission>& aAdmission)
 {
-  mParts.mStore.mCreate(
+  mDependencies.mStore.mCreate(
     kBatchMetadataKind,
-    aAdmission->mHead.mId,
-    EncodeHead(aAdmission->mHead),
-    [this, aAdmission](const objects::object_reply& aReply) {
-      TakeHeadReply(aAdmission, aReply);
+    aAdmission->mMetadata.mId,
+    EncodeMetadata(aAdmission->mMetadata),
+    [this, aAdmission](const objects::object_reply& aResponse) {
+      HandleMetadataResponse(aAdmission, aResponse);
     });
 }
 
 void
-batch_service::TakeHeadReply(const std::shared_ptr<admission>& aAdmission,
-                             const objects::object_reply& aReply)
+batch_service::HandleMetadataResponse(
+  const std::shared_ptr<admission>& aAdmission,
+  const objects::object_reply& aResponse)
 {
-  switch (aReply.mOutcome) {
+  switch (aResponse.mOutcome) {
     case store_outcome::Done:
       if (!aAdmission->mMayExist) {
-        aAdmission->mHead.mRevision = aReply.mObject.mRevision;
+        aAdmission->mMetadata.mRevision = aResponse.mObject.mRevision;
         Accept(aAdmission);
         return;
       }
       [[fallthrough]];
     case store_outcome::Conflict:
-      if (const auto head = DecodeHead(aReply.mObject)) {
-        TakeExistingHead(aAdmission, *head);
+      if (const auto metadata = DecodeMetadata(aResponse.mObject)) {
+        ApplyExistingMetadata(aAdmission, *metadata);
         return;
       }
       break;
     case store_outcome::NotFound:
       // The object was read back after a lost response and doesn't exist yet.
-      WriteHead(aAdmission);
+      WriteMetadata(aAdmission);
       return;
     case store_outcome::Unknown:
       aAdmission->mMayExist = true;
       if (aAdmission->mTriesLeft-- > 0) {
-        mParts.mStore.mGet(
+        mDependencies.mStore.mGet(
           kBatchMetadataKind,
-          aAdmission->mHead.mId,
+          aAdmission->mMetadata.mId,
           objects::freshness::Linearizable,
           [this, aAdmission](const objects::object_reply& aRead) {
-            TakeHeadReply(aAdmission, aRead);
+            HandleMetadataResponse(aAdmission, aRead);
           });
         return;
       }
@@ -157,38 +161,39 @@
 }
 
 void
-batch_service::TakeExistingHead(const std::shared_ptr<admission>& aAdmission,
-                                const batch_metadata& aHead)
+batch_service::ApplyExistingMetadata(
+  const std::shared_ptr<admission>& aAdmission,
+  const batch_metadata& aMetadata)
 {
   // The batch was accepted by a request whose response was lost, by an earlier
   // process of this entry, or by another entry. Results may already be listed.
-  TakeHead(aHead);
-  const auto batch = mBatches[aHead.mId];
-  if (IsOwnedHere(batch) && !aHead.mIsEnded) {
+  ApplyMetadata(aMetadata);
+  const auto batch = mBatches[aMetadata.mId];
+  if (IsOwnedHere(batch) && !aMetadata.mIsEnded) {
     Load(batch, [](bool) {});
   }
   events::line("batch_repeated")
-    .With("batch", aHead.mId)
-    .With("owner", aHead.mOwner);
+    .With("batch", aMetadata.mId)
+    .With("owner", aMetadata.mOwner);
   aAdmission->mExchange->Answer({ 202, {}, {} });
 }
 
 void
 batch_service::Accept(const std::shared_ptr<admission>& aAdmission)
 {
-  auto& batch = mBatches[aAdmission->mHead.mId];
+  auto& batch = mBatches[aAdmission->mMetadata.mId];
   if (!batch) {
     batch = std::make_shared<batch_record>();
-    mParts.mOnAccepted(aAdmission->mHead);
+    mDependencies.mOnAccepted(aAdmission->mMetadata);
   }
   if (batch->mIsLoaded ||
-      batch->mHead.mRevision > aAdmission->mHead.mRevision) {
+      batch->mMetadata.mRevision > aAdmission->mMetadata.mRevision) {
     // The watch reported the new metadata before the store's response arrived,
     // and meanwhile the batch was loaded or another entry took it over.
     aAdmission->mExchange->Answer({ 202, {}, {} });
     return;
   }
-  batch->mHead = aAdmission->mHead;
+  batch->mMetadata = aAdmission->mMetadata;
   batch->mOwnerChangedAt = boot_clock::now();
   batch->mSubmission = aAdmission->mSubmission;
   batch->mLog = {};
@@ -197,13 +202,13 @@
   batch->mIsLoaded = true;
   batch->mLoadedAt.reset();
   events::line("batch_accepted")
-    .With("batch", batch->mHead.mId)
-    .With("customer", batch->mHead.mCustomer)
-    .With("model", batch->mHead.mModel)
-    .With("minimum_version", batch->mHead.mMinimumVersion)
-    .With("items", static_cast<std::int64_t>(batch->mHead.mTotal))
+    .With("batch", batch->mMetadata.mId)
+    .With("customer", batch->mMetadata.mCustomer)
+    .With("model", batch->mMetadata.mModel)
+    .With("minimum_version", batch->mMetadata.mMinimumVersion)
+    .With("items", static_cast<std::int64_t>(batch->mMetadata.mTotal))
     .With("target_groups",
-          static_cast<std::int64_t>(batch->mHead.mTargetGroups));
+          static_cast<std::int64_t>(batch->mMetadata.mTargetGroups));
   aAdmission->mExchange->Answer({ 202, {}, {} });
   Run(batch);
   NotifyLoadWaiters(batch);
@@ -217,10 +222,11 @@
   // certainly doesn't exist.
   const unsigned status = aAdmission->mMayExist ? 504 : 503;
   events::line("batch_refused")
-    .With("batch", aAdmission->mHead.mId)
+    .With("batch", aAdmission->mMetadata.mId)
     .With("status", static_cast<std::int64_t>(status))
     .With("reason", aReason);
-  mParts.mMetrics.Count("lavender_refusals_total", { { "reason", aReason } });
+  mDependencies.mMetrics.Count("lavender_refusals_total",
+                               { { "reason", aReason } });
   edge::AnswerOwn(aAdmission->mExchange,
                   status,
                   status == 503 ? std::optional(kStoreFailureRetryAfter)
--- a/Duties/Batches/BatchCalls.cpp
+++ b/Duties/Batches/BatchCalls.cpp
@@ -13,12 +13,12 @@
 
 /** Limit on the results in a page. A page is at most 1 MB, including its
  * framing. */
-constexpr std::size_t kMaxPageBytes = 900 << 10;
+constexpr std::size_t kMaximumPageBytes = 900 << 10;
 /** Maximum time for which a request for results is held open. */
-constexpr milliseconds kMaxWait = 1000ms;
+constexpr milliseconds kMaximumWait = 1000ms;
 /** Time beyond the requested wait after which a silent owner loses its batch to
  * another entry. */
-constexpr milliseconds kOwnerSilenceTimeout = 600ms;
+constexpr milliseconds kOwnerResponseTimeout = 600ms;
 /** Maximum time for the transfer of a page after the owner has started its
  * response. A megabyte takes 0.14 s on a 60 Mbit/s link, which several readers
  * may share. With a shorter limit an owner lost its batch in the middle of a
@@ -29,7 +29,7 @@
 constexpr milliseconds kLoadingRetryAfter = kRetryDelay;
 /** Minimum time between two changes of a batch's owner, so that two entries
  * that can't reach each other don't take the batch from each other in turn. */
-constexpr milliseconds kMinClaimInterval = 1500ms;
+constexpr milliseconds kMinimumClaimInterval = 1500ms;
 
 } // namespace
 
@@ -41,21 +41,21 @@
     aDone(known->second, store_outcome::Done);
     return;
   }
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kBatchMetadataKind,
     aBatchId,
     objects::freshness::Linearizable,
-    [this, done = std::move(aDone)](const objects::object_reply& aReply) {
-      if (aReply.mOutcome == store_outcome::Done) {
-        if (const auto head = DecodeHead(aReply.mObject)) {
-          TakeHead(*head);
-          done(mBatches[head->mId], store_outcome::Done);
+    [this, done = std::move(aDone)](const objects::object_reply& aResponse) {
+      if (aResponse.mOutcome == store_outcome::Done) {
+        if (const auto metadata = DecodeMetadata(aResponse.mObject)) {
+          ApplyMetadata(*metadata);
+          done(mBatches[metadata->mId], store_outcome::Done);
           return;
         }
       }
       done(nullptr,
-           aReply.mOutcome == store_outcome::Done ? store_outcome::NotFound
-                                                  : aReply.mOutcome);
+           aResponse.mOutcome == store_outcome::Done ? store_outcome::NotFound
+                                                     : aResponse.mOutcome);
     });
 }
 
@@ -70,7 +70,7 @@
   FindBatch(
     aCall.mBatchId,
     [this, aExchange, aCall](const batch_ptr& aBatch, store_outcome aOutcome) {
-      if (aBatch && aBatch->mHead.mCustomer == aCall.mCustomer) {
+      if (aBatch && aBatch->mMetadata.mCustomer == aCall.mCustomer) {
         ServeBatch(aExchange, aCall, aBatch);
       } else if (aBatch || aOutcome == store_outcome::NotFound) {
         aExchange->Answer({ 404, {}, {} });
@@ -89,7 +89,7 @@
     ServeOwned(aExchange, aCall, aBatch);
     return;
   }
-  if (const auto peer = mParts.mFindPeer(aBatch->mHead.mOwner)) {
+  if (const auto peer = mDependencies.mFindPeer(aBatch->mMetadata.mOwner)) {
     ForwardCall(aExchange, aCall, aBatch, *peer);
   } else {
     TakeOver(aExchange, aCall, aBatch);
@@ -114,7 +114,7 @@
         ReadItem(aExchange, aCall, aBatch);
         return;
       case batch_call::kind::End:
-        End(aExchange, aBatch, kMaxTries);
+        End(aExchange, aBatch, kMaximumTries);
         return;
       case batch_call::kind::TakeOver:
         // Handled before the batch is loaded, in HandleOffer.
@@ -131,31 +131,34 @@
                            const edge::endpoint& aPeer)
 {
   edge::call_options options;
-  options.mConnectTimeout = kOwnerSilenceTimeout;
-  options.mSilenceTimeout = aCall.mWait + kOwnerSilenceTimeout;
+  options.mConnectTimeout = kOwnerResponseTimeout;
+  options.mSilenceTimeout = aCall.mWait + kOwnerResponseTimeout;
   edge::FetchWhole(
-    mParts.mClients,
-    mParts.mLoop,
+    mDependencies.mClients,
+    mDependencies.mLoop,
     aPeer,
     EncodePeerCall(aCall),
     options,
     options.mSilenceTimeout + kPageTransferTimeout,
     4 << 20,
     [this, aExchange, aCall, aBatch](edge::call_end aEnd,
-                                     edge::response aAnswer) {
-      if (aEnd == edge::call_end::Complete && aAnswer.mStatus != kNotOwner) {
-        edge::response answer{ aAnswer.mStatus, {}, std::move(aAnswer.mBody) };
-        if (answer.mStatus == 200 && aCall.mKind == batch_call::kind::Results) {
-          answer.mHeaders.Add("Content-Type", "application/json");
+                                     edge::response aResponse) {
+      if (aEnd == edge::call_end::Complete && aResponse.mStatus != kNotOwner) {
+        edge::response response{ aResponse.mStatus,
+                                 {},
+                                 std::move(aResponse.mBody) };
+        if (response.mStatus == 200 &&
+            aCall.mKind == batch_call::kind::Results) {
+          response.mHeaders.Add("Content-Type", "application/json");
         }
-        aExchange->Answer(std::move(answer));
+        aExchange->Answer(std::move(response));
         return;
       }
       events::line("owner_silent")
         .With("batch", aCall.mBatchId)
-        .With("owner", aBatch->mHead.mOwner)
+        .With("owner", aBatch->mMetadata.mOwner)
         .With("end", edge::ToString(aEnd))
-        .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
+        .With("status", static_cast<std::int64_t>(aResponse.mStatus));
       TakeOver(aExchange, aCall, aBatch);
     });
 }
@@ -185,7 +188,7 @@
                         const batch_call& aCall,
                         const batch_ptr& aBatch)
 {
-  if (boot_clock::now() - aBatch->mOwnerChangedAt < kMinClaimInterval ||
+  if (boot_clock::now() - aBatch->mOwnerChangedAt < kMinimumClaimInterval ||
       mIsLeaving) {
     edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     return;
@@ -202,23 +205,23 @@
 void
 batch_service::Claim(const batch_ptr& aBatch, std::function<void(bool)> aDone)
 {
-  mParts.mStore.mReplaceStatus(
+  mDependencies.mStore.mReplaceStatus(
     kBatchMetadataKind,
-    aBatch->mHead.mId,
-    aBatch->mHead.mRevision,
-    EncodeHeadStatus(mParts.mName, aBatch->mHead.mIsEnded),
+    aBatch->mMetadata.mId,
+    aBatch->mMetadata.mRevision,
+    EncodeMetadataStatus(mDependencies.mName, aBatch->mMetadata.mIsEnded),
     [this, aBatch, done = std::move(aDone)](
-      const objects::object_reply& aReply) {
-      if (aReply.mOutcome == store_outcome::Done ||
-          aReply.mOutcome == store_outcome::Conflict) {
-        if (auto head = DecodeHead(aReply.mObject)) {
-          TakeHead(*head);
+      const objects::object_reply& aResponse) {
+      if (aResponse.mOutcome == store_outcome::Done ||
+          aResponse.mOutcome == store_outcome::Conflict) {
+        if (auto metadata = DecodeMetadata(aResponse.mObject)) {
+          ApplyMetadata(*metadata);
         }
       }
       events::line("batch_claimed")
-        .With("batch", aBatch->mHead.mId)
-        .With("owner", aBatch->mHead.mOwner)
-        .With("outcome", objects::ToString(aReply.mOutcome));
+        .With("batch", aBatch->mMetadata.mId)
+        .With("owner", aBatch->mMetadata.mOwner)
+        .With("outcome", objects::ToString(aResponse.mOutcome));
       done(IsOwnedHere(aBatch));
     });
 }
@@ -236,7 +239,7 @@
                         } else if (aBatch->mLog.mListed.size() > aCall.mAfter) {
                           // The known results are correct even if there are
                           // more.
-                          AnswerPage(aExchange, aCall, aBatch);
+                          RespondWithPage(aExchange, aCall, aBatch);
                         } else {
                           edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
                         }
@@ -244,39 +247,39 @@
     return;
   }
   const bool isComplete = aBatch->mLog.mListed.size() >=
-                          static_cast<std::size_t>(aBatch->mHead.mTotal);
-  const auto wait = std::min(aCall.mWait, kMaxWait);
+                          static_cast<std::size_t>(aBatch->mMetadata.mTotal);
+  const auto wait = std::min(aCall.mWait, kMaximumWait);
   if (aBatch->mLog.mListed.size() > aCall.mAfter || isComplete ||
-      aBatch->mHead.mIsEnded || wait.count() == 0) {
-    AnswerPage(aExchange, aCall, aBatch);
+      aBatch->mMetadata.mIsEnded || wait.count() == 0) {
+    RespondWithPage(aExchange, aCall, aBatch);
     return;
   }
-  auto answered = std::make_shared<bool>(false);
-  const auto answer = [this, aExchange, aCall, aBatch, answered] {
-    if (!*answered) {
-      *answered = true;
-      AnswerPage(aExchange, aCall, aBatch);
+  auto hasResponded = std::make_shared<bool>(false);
+  const auto respond = [this, aExchange, aCall, aBatch, hasResponded] {
+    if (!*hasResponded) {
+      *hasResponded = true;
+      RespondWithPage(aExchange, aCall, aBatch);
     }
   };
-  aBatch->mResultWaiters.push_back(answer);
-  After(wait, answer);
+  aBatch->mResultWaiters.push_back(respond);
+  After(wait, respond);
 }
 
 void
-batch_service::AnswerPage(const edge::exchange_ptr& aExchange,
-                          const batch_call& aCall,
-                          const batch_ptr& aBatch)
+batch_service::RespondWithPage(const edge::exchange_ptr& aExchange,
+                               const batch_call& aCall,
+                               const batch_ptr& aBatch)
 {
   if (!aBatch->mIsLoaded) {
     edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     return;
   }
-  const auto page = ReadPage(aBatch->mLog, aCall.mAfter, kMaxPageBytes);
-  edge::response answer{ 200, {}, {} };
-  answer.mHeaders.Add("Content-Type", "application/json");
-  answer.mBody = mParts.mFormat.mEncodePage(
-    static_cast<std::size_t>(aBatch->mHead.mTotal), page);
-  aExchange->Answer(std::move(answer));
+  const auto page = ReadPage(aBatch->mLog, aCall.mAfter, kMaximumPageBytes);
+  edge::response response{ 200, {}, {} };
+  response.mHeaders.Add("Content-Type", "application/json");
+  response.mBody = mDependencies.mFormat.mEncodePage(
+    static_cast<std::size_t>(aBatch->mMetadata.mTotal), page);
+  aExchange->Answer(std::move(response));
 }
 
 void
@@ -302,25 +305,26 @@
 {
   // The runs are cancelled before the store has recorded the end: the trainer
   // needs no more results, even if this request fails.
-  mParts.mRunner.Remove(aBatch->mHead.mId);
-  if (aBatch->mHead.mIsEnded) {
+  mDependencies.mRunner.Remove(aBatch->mMetadata.mId);
+  if (aBatch->mMetadata.mIsEnded) {
     aExchange->Answer({ 200, {}, {} });
     return;
   }
-  mParts.mStore.mReplaceStatus(
+  mDependencies.mStore.mReplaceStatus(
     kBatchMetadataKind,
-    aBatch->mHead.mId,
-    aBatch->mHead.mRevision,
-    EncodeHeadStatus(mParts.mName, true),
-    [this, aExchange, aBatch, aTriesLeft](const objects::object_reply& aReply) {
-      if (aReply.mOutcome == store_outcome::Done ||
-          aReply.mOutcome == store_outcome::Conflict) {
-        if (auto head = DecodeHead(aReply.mObject)) {
-          TakeHead(*head);
+    aBatch->mMetadata.mId,
+    aBatch->mMetadata.mRevision,
+    EncodeMetadataStatus(mDependencies.mName, true),
+    [this, aExchange, aBatch, aTriesLeft](
+      const objects::object_reply& aResponse) {
+      if (aResponse.mOutcome == store_outcome::Done ||
+          aResponse.mOutcome == store_outcome::Conflict) {
+        if (auto metadata = DecodeMetadata(aResponse.mObject)) {
+          ApplyMetadata(*metadata);
         }
       }
-      if (aBatch->mHead.mIsEnded) {
-        events::line("batch_ended").With("batch", aBatch->mHead.mId);
+      if (aBatch->mMetadata.mIsEnded) {
+        events::line("batch_ended").With("batch", aBatch->mMetadata.mId);
         aExchange->Answer({ 200, {}, {} });
       } else if (aTriesLeft > 0) {
         After(kRetryDelay, [this, aExchange, aBatch, aTriesLeft] {
--- a/Duties/Batches/BatchDispatch.cpp
+++ b/Duties/Batches/BatchDispatch.cpp
@@ -18,8 +18,8 @@
 
 /** Maximum number of runs moved away from slow servers at once, and of moves
  * per item. Each move makes the new server process the item's tokens again. */
-constexpr int kMaxMovesAtOnce = 8;
-constexpr int kMaxMovesPerItem = 2;
+constexpr int kMaximumMovesAtOnce = 8;
+constexpr int kMaximumMovesPerItem = 2;
 
 } // namespace
 
@@ -30,7 +30,7 @@
     return;
   }
   mIsDispatchPosted = true;
-  boost::asio::post(mParts.mLoop, [this] {
+  boost::asio::post(mDependencies.mLoop, [this] {
     mIsDispatchPosted = false;
     DispatchNow();
   });
@@ -40,10 +40,11 @@
 batch_runner::RouteOf(const running_batch& aBatch,
                       const batch_item& aItem) const
 {
-  return mParts.mConfiguration ? site::FindRoute(*mParts.mConfiguration,
-                                                 aBatch.mHead.mHost,
-                                                 aItem.mPath)
-                               : nullptr;
+  return mDependencies.mConfiguration
+           ? site::FindRoute(*mDependencies.mConfiguration,
+                             aBatch.mMetadata.mHost,
+                             aItem.mPath)
+           : nullptr;
 }
 
 std::vector<engine_view>
@@ -52,10 +53,10 @@
   std::vector<engine_view> engines;
   const auto now = boot_clock::now();
   const double median = MedianEventTime(mHealths);
-  for (const auto& [id, row] : mParts.mDirectory.mRows) {
+  for (const auto& [id, row] : mDependencies.mDirectory.mRows) {
     if (row.mServer.mIsLeaving ||
         (IsOn(mechanism::RunBreakers) &&
-         !IsUsable(mHealths, id, mParts.mDirectory.mRows.size(), now))) {
+         !IsUsable(mHealths, id, mDependencies.mDirectory.mRows.size(), now))) {
       continue;
     }
     engine_view engine;
@@ -95,7 +96,7 @@
       continue;
     }
     const auto route = RouteOf(aBatch, *item.mItem);
-    if (route && TimeUntilGivenUp(AgeOf(aBatch.mHead),
+    if (route && TimeUntilGivenUp(AgeOf(aBatch.mMetadata),
                                   route->mMaximumQueueTime) <= 0ms) {
       StopRun(item);
       FinishItem(aBatch, item, item_end::GivenUp);
@@ -118,7 +119,7 @@
   for (auto& [id, batch] : mBatches) {
     GiveUpOverdueItems(batch);
     const auto submitted = std::chrono::duration_cast<milliseconds>(
-      batch.mHead.mSubmittedAt.time_since_epoch());
+      batch.mMetadata.mSubmittedAt.time_since_epoch());
     for (std::size_t i = 0; i < batch.mItems.size(); ++i) {
       if (batch.mItems[i].mPhase == item_phase::Waiting) {
         waiting.push_back({ { submitted.count(),
@@ -187,8 +188,8 @@
           return aEngine.mId == item.mServer;
         });
       if (item.mPhase != item_phase::Running || at == aEngines.end() ||
-          !at->mIsSlow || item.mMoves >= kMaxMovesPerItem ||
-          moves >= kMaxMovesAtOnce) {
+          !at->mIsSlow || item.mMoves >= kMaximumMovesPerItem ||
+          moves >= kMaximumMovesAtOnce) {
         continue;
       }
       const auto route = RouteOf(batch, *item.mItem);
@@ -208,7 +209,7 @@
         .With(
           "event_ms",
           static_cast<std::int64_t>(mHealths[item.mServer].mEventMilliseconds));
-      mParts.mMetrics.Count("lavender_batch_moves_total", {});
+      mDependencies.mMetrics.Count("lavender_batch_moves_total", {});
       --at->mOwnRuns;
       StopRun(item);
       ++item.mMoves;
@@ -228,8 +229,8 @@
   for (const auto& pool : aRoute.mPools) {
     need.mPools.push_back(pool.mPool);
   }
-  need.mModel = aBatch.mHead.mModel;
-  need.mMinimumVersion = aBatch.mHead.mMinimumVersion;
+  need.mModel = aBatch.mMetadata.mModel;
+  need.mMinimumVersion = aBatch.mMetadata.mMinimumVersion;
   need.mGroup = aItem.mItem->mGroup;
   need.mAvoidedServer = aItem.mAvoidedServer;
   return need;
--- a/Duties/Batches/BatchListing.cpp
+++ b/Duties/Batches/BatchListing.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /** Maximum size of a block of results; the store limits objects to 1 MB. */
-constexpr std::size_t kMaxBlockBytes = 900 << 10;
+constexpr std::size_t kMaximumBlockBytes = 900 << 10;
 /** A text that has been unsaved for this long is written in a block of its own.
  * If the entry dies, a step then loses two seconds of a long run instead of
  * the whole run, which is more than most steps can afford. */
@@ -39,7 +39,7 @@
 PendingCounts(const batch_record& aBatch)
 {
   return { aBatch.mLog.mPending.mItemIds.size(),
-           static_cast<std::size_t>(aBatch.mHead.mTotal) };
+           static_cast<std::size_t>(aBatch.mMetadata.mTotal) };
 }
 
 } // namespace
@@ -54,13 +54,14 @@
   const auto& batch = found->second;
   const bool isNew = !HasResult(batch->mLog, aResult.mItemId);
   AddPending(
-    batch->mLog, aResult.mItemId, mParts.mFormat.mEncodeResult(aResult));
+    batch->mLog, aResult.mItemId, mDependencies.mFormat.mEncodeResult(aResult));
   const auto* group = GroupOf(*batch->mSubmission, aResult.mItemId);
-  const bool isComplete = isNew && group && NoteResult(batch->mGroups, *group);
+  const bool isComplete =
+    isNew && group && RecordResult(batch->mGroups, *group);
   ScheduleCommit(batch,
                  CommitDelay(batch->mGroups,
-                             batch->mHead.mTargetGroups,
-                             mParts.mRunner.DueIn(aBatchId),
+                             batch->mMetadata.mTargetGroups,
+                             mDependencies.mRunner.DueIn(aBatchId),
                              isComplete,
                              PendingCounts(*batch)));
 }
@@ -91,58 +92,60 @@
 
 void
 batch_service::CommitBlock(const batch_ptr& aBatch,
-                           milliseconds aMinUnsavedTime,
+                           milliseconds aMinimumUnsavedTime,
                            std::function<void()> aDone)
 {
-  if (aBatch->mIsCommitting || !aBatch->mIsLoaded || aBatch->mHead.mIsEnded) {
+  if (aBatch->mIsCommitting || !aBatch->mIsLoaded ||
+      aBatch->mMetadata.mIsEnded) {
     aDone();
     return;
   }
-  const auto block =
-    std::make_shared<result_block>(OldestPending(aBatch->mLog, kMaxBlockBytes));
+  const auto block = std::make_shared<result_block>(
+    OldestPending(aBatch->mLog, kMaximumBlockBytes));
   std::size_t bytes = 0;
   for (const auto& entry : block->mEntries) {
     bytes += entry.size();
   }
   block->mWriter = aBatch->mWriter;
-  block->mParts = mParts.mRunner.UnsavedParts(
-    aBatch->mHead.mId,
-    aMinUnsavedTime,
-    kMaxBlockBytes - std::min(bytes, kMaxBlockBytes));
+  block->mParts = mDependencies.mRunner.UnsavedParts(
+    aBatch->mMetadata.mId,
+    aMinimumUnsavedTime,
+    kMaximumBlockBytes - std::min(bytes, kMaximumBlockBytes));
   if (block->mItemIds.empty() && block->mParts.empty()) {
     aDone();
     return;
   }
   aBatch->mIsCommitting = true;
-  mParts.mStore.mCreate(
+  mDependencies.mStore.mCreate(
     kBatchResultsKind,
-    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    ResultsObjectName(aBatch->mMetadata.mId, aBatch->mLog.mNextBlock),
     EncodeBlock(*block),
     [this,
      aBatch,
      block,
      generation = aBatch->mGeneration,
-     done = std::move(aDone)](const objects::object_reply& aReply) {
+     done = std::move(aDone)](const objects::object_reply& aResponse) {
       if (aBatch->mGeneration != generation) {
         done();
         return;
       }
       aBatch->mIsCommitting = false;
-      if (aReply.mOutcome == store_outcome::Done) {
-        mParts.mRunner.MarkPartsSaved(aBatch->mHead.mId, block->mParts);
+      if (aResponse.mOutcome == store_outcome::Done) {
+        mDependencies.mRunner.MarkPartsSaved(aBatch->mMetadata.mId,
+                                             block->mParts);
         ApplyListedBlock(aBatch, *block);
         // Results that arrived during the write have no commit scheduled.
-        const auto dueIn = mParts.mRunner.DueIn(aBatch->mHead.mId);
+        const auto dueIn = mDependencies.mRunner.DueIn(aBatch->mMetadata.mId);
         ScheduleCommit(aBatch,
                        CommitDelay(aBatch->mGroups,
-                                   aBatch->mHead.mTargetGroups,
+                                   aBatch->mMetadata.mTargetGroups,
                                    dueIn,
                                    true,
                                    PendingCounts(*aBatch)));
-      } else if (aReply.mOutcome == store_outcome::Refused) {
+      } else if (aResponse.mOutcome == store_outcome::Refused) {
         ScheduleCommit(aBatch, kRetryDelay);
       } else {
-        mParts.mRunner.MarkAllUnsaved(aBatch->mHead.mId);
+        mDependencies.mRunner.MarkAllUnsaved(aBatch->mMetadata.mId);
         ReadBackCommit(aBatch);
       }
       done();
@@ -153,14 +156,14 @@
 batch_service::ScheduleSave(const batch_ptr& aBatch)
 {
   After(kSaveCheckInterval, [this, aBatch, generation = aBatch->mGeneration] {
-    if (aBatch->mGeneration != generation || aBatch->mHead.mIsEnded) {
+    if (aBatch->mGeneration != generation || aBatch->mMetadata.mIsEnded) {
       return;
     }
-    if (!mParts.mCanReachStore()) {
+    if (!mDependencies.mCanReachStore()) {
       OfferBatch(aBatch);
     }
-    const auto unsaved = mParts.mRunner.UnsavedParts(
-      aBatch->mHead.mId, kSeparateSaveAge, kMaxBlockBytes);
+    const auto unsaved = mDependencies.mRunner.UnsavedParts(
+      aBatch->mMetadata.mId, kSeparateSaveAge, kMaximumBlockBytes);
     if (!unsaved.empty()) {
       CommitBlock(aBatch, kCombinedSaveAge, [] {});
     }
@@ -187,20 +190,20 @@
 batch_service::ReadBackCommit(const batch_ptr& aBatch)
 {
   aBatch->mIsCommitting = true;
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kBatchResultsKind,
-    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    ResultsObjectName(aBatch->mMetadata.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
-    IfSameGeneration(aBatch,
-                     [this, aBatch](const objects::object_reply& aReply) {
-                       aBatch->mIsCommitting = false;
-                       if (aReply.mOutcome == store_outcome::Done) {
-                         if (const auto block = DecodeBlock(aReply.mObject)) {
-                           ApplyListedBlock(aBatch, *block);
-                         }
-                       }
-                       ScheduleCommit(aBatch, kRetryDelay);
-                     }));
+    IfSameGeneration(
+      aBatch, [this, aBatch](const objects::object_reply& aResponse) {
+        aBatch->mIsCommitting = false;
+        if (aResponse.mOutcome == store_outcome::Done) {
+          if (const auto block = DecodeBlock(aResponse.mObject)) {
+            ApplyListedBlock(aBatch, *block);
+          }
+        }
+        ScheduleCommit(aBatch, kRetryDelay);
+      }));
 }
 
 void
@@ -210,16 +213,16 @@
   const auto newIds = ApplyBlock(aBatch->mLog, aBlock);
   for (const auto& itemId : newIds) {
     if (const auto* group = GroupOf(*aBatch->mSubmission, itemId)) {
-      NoteResult(aBatch->mGroups, *group);
+      RecordResult(aBatch->mGroups, *group);
     }
   }
   events::line("results_listed")
-    .With("batch", aBatch->mHead.mId)
+    .With("batch", aBatch->mMetadata.mId)
     .With("block", static_cast<std::int64_t>(aBatch->mLog.mNextBlock - 1))
     .With("results", static_cast<std::int64_t>(aBlock.mItemIds.size()))
     .With("listed", static_cast<std::int64_t>(aBatch->mLog.mListed.size()));
   if (!newIds.empty()) {
-    mParts.mRunner.MarkListed(aBatch->mHead.mId, newIds);
+    mDependencies.mRunner.MarkListed(aBatch->mMetadata.mId, newIds);
   }
   const auto waiters = std::move(aBatch->mResultWaiters);
   aBatch->mResultWaiters.clear();
@@ -236,10 +239,10 @@
   // without this check it would permanently show fewer results than the
   // previous owner did.
   const auto now = boot_clock::now();
-  const bool isComplete =
-    aBatch.mLog.mListed.size() >= static_cast<std::size_t>(aBatch.mHead.mTotal);
+  const bool isComplete = aBatch.mLog.mListed.size() >=
+                          static_cast<std::size_t>(aBatch.mMetadata.mTotal);
   return !isComplete && aBatch.mLoadedAt &&
-         (aBatch.mHead.mIsEnded ||
+         (aBatch.mMetadata.mIsEnded ||
           now - *aBatch.mLoadedAt < kLateListingWindow) &&
          now - aBatch.mNoMoreBlocksAt >= kMissingBlockCheckInterval;
 }
@@ -254,26 +257,26 @@
     return;
   }
   aBatch->mIsCommitting = true;
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kBatchResultsKind,
-    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    ResultsObjectName(aBatch->mMetadata.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
     [this, aBatch, generation = aBatch->mGeneration, done = std::move(aDone)](
-      const objects::object_reply& aReply) {
+      const objects::object_reply& aResponse) {
       if (aBatch->mGeneration != generation) {
         done(false);
         return;
       }
       aBatch->mIsCommitting = false;
-      const auto block = aReply.mOutcome == store_outcome::Done
-                           ? DecodeBlock(aReply.mObject)
+      const auto block = aResponse.mOutcome == store_outcome::Done
+                           ? DecodeBlock(aResponse.mObject)
                            : std::nullopt;
       if (block) {
         ApplyListedBlock(aBatch, *block);
         ReadMissingBlocks(aBatch, done);
         return;
       }
-      const bool isEnd = aReply.mOutcome == store_outcome::NotFound;
+      const bool isEnd = aResponse.mOutcome == store_outcome::NotFound;
       if (isEnd) {
         aBatch->mNoMoreBlocksAt = boot_clock::now();
       }
--- a/Duties/Batches/BatchLoading.cpp
+++ b/Duties/Batches/BatchLoading.cpp
@@ -27,9 +27,9 @@
                                 objects::object_done aDone)
 {
   return [aBatch, generation = aBatch->mGeneration, done = std::move(aDone)](
-           objects::object_reply aReply) {
+           objects::object_reply aResponse) {
     if (aBatch->mGeneration == generation) {
-      done(std::move(aReply));
+      done(std::move(aResponse));
     }
   };
 }
@@ -42,10 +42,10 @@
   aBatch->mStored.clear();
   ++aBatch->mGeneration;
   auto loaded = std::make_shared<submission>();
-  loaded->mId = aBatch->mHead.mId;
-  loaded->mModel = aBatch->mHead.mModel;
-  loaded->mMinimumVersion = aBatch->mHead.mMinimumVersion;
-  loaded->mTargetGroups = aBatch->mHead.mTargetGroups;
+  loaded->mId = aBatch->mMetadata.mId;
+  loaded->mModel = aBatch->mMetadata.mModel;
+  loaded->mMinimumVersion = aBatch->mMetadata.mMinimumVersion;
+  loaded->mTargetGroups = aBatch->mMetadata.mTargetGroups;
   LoadItems(aBatch, loaded, 0);
 }
 
@@ -54,20 +54,20 @@
                          std::shared_ptr<submission> aLoaded,
                          int aPart)
 {
-  if (aPart == aBatch->mHead.mParts) {
+  if (aPart == aBatch->mMetadata.mParts) {
     aBatch->mSubmission = aLoaded;
     LoadResults(aBatch);
     return;
   }
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kBatchItemsKind,
-    ItemsObjectName(aBatch->mHead.mId, aPart),
+    ItemsObjectName(aBatch->mMetadata.mId, aPart),
     objects::freshness::Linearizable,
     IfSameGeneration(
       aBatch,
-      [this, aBatch, aLoaded, aPart](const objects::object_reply& aReply) {
-        if (aReply.mOutcome == store_outcome::Done &&
-            DecodeItems(aReply.mObject, *aLoaded)) {
+      [this, aBatch, aLoaded, aPart](const objects::object_reply& aResponse) {
+        if (aResponse.mOutcome == store_outcome::Done &&
+            DecodeItems(aResponse.mObject, *aLoaded)) {
           LoadItems(aBatch, aLoaded, aPart + 1);
         } else {
           FinishLoad(aBatch, false);
@@ -78,13 +78,14 @@
 void
 batch_service::LoadResults(const batch_ptr& aBatch)
 {
-  const auto handleReply = [this, aBatch](const objects::object_reply& aReply) {
-    if (aReply.mOutcome == store_outcome::NotFound) {
+  const auto handleResponse = [this,
+                               aBatch](const objects::object_reply& aResponse) {
+    if (aResponse.mOutcome == store_outcome::NotFound) {
       FinishLoad(aBatch, true);
       return;
     }
-    const auto block = aReply.mOutcome == store_outcome::Done
-                         ? DecodeBlock(aReply.mObject)
+    const auto block = aResponse.mOutcome == store_outcome::Done
+                         ? DecodeBlock(aResponse.mObject)
                          : std::nullopt;
     if (!block) {
       FinishLoad(aBatch, false);
@@ -98,11 +99,11 @@
     }
     LoadResults(aBatch);
   };
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kBatchResultsKind,
-    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    ResultsObjectName(aBatch->mMetadata.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
-    IfSameGeneration(aBatch, handleReply));
+    IfSameGeneration(aBatch, handleResponse));
 }
 
 void
@@ -111,13 +112,13 @@
   aBatch->mIsLoading = false;
   aBatch->mIsLoaded = aIsLoaded;
   events::line("batch_loaded")
-    .With("batch", aBatch->mHead.mId)
+    .With("batch", aBatch->mMetadata.mId)
     .With("outcome", aBatch->mIsLoaded ? "loaded" : "failed")
     .With("results", static_cast<std::int64_t>(aBatch->mLog.mListed.size()));
   if (aBatch->mIsLoaded) {
     aBatch->mLoadedAt = aBatch->mNoMoreBlocksAt = boot_clock::now();
     Run(aBatch);
-  } else if (!aBatch->mHead.mIsEnded) {
+  } else if (!aBatch->mMetadata.mIsEnded) {
     After(kRetryDelay, [this, aBatch] {
       if (IsOwnedHere(aBatch)) {
         Load(aBatch, [](bool) {});
@@ -141,21 +142,21 @@
 batch_service::Run(const batch_ptr& aBatch)
 {
   auto stored = std::exchange(aBatch->mStored, {});
-  if (aBatch->mHead.mIsEnded) {
+  if (aBatch->mMetadata.mIsEnded) {
     return;
   }
   aBatch->mGroups = {};
   for (const auto& item : aBatch->mSubmission->mItems) {
-    NoteOpenItem(aBatch->mGroups, item.mGroup);
+    RecordOpenItem(aBatch->mGroups, item.mGroup);
   }
   for (const auto& item : aBatch->mSubmission->mItems) {
     if (HasResult(aBatch->mLog, item.mId)) {
-      NoteResult(aBatch->mGroups, item.mGroup);
+      RecordResult(aBatch->mGroups, item.mGroup);
     }
   }
   aBatch->mWriter = MakeRandomName();
-  mParts.mRunner.Add(
-    aBatch->mHead,
+  mDependencies.mRunner.Add(
+    aBatch->mMetadata,
     aBatch->mSubmission,
     [&](const std::string& aItemId) {
       return HasResult(aBatch->mLog, aItemId);
@@ -167,7 +168,7 @@
 void
 batch_service::Unload(const batch_ptr& aBatch)
 {
-  mParts.mRunner.Remove(aBatch->mHead.mId);
+  mDependencies.mRunner.Remove(aBatch->mMetadata.mId);
   aBatch->mIsLoaded = false;
   aBatch->mIsLoading = false;
   aBatch->mIsCommitting = false;
--- a/Duties/Batches/BatchOwners.cpp
+++ b/Duties/Batches/BatchOwners.cpp
@@ -18,12 +18,12 @@
 constexpr milliseconds kConnectTimeout = 300ms;
 /** Time for which an entry that didn't respond is sent no batch; each attempt
  * would delay a trainer. */
-constexpr milliseconds kSilentPeerAvoidance = 5000ms;
+constexpr milliseconds kUnresponsivePeerAvoidance = 5000ms;
 /** Time for which an entry that refused a batch is sent none: it is shutting
  * down or can't reach the store. */
 constexpr milliseconds kRefusingPeerAvoidance = 10000ms;
 /** Maximum number of entries that are asked to accept one submission. */
-constexpr int kMaxPeersAsked = 3;
+constexpr int kMaximumPeersAsked = 3;
 /** Timeout of a request to take over a batch. The new owner updates the batch's
  * metadata before it responds. */
 constexpr milliseconds kOfferTimeout = 1500ms;
@@ -48,15 +48,16 @@
 {
   const bool isUnableToOwn = IsUnableToOwn();
   if (!IsOn(mechanism::DesignatedOwners) && !isUnableToOwn) {
-    return mParts.mName;
+    return mDependencies.mName;
   }
   const auto now = boot_clock::now();
-  auto candidates = mParts.mEntries();
+  auto candidates = mDependencies.mEntries();
   for (auto& candidate : candidates) {
     const auto avoided = mAvoidedUntil.find(candidate.mName);
     const bool isAvoided =
       avoided != mAvoidedUntil.end() && now < avoided->second;
-    if (isAvoided || (isUnableToOwn && candidate.mName == mParts.mName)) {
+    if (isAvoided ||
+        (isUnableToOwn && candidate.mName == mDependencies.mName)) {
       candidate.mWeight = 0;
     }
   }
@@ -68,10 +69,10 @@
                               const std::string& aModel) const
 {
   const auto owner = DesignatedOwner(aCustomer, aModel);
-  if (!owner || *owner == mParts.mName) {
+  if (!owner || *owner == mDependencies.mName) {
     return std::nullopt;
   }
-  const auto address = mParts.mFindPeer(*owner);
+  const auto address = mDependencies.mFindPeer(*owner);
   return address ? std::optional(peer_entry{ *owner, *address }) : std::nullopt;
 }
 
@@ -84,14 +85,14 @@
   edge::call_options options;
   options.mConnectTimeout = kConnectTimeout;
   options.mSilenceTimeout = aTimeout;
-  constexpr std::size_t kAnswerBytes = 4096;
-  edge::FetchWhole(mParts.mClients,
-                   mParts.mLoop,
+  constexpr std::size_t kMaximumResponseBytes = 4096;
+  edge::FetchWhole(mDependencies.mClients,
+                   mDependencies.mLoop,
                    aPeer,
                    aRequest,
                    options,
                    aTimeout,
-                   kAnswerBytes,
+                   kMaximumResponseBytes,
                    std::move(aDone));
 }
 
@@ -100,7 +101,7 @@
                       const submission_origin& aOrigin,
                       submission aSubmission)
 {
-  if (AnswerIfKnown(aExchange, aOrigin, aSubmission.mId)) {
+  if (RespondIfKnown(aExchange, aOrigin, aSubmission.mId)) {
     return;
   }
   ForwardOrAdmit(std::make_shared<pending_submission>(
@@ -115,8 +116,9 @@
     DesignatedPeer(aPending->mOrigin.mCustomer, aPending->mSubmission.mModel);
   // An entry that can't own batches itself asks further entries before it tries
   // to accept the batch.
-  if (owner && (aPending->mPeersAsked == 0 ||
-                (IsUnableToOwn() && aPending->mPeersAsked < kMaxPeersAsked))) {
+  if (owner &&
+      (aPending->mPeersAsked == 0 ||
+       (IsUnableToOwn() && aPending->mPeersAsked < kMaximumPeersAsked))) {
     ++aPending->mPeersAsked;
     ForwardSubmission(aPending, *owner);
   } else {
@@ -132,7 +134,7 @@
                              const submission_origin& aOrigin,
                              submission aSubmission)
 {
-  if (AnswerIfKnown(aExchange, aOrigin, aSubmission.mId)) {
+  if (RespondIfKnown(aExchange, aOrigin, aSubmission.mId)) {
     return;
   }
   if (IsUnableToOwn()) {
@@ -143,15 +145,15 @@
 }
 
 bool
-batch_service::AnswerIfKnown(const edge::exchange_ptr& aExchange,
-                             const submission_origin& aOrigin,
-                             const std::string& aBatchId)
+batch_service::RespondIfKnown(const edge::exchange_ptr& aExchange,
+                              const submission_origin& aOrigin,
+                              const std::string& aBatchId)
 {
   const auto known = mBatches.find(aBatchId);
   if (known == mBatches.end()) {
     return false;
   }
-  const bool isOwn = known->second->mHead.mCustomer == aOrigin.mCustomer;
+  const bool isOwn = known->second->mMetadata.mCustomer == aOrigin.mCustomer;
   aExchange->Answer({ isOwn ? 202u : 404u, {}, {} });
   return true;
 }
@@ -168,28 +170,28 @@
                            aPending->mExchange->mRequest.mBody }),
     kAcceptTimeout,
     [this, aPending, owner = aOwner.mName](edge::call_end aEnd,
-                                           const edge::response& aAnswer) {
-      const bool isAnswered = aEnd == edge::call_end::Complete;
-      if (isAnswered && aAnswer.mStatus != kNotOwner) {
-        edge::response answer{ aAnswer.mStatus, {}, {} };
-        if (const auto* after = aAnswer.mHeaders.Find(kRetryAfterField)) {
-          answer.mHeaders.Add(kRetryAfterField, *after);
+                                           const edge::response& aResponse) {
+      const bool hasResponse = aEnd == edge::call_end::Complete;
+      if (hasResponse && aResponse.mStatus != kNotOwner) {
+        edge::response response{ aResponse.mStatus, {}, {} };
+        if (const auto* after = aResponse.mHeaders.Find(kRetryAfterField)) {
+          response.mHeaders.Add(kRetryAfterField, *after);
         }
-        aPending->mExchange->Answer(std::move(answer));
+        aPending->mExchange->Answer(std::move(response));
         return;
       }
       events::line("designated_owner_silent")
         .With("batch", aPending->mSubmission.mId)
         .With("owner", owner)
         .With("end", edge::ToString(aEnd))
-        .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
+        .With("status", static_cast<std::int64_t>(aResponse.mStatus));
       mAvoidedUntil[owner] =
         boot_clock::now() +
-        (isAnswered ? kRefusingPeerAvoidance : kSilentPeerAvoidance);
+        (hasResponse ? kRefusingPeerAvoidance : kUnresponsivePeerAvoidance);
       // The other entry may have accepted the batch although it didn't
       // respond. The store accepts the metadata only once, but a refusal
       // may no longer claim that the batch doesn't run.
-      if (!isAnswered && aEnd != edge::call_end::NotSent) {
+      if (!hasResponse && aEnd != edge::call_end::NotSent) {
         Admit(aPending->mExchange,
               aPending->mOrigin,
               std::move(aPending->mSubmission),
@@ -206,8 +208,8 @@
   mIsLeaving = true;
   for (const auto& [id, batch] : mBatches) {
     const auto successor =
-      DesignatedOwner(batch->mHead.mCustomer, batch->mHead.mModel);
-    if (!IsOwnedHere(batch) || batch->mHead.mIsEnded || !successor) {
+      DesignatedOwner(batch->mMetadata.mCustomer, batch->mMetadata.mModel);
+    if (!IsOwnedHere(batch) || batch->mMetadata.mIsEnded || !successor) {
       continue;
     }
     constexpr int kTriesToSave = 6;
@@ -220,49 +222,50 @@
 void
 batch_service::AssignOwner(const batch_ptr& aBatch, const std::string& aOwner)
 {
-  mParts.mStore.mReplaceStatus(kBatchMetadataKind,
-                               aBatch->mHead.mId,
-                               aBatch->mHead.mRevision,
-                               EncodeHeadStatus(aOwner, aBatch->mHead.mIsEnded),
-                               [this](const objects::object_reply& aReply) {
-                                 if (const auto head =
-                                       DecodeHead(aReply.mObject)) {
-                                   TakeHead(*head);
-                                 }
-                               });
+  mDependencies.mStore.mReplaceStatus(
+    kBatchMetadataKind,
+    aBatch->mMetadata.mId,
+    aBatch->mMetadata.mRevision,
+    EncodeMetadataStatus(aOwner, aBatch->mMetadata.mIsEnded),
+    [this](const objects::object_reply& aResponse) {
+      if (const auto metadata = DecodeMetadata(aResponse.mObject)) {
+        ApplyMetadata(*metadata);
+      }
+    });
 }
 
 void
 batch_service::OfferBatch(const batch_ptr& aBatch)
 {
   const auto owner =
-    DesignatedPeer(aBatch->mHead.mCustomer, aBatch->mHead.mModel);
+    DesignatedPeer(aBatch->mMetadata.mCustomer, aBatch->mMetadata.mModel);
   if (aBatch->mIsOffered || !owner) {
     return;
   }
   aBatch->mIsOffered = true;
   batch_call call;
   call.mKind = batch_call::kind::TakeOver;
-  call.mBatchId = aBatch->mHead.mId;
-  call.mCustomer = aBatch->mHead.mCustomer;
+  call.mBatchId = aBatch->mMetadata.mId;
+  call.mCustomer = aBatch->mMetadata.mCustomer;
   CallPeer(owner->mAddress,
            EncodePeerCall(call),
            kOfferTimeout,
-           [this, aBatch, owner = owner->mName](edge::call_end aEnd,
-                                                const edge::response& aAnswer) {
+           [this, aBatch, owner = owner->mName](
+             edge::call_end aEnd, const edge::response& aResponse) {
              const bool isTaken =
-               aEnd == edge::call_end::Complete && aAnswer.mStatus == 200;
+               aEnd == edge::call_end::Complete && aResponse.mStatus == 200;
              events::line("batch_offered")
-               .With("batch", aBatch->mHead.mId)
+               .With("batch", aBatch->mMetadata.mId)
                .With("to", owner)
                .With("end", edge::ToString(aEnd))
-               .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
+               .With("status", static_cast<std::int64_t>(aResponse.mStatus));
              aBatch->mIsOffered = false;
              if (!isTaken) {
-               mAvoidedUntil[owner] = boot_clock::now() + kSilentPeerAvoidance;
+               mAvoidedUntil[owner] =
+                 boot_clock::now() + kUnresponsivePeerAvoidance;
              } else if (IsOwnedHere(aBatch)) {
                // The watch will deliver the metadata as stored.
-               aBatch->mHead.mOwner = owner;
+               aBatch->mMetadata.mOwner = owner;
                aBatch->mOwnerChangedAt = boot_clock::now();
                Unload(aBatch);
              }
--- a/Duties/Batches/BatchRewards.cpp
+++ b/Duties/Batches/BatchRewards.cpp
@@ -17,22 +17,22 @@
   item.mRunNumber = ++mLastRunNumber;
   const auto route = RouteOf(aBatch, *item.mItem);
   const auto now = boot_clock::now();
-  const auto age = AgeOf(aBatch.mHead);
+  const auto age = AgeOf(aBatch.mMetadata);
   const auto limits = route ? *route : site::route();
-  const run_ref ref{ aBatch.mHead.mId, aIndex, item.mRunNumber };
+  const run_ref ref{ aBatch.mMetadata.mId, aIndex, item.mRunNumber };
 
   rewards::reward_request request;
   request.mCall = *item.mItem->mReward;
   request.mItemId = item.mItem->mId;
-  request.mCustomer = aBatch.mHead.mCustomer;
+  request.mCustomer = aBatch.mMetadata.mCustomer;
   request.mGiveUpAt = now + TimeUntilGivenUp(age, limits.mMaximumQueueTime);
   request.mPriority = [this, ref, dueAt = now - age + limits.mResultsDueAfter] {
     return rewards::reward_priority{ dueAt, OpenItemsInGroup(ref) };
   };
   request.mOnEnd = [this, ref](std::optional<std::string> aScore) {
-    TakeScore(ref, std::move(aScore));
+    HandleScore(ref, std::move(aScore));
   };
-  item.mRewardCall = mParts.mRewards.Start(std::move(request));
+  item.mRewardCall = mDependencies.mRewards.Start(std::move(request));
 }
 
 int
@@ -47,7 +47,8 @@
 }
 
 void
-batch_runner::TakeScore(const run_ref& aRef, std::optional<std::string> aScore)
+batch_runner::HandleScore(const run_ref& aRef,
+                          std::optional<std::string> aScore)
 {
   auto* item = Find(aRef);
   if (!item) {
--- a/Duties/Batches/BatchRunner.cpp
+++ b/Duties/Batches/BatchRunner.cpp
@@ -4,20 +4,20 @@
 
 namespace lavender::batches {
 
-batch_runner::batch_runner(runner_dependencies aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+batch_runner::batch_runner(runner_dependencies aDependencies)
+  : mDependencies(std::move(aDependencies))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
 void
-batch_runner::Add(const batch_metadata& aHead,
+batch_runner::Add(const batch_metadata& aMetadata,
                   std::shared_ptr<const submission> aSubmission,
                   const std::function<bool(const std::string&)>& aHasResult,
                   stored_texts aStored)
 {
   running_batch batch;
-  batch.mHead = aHead;
+  batch.mMetadata = aMetadata;
   batch.mSubmission = std::move(aSubmission);
   for (const auto& item : batch.mSubmission->mItems) {
     item_progress progress;
@@ -25,13 +25,13 @@
     if (aHasResult(item.mId)) {
       progress.mPhase = item_phase::Ended;
     } else {
-      NoteOpenItem(batch.mGroups, item.mGroup);
+      RecordOpenItem(batch.mGroups, item.mGroup);
     }
     batch.mItems.push_back(std::move(progress));
   }
-  Remove(aHead.mId);
-  mBatches[aHead.mId] = std::move(batch);
-  RestoreTexts(mBatches[aHead.mId], std::move(aStored));
+  Remove(aMetadata.mId);
+  mBatches[aMetadata.mId] = std::move(batch);
+  RestoreTexts(mBatches[aMetadata.mId], std::move(aStored));
   Dispatch();
 }
 
@@ -56,7 +56,7 @@
   ExpireAffinities(mAffinities, boot_clock::now());
   const auto forget = [this](auto& aRows, const auto& aIsUnused) {
     for (auto row = aRows.begin(); row != aRows.end();) {
-      const bool isGone = mParts.mDirectory.mRows.count(row->first) == 0;
+      const bool isGone = mDependencies.mDirectory.mRows.count(row->first) == 0;
       row = isGone && aIsUnused(row->second) ? aRows.erase(row) : ++row;
     }
   };
@@ -78,7 +78,7 @@
   const auto& running = batch->second;
   const auto route = RouteOf(running, *running.mItems.front().mItem);
   return (route ? route->mResultsDueAfter : site::route().mResultsDueAfter) -
-         AgeOf(running.mHead);
+         AgeOf(running.mMetadata);
 }
 
 std::size_t
@@ -130,7 +130,7 @@
 batch_runner::StopRun(item_progress& aItem)
 {
   if (aItem.mPhase == item_phase::Scoring) {
-    mParts.mRewards.Cancel(std::exchange(aItem.mRewardCall, 0));
+    mDependencies.mRewards.Cancel(std::exchange(aItem.mRewardCall, 0));
     aItem.mRunNumber = 0;
     aItem.mPhase = item_phase::Waiting;
     return;
@@ -165,7 +165,7 @@
 {
   if (aItem.mPhase != item_phase::Ended) {
     aItem.mPhase = item_phase::Ended;
-    NoteResult(aBatch.mGroups, aItem.mItem->mGroup);
+    RecordResult(aBatch.mGroups, aItem.mItem->mGroup);
   }
 }
 
@@ -186,9 +186,10 @@
     result.mScore = std::move(aScore);
   }
   aItem.mGenerated = {};
-  mParts.mMetrics.Count("lavender_batch_items_total",
-                        { { "result", isDone ? "completed" : "given_up" } });
-  mParts.mOnResult(aBatch.mHead.mId, std::move(result));
+  mDependencies.mMetrics.Count(
+    "lavender_batch_items_total",
+    { { "result", isDone ? "completed" : "given_up" } });
+  mDependencies.mOnResult(aBatch.mMetadata.mId, std::move(result));
 }
 
 void
--- a/Duties/Batches/BatchRunner.h
+++ b/Duties/Batches/BatchRunner.h
@@ -60,7 +60,7 @@
 /** A batch that this entry is running. */
 struct running_batch
 {
-  batch_metadata mHead;
+  batch_metadata mMetadata;
   std::shared_ptr<const submission> mSubmission;
   std::vector<item_progress> mItems;
   group_progress mGroups;
@@ -82,13 +82,13 @@
 class batch_runner
 {
 public:
-  explicit batch_runner(runner_dependencies aParts);
+  explicit batch_runner(runner_dependencies aDependencies);
 
   /** Adds a batch and starts its items.
    * @param aHasResult items for which it returns true aren't run
    * @param aStored text that earlier runs generated; each item resumes after
    * its stored text */
-  void Add(const batch_metadata& aHead,
+  void Add(const batch_metadata& aMetadata,
            std::shared_ptr<const submission> aSubmission,
            const std::function<bool(const std::string&)>& aHasResult,
            stored_texts aStored);
@@ -96,8 +96,8 @@
    * given time.
    * @param aMostBytes limit on the total size of the returned text, in bytes */
   std::vector<text_part> UnsavedParts(const std::string& aBatchId,
-                                      milliseconds aMinUnsavedTime,
-                                      std::size_t aMaxBytes) const;
+                                      milliseconds aMinimumUnsavedTime,
+                                      std::size_t aMaximumBytes) const;
   /** Records that the store holds these parts. */
   void MarkPartsSaved(const std::string& aBatchId,
                       const std::vector<text_part>& aParts);
@@ -149,12 +149,12 @@
                 std::size_t aIndex,
                 const engine_view& aEngine,
                 const site::route& aRoute);
-  void TakeEvent(const run_ref& aRef,
-                 const std::shared_ptr<run_state>& aRun,
-                 stream_event&& aEvent);
-  void TakeRunEnd(const run_ref& aRef,
-                  const std::shared_ptr<run_state>& aRun,
-                  edge::call_end aEnd);
+  void HandleEvent(const run_ref& aRef,
+                   const std::shared_ptr<run_state>& aRun,
+                   stream_event&& aEvent);
+  void HandleRunEnd(const run_ref& aRef,
+                    const std::shared_ptr<run_state>& aRun,
+                    edge::call_end aEnd);
   void RecordRunEnd(const item_progress& aItem, bool aIsFailure);
   /** Records that a run has ended. If it was a server's probe run, the server
    * may get another probe. */
@@ -166,7 +166,7 @@
   /** Number of items without a result in the item's group. */
   int OpenItemsInGroup(const run_ref& aRef) const;
   void RestoreTexts(running_batch& aBatch, stored_texts aStored);
-  void TakeScore(const run_ref& aRef, std::optional<std::string> aScore);
+  void HandleScore(const run_ref& aRef, std::optional<std::string> aScore);
   void MarkEnded(running_batch& aBatch, item_progress& aItem);
   void FinishItem(running_batch& aBatch,
                   item_progress& aItem,
@@ -179,7 +179,7 @@
                  edge::call_end aEnd,
                  unsigned aStatus);
 
-  runner_dependencies mParts;
+  runner_dependencies mDependencies;
   std::map<std::string, running_batch> mBatches;
   std::map<std::string, int> mRunsByServer;
   std::map<std::string, time_point> mBlocked;
--- a/Duties/Batches/BatchRuns.cpp
+++ b/Duties/Batches/BatchRuns.cpp
@@ -20,15 +20,15 @@
 constexpr milliseconds kFailureDelay = 500ms;
 /** Maximum time without data within a run. Pauses between events are some tens
  * of ms, and a change of weights delays a run by a second or two. */
-constexpr milliseconds kRunSilenceTimeout = 2500ms;
+constexpr milliseconds kRunIdleTimeout = 2500ms;
 constexpr milliseconds kConnectTimeout = 300ms;
 /** Upper bound of the deadline sent to a server; the time left of an item never
  * exceeds it. */
-constexpr milliseconds kMaxRunTime = 60s;
+constexpr milliseconds kMaximumRunTime = 60s;
 /** Maximum number of server errors of an item per attempt that its route
  * allows. Most errors come from a few bad servers, which get fewer runs after
  * each error. */
-constexpr int kMaxErrorsPerAttempt = 2;
+constexpr int kMaximumErrorsPerAttempt = 2;
 constexpr unsigned kUnprocessable = 422;
 
 } // namespace
@@ -52,9 +52,9 @@
                        const site::route& aRoute)
 {
   auto& item = aBatch.mItems[aIndex];
-  const auto server = mParts.mDirectory.mRows.find(aEngine.mId);
+  const auto server = mDependencies.mDirectory.mRows.find(aEngine.mId);
   const auto body = DecodeBase64(item.mItem->mBodyBase64);
-  if (!body || server == mParts.mDirectory.mRows.end()) {
+  if (!body || server == mDependencies.mDirectory.mRows.end()) {
     events::line("item_unreadable")
       .With("request", item.mItem->mId)
       .With("reason", body.mLastReason);
@@ -77,26 +77,26 @@
   request.mMethod = "POST";
   request.mTarget = item.mItem->mPath;
   request.mHeaders = item.mItem->mHeaders;
-  request.mHeaders.Set("Host", aBatch.mHead.mHost);
+  request.mHeaders.Set("Host", aBatch.mMetadata.mHost);
   request.mBody = *body;
   site::attempt attempt;
   attempt.mServerId = aEngine.mId;
-  attempt.mCustomer = aBatch.mHead.mCustomer;
-  attempt.mTimeLeft =
-    std::clamp(TimeUntilGivenUp(AgeOf(aBatch.mHead), aRoute.mMaximumQueueTime),
-               milliseconds(1),
-               kMaxRunTime);
+  attempt.mCustomer = aBatch.mMetadata.mCustomer;
+  attempt.mTimeLeft = std::clamp(
+    TimeUntilGivenUp(AgeOf(aBatch.mMetadata), aRoute.mMaximumQueueTime),
+    milliseconds(1),
+    kMaximumRunTime);
   attempt.mAfterEvent = item.mGenerated.mLastEvent;
 
-  const run_ref ref{ aBatch.mHead.mId, aIndex, item.mRunNumber };
+  const run_ref ref{ aBatch.mMetadata.mId, aIndex, item.mRunNumber };
   auto run = std::make_shared<run_state>();
   edge::call_options options;
   options.mConnectTimeout = kConnectTimeout;
-  options.mSilenceTimeout = kRunSilenceTimeout;
+  options.mSilenceTimeout = kRunIdleTimeout;
   edge::call_events events;
   events.mOnHead = [this, ref, run](const edge::response& aHead) {
     run->mHead = aHead;
-    run->mFacts = mParts.mProtocol.mReadResponseMetadata(aHead);
+    run->mFacts = mDependencies.mProtocol.mReadResponseMetadata(aHead);
     run->mVersion = run->mFacts.mVersion.value_or(0);
   };
   events.mOnBody = [this, ref, run](std::string_view aChunk) {
@@ -106,29 +106,29 @@
     ParseChunk(
       run->mStream,
       aChunk,
-      mParts.mProtocol.mReadVersionLine,
-      [&](stream_event&& aEvent) { TakeEvent(ref, run, std::move(aEvent)); });
+      mDependencies.mProtocol.mReadVersionLine,
+      [&](stream_event&& aEvent) { HandleEvent(ref, run, std::move(aEvent)); });
   };
   events.mOnEnd = [this, ref, run](edge::call_end aEnd) {
-    TakeRunEnd(ref, run, aEnd);
+    HandleRunEnd(ref, run, aEnd);
   };
   events::line("item_sent")
     .With("request", item.mItem->mId)
-    .With("batch", aBatch.mHead.mId)
+    .With("batch", aBatch.mMetadata.mId)
     .With("server", aEngine.mId)
     .With("own_runs", static_cast<std::int64_t>(aEngine.mOwnRuns))
     .With("after_event", item.mGenerated.mLastEvent.value_or(-1));
-  item.mCall =
-    mParts.mClients.Start(server->second.mServer.mAddress,
-                          mParts.mProtocol.mAddress(request, attempt),
-                          options,
-                          std::move(events));
+  item.mCall = mDependencies.mClients.Start(
+    server->second.mServer.mAddress,
+    mDependencies.mProtocol.mAddress(request, attempt),
+    options,
+    std::move(events));
 }
 
 void
-batch_runner::TakeEvent(const run_ref& aRef,
-                        const std::shared_ptr<run_state>& aRun,
-                        stream_event&& aEvent)
+batch_runner::HandleEvent(const run_ref& aRef,
+                          const std::shared_ptr<run_state>& aRun,
+                          stream_event&& aEvent)
 {
   auto* item = Find(aRef);
   if (!item || aRun->mIsStale || aRun->mIsBroken) {
@@ -137,10 +137,10 @@
   auto& batch = mBatches.at(aRef.mBatchId);
   mProbes.erase(item->mServer);
   aRun->mVersion = aEvent.mVersion.value_or(aRun->mVersion);
-  if (aRun->mVersion < batch.mHead.mMinimumVersion) {
+  if (aRun->mVersion < batch.mMetadata.mMinimumVersion) {
     aRun->mIsStale = true;
     item->mCall.Cancel();
-    TakeRunEnd(aRef, aRun, edge::call_end::Malformed);
+    HandleRunEnd(aRef, aRun, edge::call_end::Malformed);
     return;
   }
   if (!aEvent.mId || (item->mGenerated.mLastEvent &&
@@ -148,12 +148,12 @@
     // An event is missing or duplicated, so no later event can be used.
     aRun->mIsBroken = true;
     item->mCall.Cancel();
-    TakeRunEnd(aRef, aRun, edge::call_end::Malformed);
+    HandleRunEnd(aRef, aRun, edge::call_end::Malformed);
     return;
   }
   const auto now = boot_clock::now();
   if (aRun->mHasEvents) {
-    NoteEvent(
+    RecordEvent(
       mHealths[item->mServer],
       std::chrono::duration_cast<milliseconds>(now - item->mLastEventAt));
   }
@@ -163,15 +163,15 @@
   if (!item->mUnsavedSince) {
     item->mUnsavedSince = now;
   }
-  if (!batch.mHead.mModel.empty()) {
-    mSeenVersions[item->mServer][batch.mHead.mModel] = aRun->mVersion;
+  if (!batch.mMetadata.mModel.empty()) {
+    mSeenVersions[item->mServer][batch.mMetadata.mModel] = aRun->mVersion;
   }
 }
 
 void
-batch_runner::TakeRunEnd(const run_ref& aRef,
-                         const std::shared_ptr<run_state>& aRun,
-                         edge::call_end aEnd)
+batch_runner::HandleRunEnd(const run_ref& aRef,
+                           const std::shared_ptr<run_state>& aRun,
+                           edge::call_end aEnd)
 {
   auto* item = Find(aRef);
   if (!item) {
@@ -218,7 +218,7 @@
     ++item->mErrors;
     item->mAvoidedServer = item->mServer;
     if (route &&
-        item->mErrors >= kMaxErrorsPerAttempt * route->mMaximumAttempts) {
+        item->mErrors >= kMaximumErrorsPerAttempt * route->mMaximumAttempts) {
       LogRunEnd(*item, batch, "too_many_errors", aEnd, status);
       FinishItem(batch, *item, item_end::GivenUp);
       return;
@@ -242,7 +242,7 @@
 {
   events::line("item_run_ended")
     .With("request", aItem.mItem->mId)
-    .With("batch", aBatch.mHead.mId)
+    .With("batch", aBatch.mMetadata.mId)
     .With("server", aItem.mServer)
     .With("outcome", aOutcome)
     .With("end", edge::ToString(aEnd))
--- a/Duties/Batches/BatchService.cpp
+++ b/Duties/Batches/BatchService.cpp
@@ -10,26 +10,27 @@
 using namespace std::chrono_literals;
 using objects::store_outcome;
 
-batch_service::batch_service(service_dependencies aParts)
-  : mParts(std::move(aParts))
+batch_service::batch_service(service_dependencies aDependencies)
+  : mDependencies(std::move(aDependencies))
 {
 }
 
 void
 batch_service::TakeListing(
-  const std::map<std::string, objects::stored_object>& aHeads)
+  const std::map<std::string, objects::stored_object>& aListing)
 {
-  for (const auto& [name, object] : aHeads) {
-    if (const auto head = DecodeHead(object)) {
-      TakeHead(*head);
+  for (const auto& [name, object] : aListing) {
+    if (const auto metadata = DecodeMetadata(object)) {
+      ApplyMetadata(*metadata);
     }
   }
   // A batch that the listing lacks was removed, unless the batch is newer than
   // the listing.
-  for (const auto& head : ListBatches()) {
-    if (aHeads.count(head.mId) == 0 &&
-        std::chrono::system_clock::now() - head.mSubmittedAt > kListingLag) {
-      RemoveBatch(head.mId);
+  for (const auto& metadata : ListBatches()) {
+    if (aListing.count(metadata.mId) == 0 &&
+        std::chrono::system_clock::now() - metadata.mSubmittedAt >
+          kListingLag) {
+      RemoveBatch(metadata.mId);
     }
   }
   LoadOwnedBatches();
@@ -42,8 +43,8 @@
     RemoveBatch(aEvent.mObject.mName);
     return;
   }
-  if (const auto head = DecodeHead(aEvent.mObject)) {
-    TakeHead(*head);
+  if (const auto metadata = DecodeMetadata(aEvent.mObject)) {
+    ApplyMetadata(*metadata);
   }
 }
 
@@ -61,52 +62,52 @@
 std::vector<batch_metadata>
 batch_service::ListBatches() const
 {
-  std::vector<batch_metadata> heads;
+  std::vector<batch_metadata> batches;
   for (const auto& [id, batch] : mBatches) {
-    heads.push_back(batch->mHead);
+    batches.push_back(batch->mMetadata);
   }
-  return heads;
+  return batches;
 }
 
 void
 batch_service::After(milliseconds aDelay, std::function<void()> aAction)
 {
-  edge::RunAfter(mParts.mLoop, aDelay, std::move(aAction));
+  edge::RunAfter(mDependencies.mLoop, aDelay, std::move(aAction));
 }
 
 bool
 batch_service::IsOwnedHere(const batch_ptr& aBatch) const
 {
-  return aBatch->mHead.mOwner == mParts.mName;
+  return aBatch->mMetadata.mOwner == mDependencies.mName;
 }
 
 void
-batch_service::TakeHead(const batch_metadata& aHead)
+batch_service::ApplyMetadata(const batch_metadata& aMetadata)
 {
-  auto& batch = mBatches[aHead.mId];
+  auto& batch = mBatches[aMetadata.mId];
   if (!batch) {
     batch = std::make_shared<batch_record>();
-    batch->mHead = aHead;
+    batch->mMetadata = aMetadata;
     batch->mOwnerChangedAt = boot_clock::now();
-    mParts.mOnAccepted(aHead);
+    mDependencies.mOnAccepted(aMetadata);
     return;
   }
-  if (aHead.mRevision <= batch->mHead.mRevision) {
+  if (aMetadata.mRevision <= batch->mMetadata.mRevision) {
     return;
   }
   const bool wasOwnedHere = IsOwnedHere(batch);
-  if (batch->mHead.mOwner != aHead.mOwner) {
+  if (batch->mMetadata.mOwner != aMetadata.mOwner) {
     batch->mOwnerChangedAt = boot_clock::now();
     events::line("batch_owner_changed")
-      .With("batch", aHead.mId)
-      .With("owner", aHead.mOwner)
-      .With("before", batch->mHead.mOwner);
+      .With("batch", aMetadata.mId)
+      .With("owner", aMetadata.mOwner)
+      .With("before", batch->mMetadata.mOwner);
   }
-  batch->mHead = aHead;
+  batch->mMetadata = aMetadata;
   if (wasOwnedHere && !IsOwnedHere(batch)) {
     Unload(batch);
-  } else if (aHead.mIsEnded) {
-    mParts.mRunner.Remove(aHead.mId);
+  } else if (aMetadata.mIsEnded) {
+    mDependencies.mRunner.Remove(aMetadata.mId);
   } else if (!wasOwnedHere && IsOwnedHere(batch)) {
     // This entry took the batch over, or an entry that is shutting down handed
     // it over.
@@ -118,7 +119,7 @@
 batch_service::LoadOwnedBatches()
 {
   for (const auto& [id, batch] : mBatches) {
-    if (IsOwnedHere(batch) && !batch->mHead.mIsEnded && !batch->mIsLoaded) {
+    if (IsOwnedHere(batch) && !batch->mMetadata.mIsEnded && !batch->mIsLoaded) {
       Load(batch, [](bool) {});
     }
   }
@@ -131,9 +132,9 @@
     std::count_if(mBatches.begin(), mBatches.end(), [&](const auto& aEntry) {
       const auto& batch = *aEntry.second;
       return IsOwnedHere(aEntry.second) && batch.mIsLoaded &&
-             !batch.mHead.mIsEnded &&
+             !batch.mMetadata.mIsEnded &&
              batch.mLog.mListed.size() <
-               static_cast<std::size_t>(batch.mHead.mTotal);
+               static_cast<std::size_t>(batch.mMetadata.mTotal);
     }));
 }
 
--- a/Duties/Batches/BatchService.h
+++ b/Duties/Batches/BatchService.h
@@ -15,7 +15,7 @@
 constexpr milliseconds kRetryDelay{ 250 };
 /** Maximum number of reads to find out the outcome of a write whose response
  * was lost. */
-constexpr int kMaxTries = 3;
+constexpr int kMaximumTries = 3;
 /** A batch younger than this may be missing from a listing although it exists:
  * it may have been accepted through another entry while a slow store produced
  * the listing. */
@@ -55,7 +55,7 @@
 /** State of one batch in this entry. */
 struct batch_record
 {
-  batch_metadata mHead;
+  batch_metadata mMetadata;
   /** True if the items and results are in memory. Only the owner loads them. */
   bool mIsLoaded = false;
   bool mIsLoading = false;
@@ -122,10 +122,11 @@
 class batch_service
 {
 public:
-  explicit batch_service(service_dependencies aParts);
+  explicit batch_service(service_dependencies aDependencies);
 
   /** Applies a complete listing of the stored batch metadata. */
-  void TakeListing(const std::map<std::string, objects::stored_object>& aHeads);
+  void TakeListing(
+    const std::map<std::string, objects::stored_object>& aListing);
   void TakeEvent(const objects::object_event& aEvent);
   /** Handles a submission from a trainer. The batch is accepted by its
    * designated owner, or by this entry if the designated owner can't be
@@ -171,7 +172,10 @@
   void HandleOffer(const edge::exchange_ptr& aExchange,
                    const batch_call& aCall);
   /** Whether this entry should take on no more batches. */
-  bool IsUnableToOwn() const { return mIsLeaving || !mParts.mCanReachStore(); }
+  bool IsUnableToOwn() const
+  {
+    return mIsLeaving || !mDependencies.mCanReachStore();
+  }
   std::optional<std::string> DesignatedOwner(const std::string& aCustomer,
                                              const std::string& aModel) const;
   /** Another entry and its address for forwarded calls. */
@@ -190,9 +194,9 @@
                 const edge::request& aRequest,
                 milliseconds aTimeout,
                 edge::whole_answer aDone);
-  bool AnswerIfKnown(const edge::exchange_ptr& aExchange,
-                     const submission_origin& aOrigin,
-                     const std::string& aBatchId);
+  bool RespondIfKnown(const edge::exchange_ptr& aExchange,
+                      const submission_origin& aOrigin,
+                      const std::string& aBatchId);
   /** Forwards a submission to its designated owner, or admits it in this entry.
    */
   void ForwardOrAdmit(const std::shared_ptr<pending_submission>& aPending);
@@ -203,17 +207,17 @@
              submission aSubmission,
              prior_attempt aPriorAttempt);
 
-  void TakeHead(const batch_metadata& aHead);
+  void ApplyMetadata(const batch_metadata& aMetadata);
   void RemoveBatch(const std::string& aBatchId);
   void LoadOwnedBatches();
   bool IsOwnedHere(const batch_ptr& aBatch) const;
   void WriteItems(const std::shared_ptr<admission>& aAdmission,
                   std::size_t aPart);
-  void WriteHead(const std::shared_ptr<admission>& aAdmission);
-  void TakeHeadReply(const std::shared_ptr<admission>& aAdmission,
-                     const objects::object_reply& aReply);
-  void TakeExistingHead(const std::shared_ptr<admission>& aAdmission,
-                        const batch_metadata& aHead);
+  void WriteMetadata(const std::shared_ptr<admission>& aAdmission);
+  void HandleMetadataResponse(const std::shared_ptr<admission>& aAdmission,
+                              const objects::object_reply& aResponse);
+  void ApplyExistingMetadata(const std::shared_ptr<admission>& aAdmission,
+                             const batch_metadata& aMetadata);
   void Accept(const std::shared_ptr<admission>& aAdmission);
   void FailAdmission(const std::shared_ptr<admission>& aAdmission,
                      const char* aReason);
@@ -244,9 +248,9 @@
    * of the callback is true if the log is certainly complete. */
   void ReadMissingBlocks(const batch_ptr& aBatch,
                          std::function<void(bool)> aDone);
-  void AnswerPage(const edge::exchange_ptr& aExchange,
-                  const batch_call& aCall,
-                  const batch_ptr& aBatch);
+  void RespondWithPage(const edge::exchange_ptr& aExchange,
+                       const batch_call& aCall,
+                       const batch_ptr& aBatch);
   void ReadItem(const edge::exchange_ptr& aExchange,
                 const batch_call& aCall,
                 const batch_ptr& aBatch);
@@ -277,7 +281,7 @@
                  int aTriesLeft,
                  std::function<void()> aDone);
   void CommitBlock(const batch_ptr& aBatch,
-                   milliseconds aMinUnsavedTime,
+                   milliseconds aMinimumUnsavedTime,
                    std::function<void()> aDone);
   void ScheduleCommit(const batch_ptr& aBatch, milliseconds aDelay);
   void Commit(const batch_ptr& aBatch);
@@ -285,7 +289,7 @@
   void ApplyListedBlock(const batch_ptr& aBatch, const result_block& aBlock);
   void After(milliseconds aDelay, std::function<void()> aAction);
 
-  service_dependencies mParts;
+  service_dependencies mDependencies;
   std::map<std::string, batch_ptr> mBatches;
   /** Entries that recently failed to accept a batch, and until when they are
    * avoided. */
--- a/Duties/Batches/BatchTexts.cpp
+++ b/Duties/Batches/BatchTexts.cpp
@@ -7,8 +7,8 @@
 
 std::vector<text_part>
 batch_runner::UnsavedParts(const std::string& aBatchId,
-                           milliseconds aMinUnsavedTime,
-                           std::size_t aMaxBytes) const
+                           milliseconds aMinimumUnsavedTime,
+                           std::size_t aMaximumBytes) const
 {
   std::vector<text_part> parts;
   const auto batch = mBatches.find(aBatchId);
@@ -20,12 +20,12 @@
   for (std::size_t i = 0; i < batch->second.mItems.size(); ++i) {
     const auto& item = batch->second.mItems[i];
     if (item.mPhase == item_phase::Ended || !item.mUnsavedSince ||
-        now - *item.mUnsavedSince < aMinUnsavedTime) {
+        now - *item.mUnsavedSince < aMinimumUnsavedTime) {
       continue;
     }
     if (auto part = UnsavedPart(item.mGenerated, item.mSaved)) {
       bytes += part->mGenerated.mData.size();
-      if (bytes > aMaxBytes) {
+      if (bytes > aMaximumBytes) {
         break;
       }
       part->mItem = i;
@@ -74,7 +74,7 @@
     item.mGenerated = std::move(stored.mGenerated);
     events::line("item_resumed")
       .With("request", item.mItem->mId)
-      .With("batch", aBatch.mHead.mId)
+      .With("batch", aBatch.mMetadata.mId)
       .With("after_event", *item.mGenerated.mLastEvent)
       .With("is_whole", static_cast<std::int64_t>(item.mGenerated.mIsComplete));
     if (item.mGenerated.mIsComplete) {
--- a/Duties/Batches/EngineHealth.cpp
+++ b/Duties/Batches/EngineHealth.cpp
@@ -10,7 +10,7 @@
  * events count. */
 constexpr double kNewestWeight = 0.05;
 /** Minimum number of events for an estimate of a server's speed. */
-constexpr int kMinEvents = 10;
+constexpr int kMinimumEvents = 10;
 constexpr double kSlowFactor = 2.0;
 } // namespace
 
@@ -26,7 +26,7 @@
 }
 
 void
-NoteEvent(engine_health& aHealth, milliseconds aSinceLast)
+RecordEvent(engine_health& aHealth, milliseconds aSinceLast)
 {
   const auto time = static_cast<double>(aSinceLast.count());
   const double weight = std::max(kNewestWeight, 1.0 / (aHealth.mEvents + 1));
@@ -39,7 +39,7 @@
 {
   std::vector<double> times;
   for (const auto& [id, health] : aHealths) {
-    if (health.mEvents >= kMinEvents) {
+    if (health.mEvents >= kMinimumEvents) {
       times.push_back(health.mEventMilliseconds);
     }
   }
@@ -54,7 +54,7 @@
 bool
 IsSlow(const engine_health& aHealth, double aMedian)
 {
-  return aMedian > 0 && aHealth.mEvents >= kMinEvents &&
+  return aMedian > 0 && aHealth.mEvents >= kMinimumEvents &&
          aHealth.mEventMilliseconds > kSlowFactor * aMedian;
 }
 
--- a/Duties/Batches/EngineHealth.h
+++ b/Duties/Batches/EngineHealth.h
@@ -26,7 +26,7 @@
 RunBreakerLimits();
 
 void
-NoteEvent(engine_health& aHealth, milliseconds aSinceLast);
+RecordEvent(engine_health& aHealth, milliseconds aSinceLast);
 
 /** Median time between events over all servers, in ms; 0 if unknown. The median
  * is insensitive to a few slow servers. */
--- a/Duties/Batches/GroupProgress.cpp
+++ b/Duties/Batches/GroupProgress.cpp
@@ -3,13 +3,13 @@
 namespace lavender::batches {
 
 void
-NoteOpenItem(group_progress& aProgress, const std::string& aGroup)
+RecordOpenItem(group_progress& aProgress, const std::string& aGroup)
 {
   ++aProgress.mOpenItems[aGroup];
 }
 
 bool
-NoteResult(group_progress& aProgress, const std::string& aGroup)
+RecordResult(group_progress& aProgress, const std::string& aGroup)
 {
   const auto group = aProgress.mOpenItems.find(aGroup);
   if (group == aProgress.mOpenItems.end() || group->second == 0) {
--- a/Duties/Batches/GroupProgress.h
+++ b/Duties/Batches/GroupProgress.h
@@ -15,12 +15,12 @@
 
 /** Counts an item that has no result yet. */
 void
-NoteOpenItem(group_progress& aProgress, const std::string& aGroup);
+RecordOpenItem(group_progress& aProgress, const std::string& aGroup);
 
 /** Counts a result of an item of the group.
  * @return true if this result completed the group */
 bool
-NoteResult(group_progress& aProgress, const std::string& aGroup);
+RecordResult(group_progress& aProgress, const std::string& aGroup);
 
 int
 OpenItems(const group_progress& aProgress, const std::string& aGroup);
--- a/Duties/Batches/Records.cpp
+++ b/Duties/Batches/Records.cpp
@@ -8,7 +8,7 @@
 
 /** Maximum size of the items in one object: the store limits objects to 1 MB,
  * and JSON escapes and the object's other fields need room. */
-constexpr std::size_t kMaxItemsObjectBytes = 700 << 10;
+constexpr std::size_t kMaximumItemsObjectBytes = 700 << 10;
 
 std::string
 NumberedName(const std::string& aBatchId, int aNumber)
@@ -126,62 +126,62 @@
 }
 
 milliseconds
-AgeOf(const batch_metadata& aHead)
+AgeOf(const batch_metadata& aMetadata)
 {
   return std::chrono::duration_cast<milliseconds>(
-    std::chrono::system_clock::now() - aHead.mSubmittedAt);
+    std::chrono::system_clock::now() - aMetadata.mSubmittedAt);
 }
 
 std::string
-EncodeHead(const batch_metadata& aHead)
+EncodeMetadata(const batch_metadata& aMetadata)
 {
   const auto submitted = std::chrono::duration_cast<milliseconds>(
-    aHead.mSubmittedAt.time_since_epoch());
+    aMetadata.mSubmittedAt.time_since_epoch());
   return json::Write(
-    json::object{ { "customer", aHead.mCustomer },
-                  { "host", aHead.mHost },
-                  { "model", aHead.mModel },
-                  { "minimumVersion", aHead.mMinimumVersion },
-                  { "targetGroups", aHead.mTargetGroups },
-                  { "total", aHead.mTotal },
-                  { "expected", aHead.mExpectedTokens },
-                  { "parts", aHead.mParts },
+    json::object{ { "customer", aMetadata.mCustomer },
+                  { "host", aMetadata.mHost },
+                  { "model", aMetadata.mModel },
+                  { "minimumVersion", aMetadata.mMinimumVersion },
+                  { "targetGroups", aMetadata.mTargetGroups },
+                  { "total", aMetadata.mTotal },
+                  { "expected", aMetadata.mExpectedTokens },
+                  { "parts", aMetadata.mParts },
                   { "submittedMs", std::int64_t{ submitted.count() } },
-                  { "owner", aHead.mOwner } });
+                  { "owner", aMetadata.mOwner } });
 }
 
 std::string
-EncodeHeadStatus(const std::string& aOwner, bool aIsEnded)
+EncodeMetadataStatus(const std::string& aOwner, bool aIsEnded)
 {
   return json::Write(
     json::object{ { "owner", aOwner }, { "ended", aIsEnded } });
 }
 
 std::optional<batch_metadata>
-DecodeHead(const objects::stored_object& aObject)
+DecodeMetadata(const objects::stored_object& aObject)
 {
   const auto& spec = aObject.mSpec;
   if (!spec.IsObject() || !spec.Find("total")) {
     return std::nullopt;
   }
-  batch_metadata head;
-  head.mId = aObject.mName;
-  head.mRevision = aObject.mRevision;
-  head.mCustomer = json::StringAt(spec, "customer", "");
-  head.mHost = json::StringAt(spec, "host", "");
-  head.mModel = json::StringAt(spec, "model", "");
-  head.mMinimumVersion = json::IntegerAt(spec, "minimumVersion", 0);
-  head.mTargetGroups =
+  batch_metadata metadata;
+  metadata.mId = aObject.mName;
+  metadata.mRevision = aObject.mRevision;
+  metadata.mCustomer = json::StringAt(spec, "customer", "");
+  metadata.mHost = json::StringAt(spec, "host", "");
+  metadata.mModel = json::StringAt(spec, "model", "");
+  metadata.mMinimumVersion = json::IntegerAt(spec, "minimumVersion", 0);
+  metadata.mTargetGroups =
     static_cast<int>(json::IntegerAt(spec, "targetGroups", 0));
-  head.mTotal = static_cast<int>(json::IntegerAt(spec, "total", 0));
-  head.mExpectedTokens = json::IntegerAt(spec, "expected", 0);
-  head.mParts = static_cast<int>(json::IntegerAt(spec, "parts", 0));
-  head.mSubmittedAt = std::chrono::system_clock::time_point(
+  metadata.mTotal = static_cast<int>(json::IntegerAt(spec, "total", 0));
+  metadata.mExpectedTokens = json::IntegerAt(spec, "expected", 0);
+  metadata.mParts = static_cast<int>(json::IntegerAt(spec, "parts", 0));
+  metadata.mSubmittedAt = std::chrono::system_clock::time_point(
     milliseconds(json::IntegerAt(spec, "submittedMs", 0)));
-  head.mOwner =
+  metadata.mOwner =
     json::StringAt(aObject.mStatus, "owner", json::StringAt(spec, "owner", ""));
-  head.mIsEnded = json::BooleanAt(aObject.mStatus, "ended", false);
-  return head;
+  metadata.mIsEnded = json::BooleanAt(aObject.mStatus, "ended", false);
+  return metadata;
 }
 
 std::vector<std::string>
@@ -191,7 +191,7 @@
   std::string part;
   for (const auto& item : aSubmission.mItems) {
     const auto text = json::Write(EncodeItem(item));
-    if (!part.empty() && part.size() + text.size() > kMaxItemsObjectBytes) {
+    if (!part.empty() && part.size() + text.size() > kMaximumItemsObjectBytes) {
       parts.push_back("{\"items\":[" + part + "]}");
       part.clear();
     }
--- a/Duties/Batches/Records.h
+++ b/Duties/Batches/Records.h
@@ -9,15 +9,15 @@
 namespace lavender::batches {
 
 std::string
-EncodeHead(const batch_metadata& aHead);
+EncodeMetadata(const batch_metadata& aMetadata);
 
 /** Encodes the part of the metadata that changes after the batch was accepted.
  */
 std::string
-EncodeHeadStatus(const std::string& aOwner, bool aIsEnded);
+EncodeMetadataStatus(const std::string& aOwner, bool aIsEnded);
 
 std::optional<batch_metadata>
-DecodeHead(const objects::stored_object& aObject);
+DecodeMetadata(const objects::stored_object& aObject);
 
 /** Encodes the items as the content of one or more objects, each smaller than
  * the store's limit of 1 MB. */
--- a/Duties/Batches/Schedule.h
+++ b/Duties/Batches/Schedule.h
@@ -44,7 +44,7 @@
  * batch and the entry that runs it: each may be off by two seconds, and a
  * batch's age is computed from both. Giving an item up early breaks the time
  * limit promised to the trainer; giving it up late only costs a run. */
-constexpr milliseconds kMaxClockDifference{ 5000 };
+constexpr milliseconds kMaximumClockDifference{ 5000 };
 
 /** Time for which an item of a batch of the given age may still wait or run;
  * zero or negative if it may be given up.
@@ -53,7 +53,7 @@
 constexpr milliseconds
 TimeUntilGivenUp(milliseconds aAge, milliseconds aMaximumQueueing)
 {
-  return aMaximumQueueing + kMaxClockDifference - aAge;
+  return aMaximumQueueing + kMaximumClockDifference - aAge;
 }
 
 /** Scheduling order of items; the lesser one runs first. */
--- a/Duties/Batches/TestListingPace.cpp
+++ b/Duties/Batches/TestListingPace.cpp
@@ -41,7 +41,7 @@
   std::vector<std::pair<milliseconds, int>> ends;
   for (int i = 0; i < kGroups * kItemsOfGroup; ++i) {
     const int group = i / kItemsOfGroup;
-    NoteOpenItem(progress, std::to_string(group));
+    RecordOpenItem(progress, std::to_string(group));
     ends.emplace_back(
       milliseconds(std::min<int>(6500, static_cast<int>(length(aRandom)))),
       group);
@@ -62,7 +62,7 @@
       results.mWaiting = 0;
     }
     ++results.mWaiting;
-    const bool isComplete = NoteResult(progress, std::to_string(group));
+    const bool isComplete = RecordResult(progress, std::to_string(group));
     if (!awaitedAt && progress.mCompleteGroups >= kTarget) {
       awaitedAt = at;
     }
@@ -144,13 +144,13 @@
 BOOST_AUTO_TEST_CASE(AGroupIsWholeWithItsLastResult)
 {
   group_progress progress;
-  NoteOpenItem(progress, "g");
-  NoteOpenItem(progress, "g");
-  NoteOpenItem(progress, "h");
-  BOOST_TEST(!NoteResult(progress, "g"));
-  BOOST_TEST(NoteResult(progress, "g"));
-  BOOST_TEST(!NoteResult(progress, "g"));
-  BOOST_TEST(!NoteResult(progress, "unknown"));
+  RecordOpenItem(progress, "g");
+  RecordOpenItem(progress, "g");
+  RecordOpenItem(progress, "h");
+  BOOST_TEST(!RecordResult(progress, "g"));
+  BOOST_TEST(RecordResult(progress, "g"));
+  BOOST_TEST(!RecordResult(progress, "g"));
+  BOOST_TEST(!RecordResult(progress, "unknown"));
   BOOST_TEST(progress.mCompleteGroups == 1);
   BOOST_TEST(OpenItems(progress, "h") == 1);
 }
--- a/Duties/Rewards/Hedging.cpp
+++ b/Duties/Rewards/Hedging.cpp
@@ -12,13 +12,13 @@
 /** Quantile of the recent durations after which a second copy is sent. */
 constexpr double kQuantile = 0.95;
 /** Minimum number of durations for an estimate of the quantile. */
-constexpr std::size_t kMinDurations = 20;
+constexpr std::size_t kMinimumDurations = 20;
 /** Second copies earned by one call: 0.05 for the calls beyond the quantile,
  * and as many again for a slow server. */
 constexpr double kHedgesEarnedPerCall = 0.1;
 /** Maximum number of copies in one burst, as when a server becomes unreachable
  * with all the calls that it runs. */
-constexpr double kMaxEarnedHedges = 12;
+constexpr double kMaximumEarnedHedges = 12;
 
 } // namespace
 
@@ -32,7 +32,7 @@
 HedgeDelay(const recent_durations& aRecent, milliseconds aFallback)
 {
   const auto known = std::min(aRecent.mCount, recent_durations::kKept);
-  if (known < kMinDurations) {
+  if (known < kMinimumDurations) {
     return aFallback;
   }
   std::vector<milliseconds> durations(aRecent.mDurations.begin(),
@@ -49,7 +49,7 @@
 RecordFirstAttempt(hedge_budget& aBudget)
 {
   aBudget.mEarned =
-    std::min(aBudget.mEarned + kHedgesEarnedPerCall, kMaxEarnedHedges);
+    std::min(aBudget.mEarned + kHedgesEarnedPerCall, kMaximumEarnedHedges);
 }
 
 void
--- a/Duties/Rewards/RewardCaller.cpp
+++ b/Duties/Rewards/RewardCaller.cpp
@@ -63,8 +63,8 @@
   bool mIsFinished = false;
 };
 
-reward_client::reward_client(client_dependencies aParts)
-  : mDependencies(std::move(aParts))
+reward_client::reward_client(client_dependencies aDependencies)
+  : mDependencies(std::move(aDependencies))
   , mTimer(mDependencies.mLoop)
 {
 }
@@ -183,7 +183,7 @@
   }
   const auto pick = PickServer(aCall, *route);
   if (!pick || mInFlight[pick->mPool] >=
-                 MaxInFlight(mDependencies.mRouter.SlotsOf(pick->mPool))) {
+                 MaximumInFlight(mDependencies.mRouter.SlotsOf(pick->mPool))) {
     return false;
   }
   SendTo(aCall, *route, *pick);
@@ -250,11 +250,11 @@
   options.mSilenceTimeout = aTimeLeft + 1s;
   edge::call_events events;
   events.mOnHead = [this, aAttempt](const edge::response& aHead) {
-    TakeHead(aAttempt, aHead);
+    HandleHead(aAttempt, aHead);
   };
   events.mOnBody = [](std::string_view) {};
   events.mOnEnd = [this, aCall, aAttempt](edge::call_end aEnd) {
-    TakeEnd(aCall, aAttempt, aEnd);
+    HandleEnd(aCall, aAttempt, aEnd);
   };
   aAttempt->mHandle = mDependencies.mClients.Start(
     server.mAddress,
@@ -264,8 +264,8 @@
 }
 
 void
-reward_client::TakeHead(const std::shared_ptr<send_attempt>& aAttempt,
-                        const edge::response& aHead)
+reward_client::HandleHead(const std::shared_ptr<send_attempt>& aAttempt,
+                          const edge::response& aHead)
 {
   aAttempt->mStatus = aHead.mStatus;
   aAttempt->mFacts = mDependencies.mProtocol.mReadResponseMetadata(aHead);
@@ -290,9 +290,9 @@
 }
 
 void
-reward_client::TakeEnd(const call_ptr& aCall,
-                       const std::shared_ptr<send_attempt>& aAttempt,
-                       edge::call_end aEnd)
+reward_client::HandleEnd(const call_ptr& aCall,
+                         const std::shared_ptr<send_attempt>& aAttempt,
+                         edge::call_end aEnd)
 {
   if (aCall->mIsFinished || !aAttempt->mIsOpen) {
     return;
@@ -389,7 +389,7 @@
   for (const auto& sent : open) {
     if (now >= sent->mDeadline && sent->mIsOpen) {
       sent->mHandle.Cancel();
-      TakeEnd(aCall, sent, edge::call_end::TimedOut);
+      HandleEnd(aCall, sent, edge::call_end::TimedOut);
     }
   }
   if (aCall->mIsFinished || aCall->mOpenAttempts.empty()) {
--- a/Duties/Rewards/RewardCaller.h
+++ b/Duties/Rewards/RewardCaller.h
@@ -32,7 +32,7 @@
 class reward_client
 {
 public:
-  explicit reward_client(client_dependencies aParts);
+  explicit reward_client(client_dependencies aDependencies);
 
   /** @return the number of the call for Cancel; never 0 */
   std::uint64_t Start(reward_request aRequest);
@@ -61,14 +61,14 @@
   std::optional<forwarding::selected_server> PickServer(
     const call_ptr& aCall,
     const site::route& aRoute);
-  void TakeHead(const std::shared_ptr<send_attempt>& aAttempt,
-                const edge::response& aHead);
+  void HandleHead(const std::shared_ptr<send_attempt>& aAttempt,
+                  const edge::response& aHead);
   static response_kind Classify(const call& aCall,
                                 const send_attempt& aAttempt,
                                 edge::call_end aEnd);
-  void TakeEnd(const call_ptr& aCall,
-               const std::shared_ptr<send_attempt>& aAttempt,
-               edge::call_end aEnd);
+  void HandleEnd(const call_ptr& aCall,
+                 const std::shared_ptr<send_attempt>& aAttempt,
+                 edge::call_end aEnd);
   void LogResponse(const call& aCall,
                    const send_attempt& aAttempt,
                    response_kind aKind,
--- a/Duties/Rewards/RewardDecision.cpp
+++ b/Duties/Rewards/RewardDecision.cpp
@@ -13,14 +13,14 @@
 constexpr int kSlotDivisor = 2;
 /** Lower bound of the limit, so that calls continue while entries of servers
  * are missing from the directory. */
-constexpr int kMinInFlight = 4;
+constexpr int kMinimumInFlight = 4;
 constexpr unsigned kServerError = 500;
 /** Number of attempts that are made without delay. */
 constexpr int kImmediateAttempts = 2;
 /** Some slots become free in this time. */
 constexpr milliseconds kFirstDelay{ 60 };
-constexpr milliseconds kMaxDelay{ 1000 };
-constexpr int kMaxDoublings = 8;
+constexpr milliseconds kMaximumDelay{ 1000 };
+constexpr int kMaximumDoublings = 8;
 
 } // namespace
 
@@ -81,8 +81,8 @@
     return milliseconds(0);
   }
   const auto doublings =
-    std::clamp(aAttempts - kImmediateAttempts, 0, kMaxDoublings);
-  return std::min(kFirstDelay * (1 << doublings), kMaxDelay);
+    std::clamp(aAttempts - kImmediateAttempts, 0, kMaximumDoublings);
+  return std::min(kFirstDelay * (1 << doublings), kMaximumDelay);
 }
 
 milliseconds
@@ -92,10 +92,10 @@
 }
 
 int
-MaxInFlight(int aSlots)
+MaximumInFlight(int aSlots)
 {
   return IsOn(mechanism::RewardLimit)
-           ? std::max(aSlots / kSlotDivisor, kMinInFlight)
+           ? std::max(aSlots / kSlotDivisor, kMinimumInFlight)
            : std::numeric_limits<int>::max();
 }
 
--- a/Duties/Rewards/RewardDecision.h
+++ b/Duties/Rewards/RewardDecision.h
@@ -71,6 +71,6 @@
  * slots: half of the slots, so that callers with a target latency of some tens
  * of ms find the other half free. */
 int
-MaxInFlight(int aSlots);
+MaximumInFlight(int aSlots);
 
 } // namespace lavender::rewards
--- a/Duties/Rewards/TestRewardDecision.cpp
+++ b/Duties/Rewards/TestRewardDecision.cpp
@@ -25,9 +25,9 @@
 BOOST_AUTO_TEST_CASE(OnlyAWholeSignedSuccessScores)
 {
   BOOST_TEST((ClassifyResponse(Whole(200)) == response_kind::Scored));
-  auto unsignedAnswer = Whole(200);
-  unsignedAnswer.mHasSignature = false;
-  BOOST_TEST((ClassifyResponse(unsignedAnswer) == response_kind::Unusable));
+  auto unsignedResponse = Whole(200);
+  unsignedResponse.mHasSignature = false;
+  BOOST_TEST((ClassifyResponse(unsignedResponse) == response_kind::Unusable));
   auto foreign = Whole(200);
   foreign.mIsMismatched = true;
   BOOST_TEST((ClassifyResponse(foreign) == response_kind::Unusable));
@@ -63,18 +63,21 @@
 
 BOOST_AUTO_TEST_CASE(ACallIsGivenUpAfterAsManyErrorsAsItsRouteAllows)
 {
-  constexpr int kMaxAttempts = 4;
-  for (int errors = 1; errors < kMaxAttempts; ++errors) {
-    BOOST_TEST((DecideNext(response_kind::ServerError, errors, kMaxAttempts) ==
-                next_step::SendAgain));
+  constexpr int kMaximumAttempts = 4;
+  for (int errors = 1; errors < kMaximumAttempts; ++errors) {
+    BOOST_TEST(
+      (DecideNext(response_kind::ServerError, errors, kMaximumAttempts) ==
+       next_step::SendAgain));
   }
+  BOOST_TEST((DecideNext(response_kind::ServerError,
+                         kMaximumAttempts,
+                         kMaximumAttempts) == next_step::GiveUp));
   BOOST_TEST(
-    (DecideNext(response_kind::ServerError, kMaxAttempts, kMaxAttempts) ==
-     next_step::GiveUp));
-  BOOST_TEST((DecideNext(response_kind::Unusable, kMaxAttempts, kMaxAttempts) ==
-              next_step::SendAgain));
-  BOOST_TEST((DecideNext(response_kind::Rejected, kMaxAttempts, kMaxAttempts) ==
-              next_step::SendLater));
+    (DecideNext(response_kind::Unusable, kMaximumAttempts, kMaximumAttempts) ==
+     next_step::SendAgain));
+  BOOST_TEST(
+    (DecideNext(response_kind::Rejected, kMaximumAttempts, kMaximumAttempts) ==
+     next_step::SendLater));
 }
 
 // Guards against retrying thousands of times a second when a service answers
--- a/Tests/Site/TestBatchOwners.cpp
+++ b/Tests/Site/TestBatchOwners.cpp
@@ -12,17 +12,17 @@
 std::string
 OwnerOf(const batch_site& aSite, const std::string& aBatchId)
 {
-  const auto& heads = aSite.mState.mKinds.at("batches");
-  const auto head = batches::DecodeHead(heads.at(aBatchId));
-  return head ? head->mOwner : std::string();
+  const auto& batchObjects = aSite.mState.mKinds.at("batches");
+  const auto metadata = batches::DecodeMetadata(batchObjects.at(aBatchId));
+  return metadata ? metadata->mOwner : std::string();
 }
 
 bool
 IsAccepted(const batch_site& aSite, const std::string& aBatchId)
 {
-  const auto heads = aSite.mState.mKinds.find("batches");
-  return heads != aSite.mState.mKinds.end() &&
-         heads->second.count(aBatchId) == 1;
+  const auto batchObjects = aSite.mState.mKinds.find("batches");
+  return batchObjects != aSite.mState.mKinds.end() &&
+         batchObjects->second.count(aBatchId) == 1;
 }
 
 } // namespace
--- a/Tests/Site/TestBatchPositions.cpp
+++ b/Tests/Site/TestBatchPositions.cpp
@@ -358,8 +358,8 @@
     BOOST_TEST(owner.Submit("b1", 3).mAnswer.mStatus == 202u);
     const auto submitted = std::chrono::duration_cast<milliseconds>(
       std::chrono::system_clock::now().time_since_epoch() - age);
-    auto& head = site.mState.mKinds["batches"].at("b1");
-    head.mSpec.Set("submittedMs", std::int64_t{ submitted.count() });
+    auto& batchObject = site.mState.mKinds["batches"].at("b1");
+    batchObject.mSpec.Set("submittedMs", std::int64_t{ submitted.count() });
     ChangeOwner(site, "b1", "b");
     batch_entry other(site, "b");
     const bool isListed = site.mLoop.RunUntil(
--- a/Tests/Site/TestRewards.cpp
+++ b/Tests/Site/TestRewards.cpp
@@ -162,13 +162,13 @@
   reward_site site;
   std::vector<std::unique_ptr<plain_server>> servers;
   std::vector<edge::exchange_ptr> openExchanges;
-  std::size_t maxInFlight = 0;
+  std::size_t maximumInFlight = 0;
   constexpr int kServers = 4;
   for (int i = 0; i < kServers; ++i) {
     servers.push_back(std::make_unique<plain_server>(site.mLoop));
     servers.back()->mServe = [&](const edge::exchange_ptr& aExchange) {
       openExchanges.push_back(aExchange);
-      maxInFlight = std::max(maxInFlight, openExchanges.size());
+      maximumInFlight = std::max(maximumInFlight, openExchanges.size());
     };
     site.Add(*servers.back(), "p" + std::to_string(i));
   }
@@ -182,8 +182,8 @@
       exchange->Answer(plain_server::Answer(exchange, 200));
     }
   }
-  BOOST_TEST(maxInFlight <= kHalfOfTheSlots);
-  BOOST_TEST(maxInFlight > kHalfOfTheSlots / 2);
+  BOOST_TEST(maximumInFlight <= kHalfOfTheSlots);
+  BOOST_TEST(maximumInFlight > kHalfOfTheSlots / 2);
 }
 
 // Guards against reward calls that continue or start after their batch has
