--- a/Duties/Batches/Batch.h
+++ b/Duties/Batches/Batch.h
@@ -23,7 +23,7 @@
   edge::header_list mHeaders;
   /** Base64 as submitted; decoded only when the item is sent. */
   std::string mBodyBase64;
-  /** Items of a group share a prompt; the trainer needs the results of whole
+  /** Items of a group share a prompt; the trainer needs the results of complete
    * groups. */
   std::string mGroup;
   /** Estimated number of output tokens. */
--- a/Duties/Batches/BatchAdmission.cpp
+++ b/Duties/Batches/BatchAdmission.cpp
@@ -37,7 +37,7 @@
                      submission aSubmission,
                      prior_attempt aPriorAttempt)
 {
-  if (mIsLeaving) {
+  if (mIsShuttingDown) {
     // No other entry is known that could accept the batch.
     const bool mayExist = aPriorAttempt == prior_attempt::MayHaveBeenAccepted;
     edge::AnswerOwn(aExchange, mayExist ? 504 : 503, kShutdownRetryAfter);
--- a/Duties/Batches/BatchCalls.cpp
+++ b/Duties/Batches/BatchCalls.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t kMaximumPageBytes = 900 << 10;
 /** Maximum time for which a request for results is held open. */
 constexpr milliseconds kMaximumWait = 1000ms;
-/** Time beyond the requested wait after which a silent owner loses its batch to
- * another entry. */
+/** Time beyond the requested wait after which an owner that doesn't respond
+ * loses its batch to another entry. */
 constexpr milliseconds kOwnerResponseTimeout = 600ms;
 /** Maximum time for the transfer of a page after the owner has started its
  * response. A megabyte takes 0.14 s on a 60 Mbit/s link, which several readers
@@ -189,7 +189,7 @@
                         const batch_ptr& aBatch)
 {
   if (boot_clock::now() - aBatch->mOwnerChangedAt < kMinimumClaimInterval ||
-      mIsLeaving) {
+      mIsShuttingDown) {
     edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     return;
   }
@@ -277,7 +277,7 @@
   const auto page = ReadPage(aBatch->mLog, aCall.mAfter, kMaximumPageBytes);
   edge::response response{ 200, {}, {} };
   response.mHeaders.Add("Content-Type", "application/json");
-  response.mBody = mDependencies.mFormat.mEncodePage(
+  response.mBody = mDependencies.mEncoder.mEncodePage(
     static_cast<std::size_t>(aBatch->mMetadata.mTotal), page);
   aExchange->Answer(std::move(response));
 }
--- a/Duties/Batches/BatchListing.cpp
+++ b/Duties/Batches/BatchListing.cpp
@@ -53,8 +53,9 @@
   }
   const auto& batch = found->second;
   const bool isNew = !HasResult(batch->mLog, aResult.mItemId);
-  AddPending(
-    batch->mLog, aResult.mItemId, mDependencies.mFormat.mEncodeResult(aResult));
+  AddPending(batch->mLog,
+             aResult.mItemId,
+             mDependencies.mEncoder.mEncodeResult(aResult));
   const auto* group = GroupOf(*batch->mSubmission, aResult.mItemId);
   const bool isComplete =
     isNew && group && RecordResult(batch->mGroups, *group);
--- a/Duties/Batches/BatchOwners.cpp
+++ b/Duties/Batches/BatchOwners.cpp
@@ -205,7 +205,7 @@
 void
 batch_service::HandOver()
 {
-  mIsLeaving = true;
+  mIsShuttingDown = true;
   for (const auto& [id, batch] : mBatches) {
     const auto successor =
       DesignatedOwner(batch->mMetadata.mCustomer, batch->mMetadata.mModel);
--- a/Duties/Batches/BatchService.h
+++ b/Duties/Batches/BatchService.h
@@ -13,8 +13,7 @@
 /** Delay before a failed call to the store is retried. A healthy store responds
  * within a few ms. */
 constexpr milliseconds kRetryDelay{ 250 };
-/** Maximum number of reads to find out the outcome of a write whose response
- * was lost. */
+/** Maximum number of tries to settle a write whose response was lost. */
 constexpr int kMaximumTries = 3;
 /** A batch younger than this may be missing from a listing although it exists:
  * it may have been accepted through another entry while a slow store produced
@@ -37,7 +36,7 @@
   edge::client_pool& mClients;
   batch_runner& mRunner;
   metrics::registry& mMetrics;
-  results_encoder mFormat;
+  results_encoder mEncoder;
   /** Name of this entry. */
   std::string mName;
   /** Address at which another entry accepts forwarded calls; none if unknown.
@@ -146,7 +145,7 @@
   void ServePeer(const edge::exchange_ptr& aExchange);
   void AddResult(const std::string& aBatchId, item_result aResult);
   /** Refuses new batches from now on; running batches continue. */
-  void StopAccepting() { mIsLeaving = true; }
+  void StopAccepting() { mIsShuttingDown = true; }
   /** Number of batches of this entry that have items without a listed result.
    */
   std::size_t OpenBatches() const;
@@ -174,7 +173,7 @@
   /** Whether this entry should take on no more batches. */
   bool IsUnableToOwn() const
   {
-    return mIsLeaving || !mDependencies.mCanReachStore();
+    return mIsShuttingDown || !mDependencies.mCanReachStore();
   }
   std::optional<std::string> DesignatedOwner(const std::string& aCustomer,
                                              const std::string& aModel) const;
@@ -294,7 +293,7 @@
   /** Entries that recently failed to accept a batch, and until when they are
    * avoided. */
   std::map<std::string, time_point> mAvoidedUntil;
-  bool mIsLeaving = false;
+  bool mIsShuttingDown = false;
 };
 
 } // namespace lavender::batches
--- a/Duties/Rewards/RewardCall.h
+++ b/Duties/Rewards/RewardCall.h
@@ -28,7 +28,8 @@
   /** Time at which the item's batch is due. */
   time_point mDueAt;
   /** Number of items without a result in the item's group. A trainer needs
-   * whole groups, so the call that completes a group is the most valuable. */
+   * complete groups, so the call that completes a group is the most valuable.
+   */
   int mOpenItemsInGroup = 0;
 
   bool operator<(const reward_priority& aOther) const
--- a/Tests/Site/TestBatchOwners.cpp
+++ b/Tests/Site/TestBatchOwners.cpp
@@ -61,9 +61,9 @@
   model_server server(site.mLoop.mLoop, "s1");
   site.Add(server);
   site.mWeights["b"] = 0;
-  batch_entry silent(site, "a");
+  batch_entry unresponsive(site, "a");
   batch_entry asked(site, "b");
-  silent.mIsReachable = false;
+  unresponsive.mIsReachable = false;
   BOOST_TEST(asked.Submit("b1", 3).mAnswer.mStatus == 202u);
   BOOST_TEST(OwnerOf(site, "b1") == "b");
   const auto start = boot_clock::now();
@@ -95,7 +95,7 @@
 }
 
 // Guards against a 503 ("not run") for a batch that runs: the designated owner
-// received the submission and went silent, and then the store refused the
+// received the submission and didn't respond, and then the store refused the
 // receiving entry's write.
 BOOST_AUTO_TEST_CASE(ASilentDesignatedEntryLeavesNoRoomForNotRun)
 {
--- a/Tests/Site/TestRewards.cpp
+++ b/Tests/Site/TestRewards.cpp
@@ -53,7 +53,7 @@
     std::count_if(aResults.begin(), aResults.end(), IsScored));
 }
 
-const auto kStaySilent = [](const edge::exchange_ptr&) {};
+const auto kNeverRespond = [](const edge::exchange_ptr&) {};
 
 } // namespace
 
@@ -115,8 +115,8 @@
 }
 
 // Guards against losing samples whose text is complete because reward servers
-// reset connections, respond to another call, are full or go silent. None of
-// these counts as a failure of the call, which is retried at another server.
+// reset connections, respond to another call, are full or stop responding. None
+// of these counts as a failure of the call, which is retried at another server.
 BOOST_AUTO_TEST_CASE(FaultsOfAServerDontLoseTheSample)
 {
   const auto abort = [](const edge::exchange_ptr& aExchange) {
@@ -140,7 +140,7 @@
          std::function<void(const edge::exchange_ptr&)>(respondToAnotherCall),
          std::function<void(const edge::exchange_ptr&)>(failAnotherCall),
          std::function<void(const edge::exchange_ptr&)>(reject),
-         std::function<void(const edge::exchange_ptr&)>(kStaySilent) }) {
+         std::function<void(const edge::exchange_ptr&)>(kNeverRespond) }) {
     reward_site site;
     plain_server bad(site.mLoop);
     plain_server healthy(site.mLoop);
@@ -207,17 +207,17 @@
   BOOST_TEST(entry.mRewards.Open() == 0u);
 }
 
-// The owner goes silent while most texts wait for their scores. The next owner
-// makes the reward calls again, and each result is listed once, with the score
-// of its own call.
+// The owner stops responding while most texts wait for their scores. The next
+// owner makes the reward calls again, and each result is listed once, with the
+// score of its own call.
 BOOST_AUTO_TEST_CASE(TheNextOwnerScoresWhatTheLastOneLeft)
 {
   reward_site site;
   plain_server service(site.mLoop);
   site.Add(service, "p1");
-  bool isSilent = true;
+  bool isUnresponsive = true;
   service.mServe = [&](const edge::exchange_ptr& aExchange) {
-    if (!isSilent) {
+    if (!isUnresponsive) {
       aExchange->Answer(plain_server::Answer(aExchange, 200));
     }
   };
@@ -227,7 +227,7 @@
   first.Submit("b1", 12);
   BOOST_TEST(site.mLoop.RunUntil([&] { return service.mRequests >= 4; }));
   first.mIsReachable = false;
-  isSilent = false;
+  isUnresponsive = false;
   BOOST_TEST(CountScored(site.Results(second, "b1", 12)) == 12);
   const auto ids = second.ListedIds("b1");
   BOOST_TEST(std::set<std::string>(ids.begin(), ids.end()).size() == 12u);
