--- a/Duties/Batches/BatchCalls.cpp
+++ b/Duties/Batches/BatchCalls.cpp
@@ -11,50 +11,51 @@
 
 namespace {
 
-/** A page of results is 1 MB at most, with room for its frame. */
-constexpr std::size_t kPageBytes = 900 << 10;
-/** Longest time that a trainer's reading call is held. */
-constexpr milliseconds kLongestWait = 1000ms;
-/** How long the owner may be silent beyond the wait before another entry takes
- * its batch over. */
-constexpr milliseconds kOwnerSilence = 600ms;
-/** Longest time in which a page arrives once its owner has begun to answer: a
- * megabyte takes 0.14 s on a link of 60 Mbit/s, and several readers may share
- * it. An owner that was given up in the middle of a page lost its batch, and
- * the next owner on such a link did too. */
-constexpr milliseconds kPageTransfer = 3000ms;
-/** When to ask again while a batch is being loaded or changes its owner: a load
- * that failed is tried again after this. */
-constexpr milliseconds kAskAgainAfter = kRetryPause;
-/** A batch changes its owner at most once in this time, so that two entries
- * which don't reach each other don't take turns. */
-constexpr milliseconds kClaimPause = 1500ms;
+/** Limit on the results in a page. A page is at most 1 MB, including its
+ * framing. */
+constexpr std::size_t kMaximumPageBytes = 900 << 10;
+/** Maximum time for which a request for results is held open. */
+constexpr milliseconds kMaximumWait = 1000ms;
+/** Time beyond the requested wait after which an owner that doesn't respond
+ * loses its batch to another entry. */
+constexpr milliseconds kOwnerResponseTimeout = 600ms;
+/** Maximum time for the transfer of a page after the owner has started its
+ * response. A megabyte takes 0.14 s on a 60 Mbit/s link, which several readers
+ * may share. With a shorter limit an owner lost its batch in the middle of a
+ * page, and so did the next owner on the same link. */
+constexpr milliseconds kPageTransferTimeout = 3000ms;
+/** Retry-After while a batch is being loaded or changes its owner. A failed
+ * load is retried after the same time. */
+constexpr milliseconds kLoadingRetryAfter = kRetryDelay;
+/** Minimum time between two changes of a batch's owner, so that two entries
+ * that can't reach each other don't take the batch from each other in turn. */
+constexpr milliseconds kMinimumClaimInterval = 1500ms;
 
 } // namespace
 
 void
-batch_service::FindThen(const std::string& aBatchId,
-                        std::function<void(batch_ptr, store_outcome)> aDone)
+batch_service::FindBatch(const std::string& aBatchId,
+                         std::function<void(batch_ptr, store_outcome)> aDone)
 {
   if (const auto known = mBatches.find(aBatchId); known != mBatches.end()) {
     aDone(known->second, store_outcome::Done);
     return;
   }
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kBatchMetadataKind,
     aBatchId,
     objects::freshness::Linearizable,
-    [this, done = std::move(aDone)](const objects::object_reply& aReply) {
-      if (aReply.mOutcome == store_outcome::Done) {
-        if (const auto head = DecodeHead(aReply.mObject)) {
-          TakeHead(*head);
-          done(mBatches[head->mId], store_outcome::Done);
+    [this, done = std::move(aDone)](const objects::object_reply& aResponse) {
+      if (aResponse.mOutcome == store_outcome::Done) {
+        if (const auto metadata = DecodeMetadata(aResponse.mObject)) {
+          ApplyMetadata(*metadata);
+          done(mBatches[metadata->mId], store_outcome::Done);
           return;
         }
       }
       done(nullptr,
-           aReply.mOutcome == store_outcome::Done ? store_outcome::NotFound
-                                                  : aReply.mOutcome);
+           aResponse.mOutcome == store_outcome::Done ? store_outcome::NotFound
+                                                     : aResponse.mOutcome);
     });
 }
 
@@ -66,30 +67,30 @@
     aExchange->Answer({ 404, {}, {} });
     return;
   }
-  FindThen(
+  FindBatch(
     aCall.mBatchId,
     [this, aExchange, aCall](const batch_ptr& aBatch, store_outcome aOutcome) {
-      if (aBatch && aBatch->mHead.mCustomer == aCall.mCustomer) {
-        ServeKnown(aExchange, aCall, aBatch);
+      if (aBatch && aBatch->mMetadata.mCustomer == aCall.mCustomer) {
+        ServeBatch(aExchange, aCall, aBatch);
       } else if (aBatch || aOutcome == store_outcome::NotFound) {
         aExchange->Answer({ 404, {}, {} });
       } else {
-        edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+        edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
       }
     });
 }
 
 void
-batch_service::ServeKnown(const edge::exchange_ptr& aExchange,
+batch_service::ServeBatch(const edge::exchange_ptr& aExchange,
                           const batch_call& aCall,
                           const batch_ptr& aBatch)
 {
-  if (IsMine(aBatch)) {
+  if (IsOwnedHere(aBatch)) {
     ServeOwned(aExchange, aCall, aBatch);
     return;
   }
-  if (const auto peer = mParts.mFindPeer(aBatch->mHead.mOwner)) {
-    PassOn(aExchange, aCall, aBatch, *peer);
+  if (const auto peer = mDependencies.mFindPeer(aBatch->mMetadata.mOwner)) {
+    ForwardCall(aExchange, aCall, aBatch, *peer);
   } else {
     TakeOver(aExchange, aCall, aBatch);
   }
@@ -102,7 +103,7 @@
 {
   Load(aBatch, [this, aExchange, aCall, aBatch](bool aIsLoaded) {
     if (!aIsLoaded) {
-      edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+      edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
       return;
     }
     switch (aCall.mKind) {
@@ -113,10 +114,10 @@
         ReadItem(aExchange, aCall, aBatch);
         return;
       case batch_call::kind::End:
-        End(aExchange, aBatch, kTries);
+        End(aExchange, aBatch, kMaximumTries);
         return;
       case batch_call::kind::TakeOver:
-        // Answered before the batch is loaded, in TakeOffer.
+        // Handled before the batch is loaded, in HandleOffer.
         aExchange->Answer({ 200, {}, {} });
         return;
     }
@@ -124,37 +125,40 @@
 }
 
 void
-batch_service::PassOn(const edge::exchange_ptr& aExchange,
-                      const batch_call& aCall,
-                      const batch_ptr& aBatch,
-                      const edge::endpoint& aPeer)
+batch_service::ForwardCall(const edge::exchange_ptr& aExchange,
+                           const batch_call& aCall,
+                           const batch_ptr& aBatch,
+                           const edge::endpoint& aPeer)
 {
   edge::call_options options;
-  options.mConnectTimeout = kOwnerSilence;
-  options.mSilenceTimeout = aCall.mWait + kOwnerSilence;
+  options.mConnectTimeout = kOwnerResponseTimeout;
+  options.mSilenceTimeout = aCall.mWait + kOwnerResponseTimeout;
   edge::FetchWhole(
-    mParts.mClients,
-    mParts.mLoop,
+    mDependencies.mClients,
+    mDependencies.mLoop,
     aPeer,
     EncodePeerCall(aCall),
     options,
-    options.mSilenceTimeout + kPageTransfer,
+    options.mSilenceTimeout + kPageTransferTimeout,
     4 << 20,
     [this, aExchange, aCall, aBatch](edge::call_end aEnd,
-                                     edge::response aAnswer) {
-      if (aEnd == edge::call_end::Complete && aAnswer.mStatus != kNotOwner) {
-        edge::response answer{ aAnswer.mStatus, {}, std::move(aAnswer.mBody) };
-        if (answer.mStatus == 200 && aCall.mKind == batch_call::kind::Results) {
-          answer.mHeaders.Add("Content-Type", "application/json");
+                                     edge::response aResponse) {
+      if (aEnd == edge::call_end::Complete && aResponse.mStatus != kNotOwner) {
+        edge::response response{ aResponse.mStatus,
+                                 {},
+                                 std::move(aResponse.mBody) };
+        if (response.mStatus == 200 &&
+            aCall.mKind == batch_call::kind::Results) {
+          response.mHeaders.Add("Content-Type", "application/json");
         }
-        aExchange->Answer(std::move(answer));
+        aExchange->Answer(std::move(response));
         return;
       }
       events::line("owner_silent")
         .With("batch", aCall.mBatchId)
-        .With("owner", aBatch->mHead.mOwner)
+        .With("owner", aBatch->mMetadata.mOwner)
         .With("end", edge::ToString(aEnd))
-        .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
+        .With("status", static_cast<std::int64_t>(aResponse.mStatus));
       TakeOver(aExchange, aCall, aBatch);
     });
 }
@@ -168,11 +172,11 @@
     return;
   }
   if (call->mKind == batch_call::kind::TakeOver) {
-    TakeOffer(aExchange, *call);
+    HandleOffer(aExchange, *call);
     return;
   }
   const auto known = mBatches.find(call->mBatchId);
-  if (known == mBatches.end() || !IsMine(known->second)) {
+  if (known == mBatches.end() || !IsOwnedHere(known->second)) {
     aExchange->Answer({ kNotOwner, {}, {} });
     return;
   }
@@ -184,15 +188,16 @@
                         const batch_call& aCall,
                         const batch_ptr& aBatch)
 {
-  if (boot_clock::now() - aBatch->mOwnedSince < kClaimPause || mIsLeaving) {
-    edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+  if (boot_clock::now() - aBatch->mOwnerChangedAt < kMinimumClaimInterval ||
+      mIsShuttingDown) {
+    edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     return;
   }
-  Claim(aBatch, [this, aExchange, aCall, aBatch](bool aIsMine) {
-    if (aIsMine) {
+  Claim(aBatch, [this, aExchange, aCall, aBatch](bool aIsOwnedHere) {
+    if (aIsOwnedHere) {
       ServeOwned(aExchange, aCall, aBatch);
     } else {
-      edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+      edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     }
   });
 }
@@ -200,24 +205,24 @@
 void
 batch_service::Claim(const batch_ptr& aBatch, std::function<void(bool)> aDone)
 {
-  mParts.mStore.mReplaceStatus(
+  mDependencies.mStore.mReplaceStatus(
     kBatchMetadataKind,
-    aBatch->mHead.mId,
-    aBatch->mHead.mRevision,
-    EncodeHeadStatus(mParts.mName, aBatch->mHead.mIsEnded),
+    aBatch->mMetadata.mId,
+    aBatch->mMetadata.mRevision,
+    EncodeMetadataStatus(mDependencies.mName, aBatch->mMetadata.mIsEnded),
     [this, aBatch, done = std::move(aDone)](
-      const objects::object_reply& aReply) {
-      if (aReply.mOutcome == store_outcome::Done ||
-          aReply.mOutcome == store_outcome::Conflict) {
-        if (auto head = DecodeHead(aReply.mObject)) {
-          TakeHead(*head);
+      const objects::object_reply& aResponse) {
+      if (aResponse.mOutcome == store_outcome::Done ||
+          aResponse.mOutcome == store_outcome::Conflict) {
+        if (auto metadata = DecodeMetadata(aResponse.mObject)) {
+          ApplyMetadata(*metadata);
         }
       }
       events::line("batch_claimed")
-        .With("batch", aBatch->mHead.mId)
-        .With("owner", aBatch->mHead.mOwner)
-        .With("outcome", objects::ToString(aReply.mOutcome));
-      done(IsMine(aBatch));
+        .With("batch", aBatch->mMetadata.mId)
+        .With("owner", aBatch->mMetadata.mOwner)
+        .With("outcome", objects::ToString(aResponse.mOutcome));
+      done(IsOwnedHere(aBatch));
     });
 }
 
@@ -226,53 +231,55 @@
                            const batch_call& aCall,
                            const batch_ptr& aBatch)
 {
-  if (MayHaveMore(*aBatch)) {
-    LookForMore(aBatch, [this, aExchange, aCall, aBatch](bool aIsWhole) {
-      if (aIsWhole) {
-        ReadResults(aExchange, aCall, aBatch);
-      } else if (aBatch->mLog.mListed.size() > aCall.mAfter) {
-        // What is known is right, whether or not there is more.
-        AnswerPage(aExchange, aCall, aBatch);
-      } else {
-        edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
-      }
-    });
+  if (MayLackResults(*aBatch)) {
+    ReadMissingBlocks(aBatch,
+                      [this, aExchange, aCall, aBatch](bool aIsComplete) {
+                        if (aIsComplete) {
+                          ReadResults(aExchange, aCall, aBatch);
+                        } else if (aBatch->mLog.mListed.size() > aCall.mAfter) {
+                          // The known results are correct even if there are
+                          // more.
+                          RespondWithPage(aExchange, aCall, aBatch);
+                        } else {
+                          edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
+                        }
+                      });
     return;
   }
   const bool isComplete = aBatch->mLog.mListed.size() >=
-                          static_cast<std::size_t>(aBatch->mHead.mTotal);
-  const auto wait = std::min(aCall.mWait, kLongestWait);
+                          static_cast<std::size_t>(aBatch->mMetadata.mTotal);
+  const auto wait = std::min(aCall.mWait, kMaximumWait);
   if (aBatch->mLog.mListed.size() > aCall.mAfter || isComplete ||
-      aBatch->mHead.mIsEnded || wait.count() == 0) {
-    AnswerPage(aExchange, aCall, aBatch);
+      aBatch->mMetadata.mIsEnded || wait.count() == 0) {
+    RespondWithPage(aExchange, aCall, aBatch);
     return;
   }
-  auto answered = std::make_shared<bool>(false);
-  const auto answer = [this, aExchange, aCall, aBatch, answered] {
-    if (!*answered) {
-      *answered = true;
-      AnswerPage(aExchange, aCall, aBatch);
+  auto hasResponded = std::make_shared<bool>(false);
+  const auto respond = [this, aExchange, aCall, aBatch, hasResponded] {
+    if (!*hasResponded) {
+      *hasResponded = true;
+      RespondWithPage(aExchange, aCall, aBatch);
     }
   };
-  aBatch->mResultWaiters.push_back(answer);
-  After(wait, answer);
+  aBatch->mResultWaiters.push_back(respond);
+  After(wait, respond);
 }
 
 void
-batch_service::AnswerPage(const edge::exchange_ptr& aExchange,
-                          const batch_call& aCall,
-                          const batch_ptr& aBatch)
+batch_service::RespondWithPage(const edge::exchange_ptr& aExchange,
+                               const batch_call& aCall,
+                               const batch_ptr& aBatch)
 {
   if (!aBatch->mIsLoaded) {
-    edge::AnswerOwn(aExchange, 503, kAskAgainAfter);
+    edge::AnswerOwn(aExchange, 503, kLoadingRetryAfter);
     return;
   }
-  const auto page = ReadPage(aBatch->mLog, aCall.mAfter, kPageBytes);
-  edge::response answer{ 200, {}, {} };
-  answer.mHeaders.Add("Content-Type", "application/json");
-  answer.mBody = mParts.mFormat.mEncodePage(
-    static_cast<std::size_t>(aBatch->mHead.mTotal), page);
-  aExchange->Answer(std::move(answer));
+  const auto page = ReadPage(aBatch->mLog, aCall.mAfter, kMaximumPageBytes);
+  edge::response response{ 200, {}, {} };
+  response.mHeaders.Add("Content-Type", "application/json");
+  response.mBody = mDependencies.mEncoder.mEncodePage(
+    static_cast<std::size_t>(aBatch->mMetadata.mTotal), page);
+  aExchange->Answer(std::move(response));
 }
 
 void
@@ -296,30 +303,31 @@
                    const batch_ptr& aBatch,
                    int aTriesLeft)
 {
-  // The runs stop before the store knows: a batch whose end was asked for
-  // needs no more results, whatever becomes of this call.
-  mParts.mRunner.Remove(aBatch->mHead.mId);
-  if (aBatch->mHead.mIsEnded) {
+  // The runs are cancelled before the store has recorded the end: the trainer
+  // needs no more results, even if this request fails.
+  mDependencies.mRunner.Remove(aBatch->mMetadata.mId);
+  if (aBatch->mMetadata.mIsEnded) {
     aExchange->Answer({ 200, {}, {} });
     return;
   }
-  mParts.mStore.mReplaceStatus(
+  mDependencies.mStore.mReplaceStatus(
     kBatchMetadataKind,
-    aBatch->mHead.mId,
-    aBatch->mHead.mRevision,
-    EncodeHeadStatus(mParts.mName, true),
-    [this, aExchange, aBatch, aTriesLeft](const objects::object_reply& aReply) {
-      if (aReply.mOutcome == store_outcome::Done ||
-          aReply.mOutcome == store_outcome::Conflict) {
-        if (auto head = DecodeHead(aReply.mObject)) {
-          TakeHead(*head);
+    aBatch->mMetadata.mId,
+    aBatch->mMetadata.mRevision,
+    EncodeMetadataStatus(mDependencies.mName, true),
+    [this, aExchange, aBatch, aTriesLeft](
+      const objects::object_reply& aResponse) {
+      if (aResponse.mOutcome == store_outcome::Done ||
+          aResponse.mOutcome == store_outcome::Conflict) {
+        if (auto metadata = DecodeMetadata(aResponse.mObject)) {
+          ApplyMetadata(*metadata);
         }
       }
-      if (aBatch->mHead.mIsEnded) {
-        events::line("batch_ended").With("batch", aBatch->mHead.mId);
+      if (aBatch->mMetadata.mIsEnded) {
+        events::line("batch_ended").With("batch", aBatch->mMetadata.mId);
         aExchange->Answer({ 200, {}, {} });
       } else if (aTriesLeft > 0) {
-        After(kRetryPause, [this, aExchange, aBatch, aTriesLeft] {
+        After(kRetryDelay, [this, aExchange, aBatch, aTriesLeft] {
           End(aExchange, aBatch, aTriesLeft - 1);
         });
       } else {
--- a/Duties/Batches/BatchLoading.cpp
+++ b/Duties/Batches/BatchLoading.cpp
@@ -23,12 +23,13 @@
 }
 
 objects::object_done
-batch_service::WhileSame(const batch_ptr& aBatch, objects::object_done aDone)
+batch_service::IfSameGeneration(const batch_ptr& aBatch,
+                                objects::object_done aDone)
 {
   return [aBatch, generation = aBatch->mGeneration, done = std::move(aDone)](
-           objects::object_reply aReply) {
+           objects::object_reply aResponse) {
     if (aBatch->mGeneration == generation) {
-      done(std::move(aReply));
+      done(std::move(aResponse));
     }
   };
 }
@@ -40,67 +41,69 @@
   aBatch->mLog = {};
   aBatch->mStored.clear();
   ++aBatch->mGeneration;
-  auto gathered = std::make_shared<submission>();
-  gathered->mId = aBatch->mHead.mId;
-  gathered->mModel = aBatch->mHead.mModel;
-  gathered->mMinimumVersion = aBatch->mHead.mMinimumVersion;
-  gathered->mTargetGroups = aBatch->mHead.mTargetGroups;
-  LoadItems(aBatch, gathered, 0);
+  auto loaded = std::make_shared<submission>();
+  loaded->mId = aBatch->mMetadata.mId;
+  loaded->mModel = aBatch->mMetadata.mModel;
+  loaded->mMinimumVersion = aBatch->mMetadata.mMinimumVersion;
+  loaded->mTargetGroups = aBatch->mMetadata.mTargetGroups;
+  LoadItems(aBatch, loaded, 0);
 }
 
 void
 batch_service::LoadItems(const batch_ptr& aBatch,
-                         std::shared_ptr<submission> aGathered,
+                         std::shared_ptr<submission> aLoaded,
                          int aPart)
 {
-  if (aPart == aBatch->mHead.mParts) {
-    aBatch->mSubmission = aGathered;
+  if (aPart == aBatch->mMetadata.mParts) {
+    aBatch->mSubmission = aLoaded;
     LoadResults(aBatch);
     return;
   }
-  mParts.mStore.mGet(kBatchItemsKind,
-                     ItemsObjectName(aBatch->mHead.mId, aPart),
-                     objects::freshness::Linearizable,
-                     WhileSame(aBatch,
-                               [this, aBatch, aGathered, aPart](
-                                 const objects::object_reply& aReply) {
-                                 if (aReply.mOutcome == store_outcome::Done &&
-                                     DecodeItems(aReply.mObject, *aGathered)) {
-                                   LoadItems(aBatch, aGathered, aPart + 1);
-                                 } else {
-                                   FinishLoad(aBatch, false);
-                                 }
-                               }));
+  mDependencies.mStore.mGet(
+    kBatchItemsKind,
+    ItemsObjectName(aBatch->mMetadata.mId, aPart),
+    objects::freshness::Linearizable,
+    IfSameGeneration(
+      aBatch,
+      [this, aBatch, aLoaded, aPart](const objects::object_reply& aResponse) {
+        if (aResponse.mOutcome == store_outcome::Done &&
+            DecodeItems(aResponse.mObject, *aLoaded)) {
+          LoadItems(aBatch, aLoaded, aPart + 1);
+        } else {
+          FinishLoad(aBatch, false);
+        }
+      }));
 }
 
 void
 batch_service::LoadResults(const batch_ptr& aBatch)
 {
-  const auto take = [this, aBatch](const objects::object_reply& aReply) {
-    if (aReply.mOutcome == store_outcome::NotFound) {
+  const auto handleResponse = [this,
+                               aBatch](const objects::object_reply& aResponse) {
+    if (aResponse.mOutcome == store_outcome::NotFound) {
       FinishLoad(aBatch, true);
       return;
     }
-    const auto block = aReply.mOutcome == store_outcome::Done
-                         ? DecodeBlock(aReply.mObject)
+    const auto block = aResponse.mOutcome == store_outcome::Done
+                         ? DecodeBlock(aResponse.mObject)
                          : std::nullopt;
     if (!block) {
       FinishLoad(aBatch, false);
       return;
     }
-    TakeBlock(aBatch->mLog, *block);
+    ApplyBlock(aBatch->mLog, *block);
     for (const auto& part : block->mParts) {
       if (part.mItem < aBatch->mSubmission->mItems.size()) {
-        TakePart(aBatch->mStored, block->mWriter, part);
+        ApplyPart(aBatch->mStored, block->mWriter, part);
       }
     }
     LoadResults(aBatch);
   };
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kBatchResultsKind,
-    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    ResultsObjectName(aBatch->mMetadata.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
-    WhileSame(aBatch, take));
+    IfSameGeneration(aBatch, handleResponse));
 }
 
 void
@@ -109,24 +112,24 @@
   aBatch->mIsLoading = false;
   aBatch->mIsLoaded = aIsLoaded;
   events::line("batch_loaded")
-    .With("batch", aBatch->mHead.mId)
+    .With("batch", aBatch->mMetadata.mId)
     .With("outcome", aBatch->mIsLoaded ? "loaded" : "failed")
     .With("results", static_cast<std::int64_t>(aBatch->mLog.mListed.size()));
   if (aBatch->mIsLoaded) {
-    aBatch->mLoadedAt = aBatch->mEndSeenAt = boot_clock::now();
+    aBatch->mLoadedAt = aBatch->mNoMoreBlocksAt = boot_clock::now();
     Run(aBatch);
-  } else if (!aBatch->mHead.mIsEnded) {
-    After(kRetryPause, [this, aBatch] {
-      if (IsMine(aBatch)) {
+  } else if (!aBatch->mMetadata.mIsEnded) {
+    After(kRetryDelay, [this, aBatch] {
+      if (IsOwnedHere(aBatch)) {
         Load(aBatch, [](bool) {});
       }
     });
   }
-  TellLoaded(aBatch);
+  NotifyLoadWaiters(aBatch);
 }
 
 void
-batch_service::TellLoaded(const batch_ptr& aBatch)
+batch_service::NotifyLoadWaiters(const batch_ptr& aBatch)
 {
   const auto waiters = std::move(aBatch->mLoadWaiters);
   aBatch->mLoadWaiters.clear();
@@ -139,40 +142,40 @@
 batch_service::Run(const batch_ptr& aBatch)
 {
   auto stored = std::exchange(aBatch->mStored, {});
-  if (aBatch->mHead.mIsEnded) {
+  if (aBatch->mMetadata.mIsEnded) {
     return;
   }
   aBatch->mGroups = {};
   for (const auto& item : aBatch->mSubmission->mItems) {
-    NoteOpenItem(aBatch->mGroups, item.mGroup);
+    RecordOpenItem(aBatch->mGroups, item.mGroup);
   }
   for (const auto& item : aBatch->mSubmission->mItems) {
     if (HasResult(aBatch->mLog, item.mId)) {
-      NoteResult(aBatch->mGroups, item.mGroup);
+      RecordResult(aBatch->mGroups, item.mGroup);
     }
   }
   aBatch->mWriter = MakeRandomName();
-  mParts.mRunner.Add(
-    aBatch->mHead,
+  mDependencies.mRunner.Add(
+    aBatch->mMetadata,
     aBatch->mSubmission,
     [&](const std::string& aItemId) {
       return HasResult(aBatch->mLog, aItemId);
     },
     std::move(stored));
-  PlanSave(aBatch);
+  ScheduleSave(aBatch);
 }
 
 void
-batch_service::Drop(const batch_ptr& aBatch)
+batch_service::Unload(const batch_ptr& aBatch)
 {
-  mParts.mRunner.Remove(aBatch->mHead.mId);
+  mDependencies.mRunner.Remove(aBatch->mMetadata.mId);
   aBatch->mIsLoaded = false;
   aBatch->mIsLoading = false;
   aBatch->mIsCommitting = false;
   ++aBatch->mGeneration;
   aBatch->mLog = {};
   aBatch->mSubmission.reset();
-  TellLoaded(aBatch);
+  NotifyLoadWaiters(aBatch);
   const auto waiters = std::move(aBatch->mResultWaiters);
   aBatch->mResultWaiters.clear();
   for (const auto& waiter : waiters) {
--- a/Duties/Batches/BatchService.cpp
+++ b/Duties/Batches/BatchService.cpp
@@ -10,113 +10,116 @@
 using namespace std::chrono_literals;
 using objects::store_outcome;
 
-batch_service::batch_service(service_dependencies aParts)
-  : mParts(std::move(aParts))
+batch_service::batch_service(service_dependencies aDependencies)
+  : mDependencies(std::move(aDependencies))
 {
 }
 
 void
 batch_service::TakeListing(
-  const std::map<std::string, objects::stored_object>& aHeads)
+  const std::map<std::string, objects::stored_object>& aListing)
 {
-  for (const auto& [name, object] : aHeads) {
-    if (const auto head = DecodeHead(object)) {
-      TakeHead(*head);
+  for (const auto& [name, object] : aListing) {
+    if (const auto metadata = DecodeMetadata(object)) {
+      ApplyMetadata(*metadata);
     }
   }
-  // A head that the listing lacks was removed, unless it is newer than it.
-  for (const auto& head : ListBatches()) {
-    if (aHeads.count(head.mId) == 0 &&
-        std::chrono::system_clock::now() - head.mSubmittedAt > kListingDelay) {
-      Forget(head.mId);
+  // A batch that the listing lacks was removed, unless the batch is newer than
+  // the listing.
+  for (const auto& metadata : ListBatches()) {
+    if (aListing.count(metadata.mId) == 0 &&
+        std::chrono::system_clock::now() - metadata.mSubmittedAt >
+          kListingLag) {
+      RemoveBatch(metadata.mId);
     }
   }
-  ResumeOwn();
+  LoadOwnedBatches();
 }
 
 void
 batch_service::TakeEvent(const objects::object_event& aEvent)
 {
   if (aEvent.mIsDeleted) {
-    Forget(aEvent.mObject.mName);
+    RemoveBatch(aEvent.mObject.mName);
     return;
   }
-  if (const auto head = DecodeHead(aEvent.mObject)) {
-    TakeHead(*head);
+  if (const auto metadata = DecodeMetadata(aEvent.mObject)) {
+    ApplyMetadata(*metadata);
   }
 }
 
 void
-batch_service::Forget(const std::string& aBatchId)
+batch_service::RemoveBatch(const std::string& aBatchId)
 {
   const auto found = mBatches.find(aBatchId);
   if (found != mBatches.end()) {
     const auto batch = found->second;
     mBatches.erase(found);
-    Drop(batch);
+    Unload(batch);
   }
 }
 
 std::vector<batch_metadata>
 batch_service::ListBatches() const
 {
-  std::vector<batch_metadata> heads;
+  std::vector<batch_metadata> batches;
   for (const auto& [id, batch] : mBatches) {
-    heads.push_back(batch->mHead);
+    batches.push_back(batch->mMetadata);
   }
-  return heads;
+  return batches;
 }
 
 void
-batch_service::After(milliseconds aPause, std::function<void()> aAction)
+batch_service::After(milliseconds aDelay, std::function<void()> aAction)
 {
-  edge::RunAfter(mParts.mLoop, aPause, std::move(aAction));
+  edge::RunAfter(mDependencies.mLoop, aDelay, std::move(aAction));
 }
 
 bool
-batch_service::IsMine(const batch_ptr& aBatch) const
+batch_service::IsOwnedHere(const batch_ptr& aBatch) const
 {
-  return aBatch->mHead.mOwner == mParts.mName;
+  return aBatch->mMetadata.mOwner == mDependencies.mName;
 }
 
 void
-batch_service::TakeHead(const batch_metadata& aHead)
+batch_service::ApplyMetadata(const batch_metadata& aMetadata)
 {
-  auto& batch = mBatches[aHead.mId];
+  auto& batch = mBatches[aMetadata.mId];
   if (!batch) {
     batch = std::make_shared<batch_record>();
-    batch->mHead = aHead;
-    batch->mOwnedSince = boot_clock::now();
-    mParts.mOnAccepted(aHead);
+    batch->mMetadata = aMetadata;
+    batch->mOwnerChangedAt = boot_clock::now();
+    mDependencies.mOnAccepted(aMetadata);
     return;
   }
-  if (aHead.mRevision <= batch->mHead.mRevision) {
+  if (aMetadata.mRevision <= batch->mMetadata.mRevision) {
     return;
   }
-  const bool wasMine = IsMine(batch);
-  if (batch->mHead.mOwner != aHead.mOwner) {
-    batch->mOwnedSince = boot_clock::now();
+  const bool wasOwnedHere = IsOwnedHere(batch);
+  if (batch->mMetadata.mOwner != aMetadata.mOwner) {
+    batch->mOwnerChangedAt = boot_clock::now();
     events::line("batch_owner_changed")
-      .With("batch", aHead.mId)
-      .With("owner", aHead.mOwner)
-      .With("before", batch->mHead.mOwner);
+      .With("batch", aMetadata.mId)
+      .With("owner", aMetadata.mOwner)
+      .With("before", batch->mMetadata.mOwner);
   }
-  batch->mHead = aHead;
-  if (wasMine && !IsMine(batch)) {
-    Drop(batch);
-  } else if (aHead.mIsEnded) {
-    mParts.mRunner.Remove(aHead.mId);
-  } else if (!wasMine && IsMine(batch)) {
-    // Taken over, or handed over by an entry that leaves.
+  batch->mMetadata = aMetadata;
+  if (wasOwnedHere && !IsOwnedHere(batch)) {
+    Unload(batch);
+  } else if (aMetadata.mIsEnded) {
+    mDependencies.mRunner.Remove(aMetadata.mId);
+  } else if (!wasOwnedHere && IsOwnedHere(batch)) {
+    // This entry took the batch over, or an entry that is shutting down handed
+    // it over.
     Load(batch, [](bool) {});
   }
 }
 
 void
-batch_service::ResumeOwn()
+batch_service::LoadOwnedBatches()
 {
   for (const auto& [id, batch] : mBatches) {
-    if (IsMine(batch) && !batch->mHead.mIsEnded && !batch->mIsLoaded) {
+    if (IsOwnedHere(batch) && !batch->mMetadata.mIsEnded && !batch->mIsLoaded) {
       Load(batch, [](bool) {});
     }
   }
@@ -128,10 +131,10 @@
   return static_cast<std::size_t>(
     std::count_if(mBatches.begin(), mBatches.end(), [&](const auto& aEntry) {
       const auto& batch = *aEntry.second;
-      return IsMine(aEntry.second) && batch.mIsLoaded &&
-             !batch.mHead.mIsEnded &&
+      return IsOwnedHere(aEntry.second) && batch.mIsLoaded &&
+             !batch.mMetadata.mIsEnded &&
              batch.mLog.mListed.size() <
-               static_cast<std::size_t>(batch.mHead.mTotal);
+               static_cast<std::size_t>(batch.mMetadata.mTotal);
     }));
 }
 
--- a/Duties/Batches/Records.cpp
+++ b/Duties/Batches/Records.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** Items of one object: the store takes 1 MB, and the escapes of JSON and the
- * object's own fields need room. */
-constexpr std::size_t kPartBytes = 700 << 10;
+/** Maximum size of the items in one object: the store limits objects to 1 MB,
+ * and JSON escapes and the object's other fields need room. */
+constexpr std::size_t kMaximumItemsObjectBytes = 700 << 10;
 
 std::string
-Numbered(const std::string& aBatchId, int aNumber)
+NumberedName(const std::string& aBatchId, int aNumber)
 {
   char suffix[16];
   std::snprintf(suffix, sizeof suffix, ".%06d", aNumber);
@@ -68,15 +68,15 @@
 EncodePart(const text_part& aPart)
 {
   json::array versions;
-  for (const auto version : aPart.mMade.mVersions) {
+  for (const auto version : aPart.mGenerated.mVersions) {
     versions.emplace_back(version);
   }
   json::value part =
     json::object{ { "item", static_cast<std::int64_t>(aPart.mItem) },
-                  { "last", aPart.mMade.mLastEvent.value_or(0) },
-                  { "text", aPart.mMade.mData },
+                  { "last", aPart.mGenerated.mLastEvent.value_or(0) },
+                  { "text", aPart.mGenerated.mData },
                   { "versions", std::move(versions) },
-                  { "whole", aPart.mMade.mIsWhole } };
+                  { "whole", aPart.mGenerated.mIsComplete } };
   if (aPart.mAfter) {
     part.Set("after", *aPart.mAfter);
   }
@@ -91,12 +91,12 @@
   if (aValue.Find("after")) {
     part.mAfter = json::IntegerAt(aValue, "after", 0);
   }
-  part.mMade.mLastEvent = json::IntegerAt(aValue, "last", 0);
-  part.mMade.mData = json::StringAt(aValue, "text", "");
-  part.mMade.mIsWhole = json::BooleanAt(aValue, "whole", false);
+  part.mGenerated.mLastEvent = json::IntegerAt(aValue, "last", 0);
+  part.mGenerated.mData = json::StringAt(aValue, "text", "");
+  part.mGenerated.mIsComplete = json::BooleanAt(aValue, "whole", false);
   if (const auto* versions = aValue.Find("versions")) {
     for (const auto& version : versions->Elements()) {
-      part.mMade.mVersions.push_back(version.IntegerOr(0));
+      part.mGenerated.mVersions.push_back(version.IntegerOr(0));
     }
   }
   return part;
@@ -126,62 +126,62 @@
 }
 
 milliseconds
-AgeOf(const batch_metadata& aHead)
+AgeOf(const batch_metadata& aMetadata)
 {
   return std::chrono::duration_cast<milliseconds>(
-    std::chrono::system_clock::now() - aHead.mSubmittedAt);
+    std::chrono::system_clock::now() - aMetadata.mSubmittedAt);
 }
 
 std::string
-EncodeHead(const batch_metadata& aHead)
+EncodeMetadata(const batch_metadata& aMetadata)
 {
   const auto submitted = std::chrono::duration_cast<milliseconds>(
-    aHead.mSubmittedAt.time_since_epoch());
+    aMetadata.mSubmittedAt.time_since_epoch());
   return json::Write(
-    json::object{ { "customer", aHead.mCustomer },
-                  { "host", aHead.mHost },
-                  { "model", aHead.mModel },
-                  { "minimumVersion", aHead.mMinimumVersion },
-                  { "targetGroups", aHead.mTargetGroups },
-                  { "total", aHead.mTotal },
-                  { "expected", aHead.mExpectedTokens },
-                  { "parts", aHead.mParts },
+    json::object{ { "customer", aMetadata.mCustomer },
+                  { "host", aMetadata.mHost },
+                  { "model", aMetadata.mModel },
+                  { "minimumVersion", aMetadata.mMinimumVersion },
+                  { "targetGroups", aMetadata.mTargetGroups },
+                  { "total", aMetadata.mTotal },
+                  { "expected", aMetadata.mExpectedTokens },
+                  { "parts", aMetadata.mParts },
                   { "submittedMs", std::int64_t{ submitted.count() } },
-                  { "owner", aHead.mOwner } });
+                  { "owner", aMetadata.mOwner } });
 }
 
 std::string
-EncodeHeadStatus(const std::string& aOwner, bool aIsEnded)
+EncodeMetadataStatus(const std::string& aOwner, bool aIsEnded)
 {
   return json::Write(
     json::object{ { "owner", aOwner }, { "ended", aIsEnded } });
 }
 
 std::optional<batch_metadata>
-DecodeHead(const objects::stored_object& aObject)
+DecodeMetadata(const objects::stored_object& aObject)
 {
   const auto& spec = aObject.mSpec;
   if (!spec.IsObject() || !spec.Find("total")) {
     return std::nullopt;
   }
-  batch_metadata head;
-  head.mId = aObject.mName;
-  head.mRevision = aObject.mRevision;
-  head.mCustomer = json::StringAt(spec, "customer", "");
-  head.mHost = json::StringAt(spec, "host", "");
-  head.mModel = json::StringAt(spec, "model", "");
-  head.mMinimumVersion = json::IntegerAt(spec, "minimumVersion", 0);
-  head.mTargetGroups =
+  batch_metadata metadata;
+  metadata.mId = aObject.mName;
+  metadata.mRevision = aObject.mRevision;
+  metadata.mCustomer = json::StringAt(spec, "customer", "");
+  metadata.mHost = json::StringAt(spec, "host", "");
+  metadata.mModel = json::StringAt(spec, "model", "");
+  metadata.mMinimumVersion = json::IntegerAt(spec, "minimumVersion", 0);
+  metadata.mTargetGroups =
     static_cast<int>(json::IntegerAt(spec, "targetGroups", 0));
-  head.mTotal = static_cast<int>(json::IntegerAt(spec, "total", 0));
-  head.mExpectedTokens = json::IntegerAt(spec, "expected", 0);
-  head.mParts = static_cast<int>(json::IntegerAt(spec, "parts", 0));
-  head.mSubmittedAt = std::chrono::system_clock::time_point(
+  metadata.mTotal = static_cast<int>(json::IntegerAt(spec, "total", 0));
+  metadata.mExpectedTokens = json::IntegerAt(spec, "expected", 0);
+  metadata.mParts = static_cast<int>(json::IntegerAt(spec, "parts", 0));
+  metadata.mSubmittedAt = std::chrono::system_clock::time_point(
     milliseconds(json::IntegerAt(spec, "submittedMs", 0)));
-  head.mOwner =
+  metadata.mOwner =
     json::StringAt(aObject.mStatus, "owner", json::StringAt(spec, "owner", ""));
-  head.mIsEnded = json::BooleanAt(aObject.mStatus, "ended", false);
-  return head;
+  metadata.mIsEnded = json::BooleanAt(aObject.mStatus, "ended", false);
+  return metadata;
 }
 
 std::vector<std::string>
@@ -191,7 +191,7 @@
   std::string part;
   for (const auto& item : aSubmission.mItems) {
     const auto text = json::Write(EncodeItem(item));
-    if (!part.empty() && part.size() + text.size() > kPartBytes) {
+    if (!part.empty() && part.size() + text.size() > kMaximumItemsObjectBytes) {
       parts.push_back("{\"items\":[" + part + "]}");
       part.clear();
     }
@@ -217,13 +217,13 @@
 std::string
 ItemsObjectName(const std::string& aBatchId, int aPart)
 {
-  return Numbered(aBatchId, aPart);
+  return NumberedName(aBatchId, aPart);
 }
 
 std::string
 ResultsObjectName(const std::string& aBatchId, int aNumber)
 {
-  return Numbered(aBatchId, aNumber);
+  return NumberedName(aBatchId, aNumber);
 }
 
 std::string
