--- a/Duties/Keys/Authorize.h
+++ b/Duties/Keys/Authorize.h
@@ -6,7 +6,8 @@
 
 #include <string>
 
-/** For whom a request may run. */
+/** Authorisation of requests by customer key, and the check that the
+ * configuration is recent enough to trust. */
 namespace lavender::keys {
 
 /** The customer and key record that a presented key belongs to. */
@@ -17,15 +18,17 @@
   std::string mKeyHash;
 };
 
-/** Takes the key out of "Bearer KEY" and looks up its hash. The key itself
- * goes no further than this call. Reasons: "key_missing", "key_unknown",
- * "key_withdrawn", "customer_unknown". */
+/** Extracts the key from a "Bearer KEY" header and looks up its hash. The key
+ * itself isn't stored or passed on. Failure reasons: "key_missing",
+ * "key_unknown", "key_withdrawn", "customer_unknown". */
 result<authorization>
 Authorize(const configuration::snapshot& aSnapshot,
           const std::string& aAuthorizationHeader);
 
-/** Reason why a key that was good may no longer be used; empty when it may.
- * Asked again while a request waits and when queued work starts. */
+/** Returns the reason why a key may not be used ("key_unknown",
+ * "key_withdrawn" or "customer_unknown"), or an empty string when it may.
+ * Called again while a request waits and when queued work starts, because the
+ * key may be withdrawn in the meantime. */
 std::string
 FindWithdrawal(const configuration::snapshot& aSnapshot,
                const std::string& aKeyHash);
--- a/Duties/Keys/FreshnessGate.cpp
+++ b/Duties/Keys/FreshnessGate.cpp
@@ -6,40 +6,41 @@
 namespace {
 
 bool
-IsYounger(const std::optional<time_point>& aAt,
-          milliseconds aLimit,
-          time_point aNow)
+IsRecent(const std::optional<time_point>& aAt,
+         milliseconds aLimit,
+         time_point aNow)
 {
   return aAt && aNow - *aAt <= aLimit;
 }
 
-/** Half of the others or more can be heard. In an availability zone that is
- * cut off from the platform and from all other zones, every process that can
- * still be heard is as stale as this one; only the silence of the rest tells
- * this from an outage for all. */
+/** True when at least half of the other processes answer. In an availability
+ * zone that is cut off from the platform and from all other zones, every
+ * process that still answers is as stale as this one. Only the missing answers
+ * of the other zones distinguish this case from an outage of the store. */
 bool
-HearsMost(const witness_summary& aWitnesses)
+ReachesAtLeastHalf(const witness_summary& aWitnesses)
 {
   return aWitnesses.mAudible * 2 >= aWitnesses.mKnown.value_or(0);
 }
 
-/** The store has answered somebody lately, well after it last answered this
- * entry. */
+/** True when the store recently answered another entry, at least mMinimumLead
+ * after it last answered this one. */
 bool
-AreOthersFresher(const own_freshness& aOwn,
-                 const witness_summary& aWitnesses,
-                 const freshness_limits& aLimits,
-                 time_point aNow)
+IsStoreReachableByOthers(const own_freshness& aOwn,
+                         const witness_summary& aWitnesses,
+                         const freshness_limits& aLimits,
+                         time_point aNow)
 {
-  return IsYounger(aWitnesses.mLatestProof, aLimits.mOwnProof, aNow) &&
+  return IsRecent(
+           aWitnesses.mLatestProof, aLimits.mMaximumConfirmationAge, aNow) &&
          (!aOwn.mProvenAt ||
-          *aWitnesses.mLatestProof - *aOwn.mProvenAt >= aLimits.mMargin);
+          *aWitnesses.mLatestProof - *aOwn.mProvenAt >= aLimits.mMinimumLead);
 }
 
-/** An entry that has just started joins only when everybody known has been
- * asked once and none of them knows a later change. Otherwise one that starts
- * from an old disk, or hears an old copy of the store, would let withdrawn
- * keys in. */
+/** A newly started entry accepts keys only after it has polled every known
+ * process once and none of them knows a later change. Otherwise an entry that
+ * starts from an outdated disk, or reads from a stale replica of the store,
+ * would accept withdrawn keys. */
 bool
 MayJoin(const own_freshness& aOwn,
         const witness_summary& aWitnesses,
@@ -50,27 +51,27 @@
       !aWitnesses.mKnown || aWitnesses.mAsked < *aWitnesses.mKnown) {
     return false;
   }
-  return IsYounger(aOwn.mProvenAt, aLimits.mOwnProof, aNow) ||
-         (*aWitnesses.mKnown > 0 && HearsMost(aWitnesses));
+  return IsRecent(aOwn.mProvenAt, aLimits.mMaximumConfirmationAge, aNow) ||
+         (*aWitnesses.mKnown > 0 && ReachesAtLeastHalf(aWitnesses));
 }
 
 } // namespace
 
 freshness
-Judge(freshness_state& aState,
-      const own_freshness& aOwn,
-      const witness_summary& aWitnesses,
-      const freshness_limits& aLimits,
-      time_point aNow)
+EvaluateFreshness(freshness_state& aState,
+                  const own_freshness& aOwn,
+                  const witness_summary& aWitnesses,
+                  const freshness_limits& aLimits,
+                  time_point aNow)
 {
   const bool isBehind = HasLasted(aState.mBehindSince,
                                   aOwn.mKnownUpTo < aWitnesses.mHighestChanged,
-                                  aLimits.mCatchUp,
+                                  aLimits.mCatchUpTime,
                                   aNow);
   const bool isCutOff =
     HasLasted(aState.mCutOffSince,
-              AreOthersFresher(aOwn, aWitnesses, aLimits, aNow),
-              aLimits.mCatchUp,
+              IsStoreReachableByOthers(aOwn, aWitnesses, aLimits, aNow),
+              aLimits.mCatchUpTime,
               aNow);
   if (!aState.mHasJoined) {
     if (!MayJoin(aOwn, aWitnesses, aLimits, aNow)) {
@@ -81,13 +82,14 @@
   if (isBehind) {
     return freshness::Behind;
   }
-  if (IsYounger(aOwn.mProvenAt, aLimits.mOwnProof, aNow)) {
+  if (IsRecent(aOwn.mProvenAt, aLimits.mMaximumConfirmationAge, aNow)) {
     return freshness::Current;
   }
   if (isCutOff) {
     return freshness::CutOff;
   }
-  return HearsMost(aWitnesses) ? freshness::PlatformDown : freshness::Isolated;
+  return ReachesAtLeastHalf(aWitnesses) ? freshness::PlatformDown
+                                        : freshness::Isolated;
 }
 
 bool
--- a/Duties/Keys/FreshnessGate.h
+++ b/Duties/Keys/FreshnessGate.h
@@ -7,51 +7,58 @@
 #include <optional>
 #include <string>
 
-/** Whether the configuration held is fresh enough to accept keys by. */
+/** Decides whether this entry's copy of the configuration is recent enough to
+ * accept customer keys. */
 namespace lavender::keys {
 
-/** What this entry knows of its own configuration. */
+/** How recent this entry's own copy of the configuration is. */
 struct own_freshness
 {
-  /** Every change up to this revision is known; 0 for no state at all. */
+  /** Every change up to this revision is known; 0 before the first state. */
   std::int64_t mKnownUpTo = 0;
-  /** A time at which that was the newest; none when it never was proven. */
+  /** Last time at which the store confirmed that this revision was its newest;
+   * none when it never did. */
   std::optional<time_point> mProvenAt;
 };
 
-/** What other processes, peers and agents alike, tell of the configuration. */
+/** What other entries and agents report about the configuration. */
 struct witness_summary
 {
-  /** Processes by the last instance list, none before the first list; how
-   * many of them were asked since the start, and how many answered lately. */
+  /** Number of processes on the last instance list (none before the first
+   * list), how many of them were polled since the start, and how many answered
+   * recently. */
   std::optional<std::size_t> mKnown;
   std::size_t mAsked = 0;
   std::size_t mAudible = 0;
-  /** Revision of the last change that any of them has heard of. */
+  /** Revision of the latest configuration change that any of them knows. */
   std::int64_t mHighestChanged = 0;
-  /** Latest proof that any entry had of being up to date. */
+  /** Latest time at which any entry's copy was confirmed as the newest. */
   std::optional<time_point> mLatestProof;
 };
 
-/** A withdrawn key works at most mOwnProof longer at an entry that is cut
- * off, and mCatchUp longer where somebody reachable knows of the withdrawal.
- */
+/** Bounds on how long a withdrawn key stays usable: at most
+ * mMaximumConfirmationAge at an entry that is cut off from the store, and at
+ * most mCatchUpTime at an entry that can reach a process which knows of the
+ * withdrawal. */
 struct freshness_limits
 {
-  /** Above the longest time between two proofs in health, a watch's wait and
+  /** Maximum age of the last confirmation. Must exceed the longest interval
+   * between two confirmations in normal operation, which is a watch's wait plus
    * its timeout. */
-  milliseconds mOwnProof{ 6000 };
-  /** By how much another entry's proof must be later than the own one to show
-   * that the store answers others. Two entries that lose the store together
-   * have proofs that differ by less, or each would take the other's last proof
-   * for a living one and refuse. */
-  milliseconds mMargin{ 3000 };
-  /** Time to fetch a change that somebody else knows, and for the own watch to
-   * come back after an outage that ended for others a moment earlier. */
-  milliseconds mCatchUp{ 2000 };
+  milliseconds mMaximumConfirmationAge{ 6000 };
+  /** How much later another entry's confirmation must be than this entry's to
+   * show that the store still answers other entries. Must exceed the difference
+   * between the last confirmations of two entries that lose the store at the
+   * same time: otherwise each would conclude that the store still answers the
+   * other, and refuse keys. */
+  milliseconds mMinimumLead{ 3000 };
+  /** Time allowed for fetching a change that another process knows, and for
+   * this entry's watch to resume after an outage that ended slightly earlier
+   * for other entries. */
+  milliseconds mCatchUpTime{ 2000 };
 };
 
-/** Remembered between two judgements. */
+/** State kept between two evaluations. */
 struct freshness_state
 {
   std::optional<time_point> mBehindSince;
@@ -61,34 +68,37 @@
 
 enum class freshness
 {
-  /** Proven lately: accept keys. */
+  /** Confirmed recently: keys are accepted. */
   Current,
-  /** The store answers nobody, so that nothing can be withdrawn: go on. */
+  /** The store answers no entry, so no key can be withdrawn: keys are
+   * accepted. */
   PlatformDown,
-  /** Just started: not yet known whether somebody knows fresher. */
+  /** Just started: other processes may know later changes. */
   Joining,
-  /** Others get answers from the store, this entry doesn't. */
+  /** The store answers other entries but not this one. */
   CutOff,
-  /** Too few others can be heard to tell a cut from an outage. */
+  /** Too few processes answer to distinguish a network partition from an outage
+   * of the store. */
   Isolated,
-  /** Somebody knows a later change, and it couldn't be fetched in time. */
+  /** Another process knows a later change, which couldn't be fetched within
+   * mCatchUpTime. */
   Behind
 };
 
-/** Judges by what is known now. Every refusal ends by itself as soon as its
- * cause does. */
+/** Evaluates the freshness of the configuration at aNow. A refusal ends without
+ * intervention as soon as its cause is gone. */
 freshness
-Judge(freshness_state& aState,
-      const own_freshness& aOwn,
-      const witness_summary& aWitnesses,
-      const freshness_limits& aLimits,
-      time_point aNow);
+EvaluateFreshness(freshness_state& aState,
+                  const own_freshness& aOwn,
+                  const witness_summary& aWitnesses,
+                  const freshness_limits& aLimits,
+                  time_point aNow);
 
 /** True when keys may be accepted. */
 bool
 IsFreshEnough(freshness aFreshness);
 
-/** Word for logs and metrics. */
+/** Name used in logs and metrics. */
 const char*
 WordFor(freshness aFreshness);
 
--- a/Duties/Keys/KeyGate.cpp
+++ b/Duties/Keys/KeyGate.cpp
@@ -5,7 +5,7 @@
 namespace lavender::keys {
 namespace {
 
-constexpr milliseconds kJudgeEvery{ 200 };
+constexpr milliseconds kEvaluationInterval{ 200 };
 
 } // namespace
 
@@ -19,23 +19,25 @@
 {
   std::lock_guard lock(mMutex);
   const auto now = boot_clock::now();
-  if (mJudgedAt && now - *mJudgedAt < kJudgeEvery) {
-    return mLast;
+  if (mEvaluatedAt && now - *mEvaluatedAt < kEvaluationInterval) {
+    return mLastFreshness;
   }
-  const auto judged = Judge(
+  const auto evaluated = EvaluateFreshness(
     mState, mOptions.mOwn(), mOptions.mWitnesses(), mOptions.mLimits, now);
-  mJudgedAt = now;
-  if (judged != mLast) {
-    Log(IsFreshEnough(judged) ? log_level::Info : log_level::Warning,
+  mEvaluatedAt = now;
+  if (evaluated != mLastFreshness) {
+    Log(IsFreshEnough(evaluated) ? log_level::Info : log_level::Warning,
         "keys",
-        std::string("Configuration is ") + WordFor(judged));
+        std::string("Freshness of the configuration, which decides whether "
+                    "customer keys are accepted, is now: ") +
+          WordFor(evaluated));
     if (mOptions.mMetrics) {
       mOptions.mMetrics->Count("lavender_freshness_changes_total",
-                               { { "to", WordFor(judged) } });
+                               { { "to", WordFor(evaluated) } });
     }
-    mLast = judged;
+    mLastFreshness = evaluated;
   }
-  return judged;
+  return evaluated;
 }
 
 } // namespace lavender::keys
--- a/Duties/Keys/KeyGate.h
+++ b/Duties/Keys/KeyGate.h
@@ -13,27 +13,27 @@
   freshness_limits mLimits;
   std::function<own_freshness()> mOwn;
   std::function<witness_summary()> mWitnesses;
-  /** May be null. */
+  /** Optional; null disables the metrics. */
   metrics::registry* mMetrics = nullptr;
 };
 
-/** Keeps the judgement on freshness for a short time, since each request
- * asks for it and judging walks over all that is known. */
+/** Caches the result of the freshness evaluation for a short time, because each
+ * request needs it and an evaluation iterates over all known processes. */
 class key_gate
 {
 public:
   explicit key_gate(key_gate_options aOptions);
 
-  /** The judgement, at most a fifth of a second old. A process that was
-   * paused therefore judges anew before it accepts its next key. */
+  /** Returns a result that is at most 200 ms old. A process that was paused
+   * therefore evaluates again before it accepts its next key. */
   freshness Check();
 
 private:
   const key_gate_options mOptions;
   std::mutex mMutex;
   freshness_state mState;
-  freshness mLast = freshness::Joining;
-  std::optional<time_point> mJudgedAt;
+  freshness mLastFreshness = freshness::Joining;
+  std::optional<time_point> mEvaluatedAt;
 };
 
 } // namespace lavender::keys
--- a/Duties/Keys/TestFreshnessHistories.cpp
+++ b/Duties/Keys/TestFreshnessHistories.cpp
@@ -7,11 +7,11 @@
 #include <deque>
 #include <rapidcheck.h>
 
-// Story: an operator withdraws a key while some entries are cut off from the
-// platform, some from each other, some paused, restarted from an old disk, or
-// told old news by a lagging copy of the store. A caller goes on showing the
-// key at each entry. The cause of a failure is always the same: an entry takes
-// what it holds for the newest although somebody it can hear knows better.
+// Guards against accepting a withdrawn key. Entries are cut off from the
+// platform or from each other, paused, restarted from an outdated disk, or read
+// from a stale replica of the store, while a caller keeps using the key at each
+// entry. The failure occurs when an entry treats its copy as the newest
+// although a process that it can reach knows a later change.
 
 using namespace lavender;
 using namespace lavender::configuration;
@@ -22,22 +22,22 @@
 constexpr std::size_t kEntries = 3;
 constexpr std::size_t kAgents = 4;
 constexpr int kKeys = 4;
-/** Side of a partition that reaches both others. */
-constexpr int kOnBothSides = 2;
+/** Side of a network partition that can reach both other sides. */
+constexpr int kReachesBothSides = 2;
 constexpr milliseconds kTick = 500ms;
-/** The stated bound of 8 s. */
+/** 8 s, the guaranteed bound for a withdrawal to take effect. */
 constexpr int kBoundTicks = 16;
 
 struct model_store
 {
   platform::object_list mNow;
-  platform::object_list mOldCopy;
+  platform::object_list mStaleReplica;
   std::deque<platform::object_event> mEvents;
   std::int64_t mOldestKept = 1;
   bool mIsDown = false;
-  bool mAnswersOldCopy = false;
+  bool mReadsStaleReplica = false;
 
-  bool IsTrue() const { return !mIsDown && !mAnswersOldCopy; }
+  bool AnswersCurrentState() const { return !mIsDown && !mReadsStaleReplica; }
   void Put(const std::string& aKind,
            const std::string& aName,
            json::value aSpec)
@@ -69,7 +69,7 @@
   }
 };
 
-struct heard
+struct process_view
 {
   std::optional<time_point> mHeardAt;
   bool mIsAsked = false;
@@ -81,8 +81,9 @@
 {
   int mSide = 0;
   std::int64_t mChanged = 0;
-  /** The same before the tick, in which it may have been asked first. */
-  std::int64_t mChangedBefore = 0;
+  /** Value of mChanged before the current tick: an entry may poll the agent
+   * before others update it within the tick. */
+  std::int64_t mChangedBeforeTick = 0;
   time_point mFreshAt;
 };
 
@@ -90,51 +91,52 @@
 {
   int mSide = 0;
   bool mIsAlive = true;
-  bool mIsCut = false;
+  bool mIsCutOffFromStore = false;
   int mPausedTicks = 0;
   configuration_state mState;
-  keys::freshness_state mGate;
-  std::array<heard, kAgents> mAgents;
-  std::array<heard, kEntries> mPeers;
+  keys::freshness_state mFreshnessState;
+  std::array<process_view, kAgents> mAgents;
+  std::array<process_view, kEntries> mPeers;
   whole_copy mDisk;
-  keys::freshness mVerdict = keys::freshness::Joining;
+  keys::freshness mFreshness = keys::freshness::Joining;
   std::int64_t mHighestKnown = 0;
-  /** Last change held before the tick, in which it may have been asked first.
-   */
-  std::int64_t mChangedBefore = 0;
-  /** Consecutive ticks of what the oracle counts by. */
-  int mReachesStore = 0;
-  int mIsAlone = 0;
-  std::array<int, kEntries> mLinked{};
-  std::array<int, kAgents> mSinceAgent{};
-  std::array<int, kEntries> mSincePeer{};
-  std::array<int, kKeys> mKnowsWithdrawal{};
+  /** Last change held before the current tick: an entry may poll this one
+   * before it is updated within the tick. */
+  std::int64_t mChangedBeforeTick = 0;
+  /** Numbers of consecutive ticks, from which the checks derive what the entry
+   * must know. */
+  int mStoreReachableTicks = 0;
+  int mIsolatedTicks = 0;
+  std::array<int, kEntries> mLinkedTicks{};
+  std::array<int, kAgents> mTicksSinceAgent{};
+  std::array<int, kEntries> mTicksSincePeer{};
+  std::array<int, kKeys> mKnowsWithdrawalTicks{};
 
   bool IsRunning() const { return mIsAlive && mPausedTicks == 0; }
 };
 
-struct world
+struct simulation
 {
   time_point mNow{ 1000s };
   model_store mStore;
   std::array<model_entry, kEntries> mEntries;
   std::array<model_agent, kAgents> mAgents;
   bool mIsPartitioned = false;
-  /** No entry reaches another one, though each may reach agents. */
-  bool mArePeersCut = false;
+  /** Entries can't reach each other, but may reach agents. */
+  bool mArePeersDisconnected = false;
   std::array<int, kKeys> mTicksSinceWithdrawal{};
-  int mCalmTicks = 0;
+  int mHealthyTicks = 0;
   int mAccepted = 0;
   int mWithdrawalsChecked = 0;
 
   bool AreLinked(int aOne, int aOther) const
   {
-    return !mIsPartitioned || aOne == aOther || aOne == kOnBothSides ||
-           aOther == kOnBothSides;
+    return !mIsPartitioned || aOne == aOther || aOne == kReachesBothSides ||
+           aOther == kReachesBothSides;
   }
   bool ArePeersLinked(int aOne, int aOther) const
   {
-    return !mArePeersCut && AreLinked(aOne, aOther);
+    return !mArePeersDisconnected && AreLinked(aOne, aOther);
   }
 };
 
@@ -163,14 +165,14 @@
 }
 
 void
-Boot(model_entry& aEntry, bool aHasDisk)
+Restart(model_entry& aEntry, bool aHasDisk)
 {
   const auto disk = aEntry.mDisk;
   const int side = aEntry.mSide;
-  const bool isCut = aEntry.mIsCut;
+  const bool isCutOffFromStore = aEntry.mIsCutOffFromStore;
   aEntry = model_entry{};
   aEntry.mSide = side;
-  aEntry.mIsCut = isCut;
+  aEntry.mIsCutOffFromStore = isCutOffFromStore;
   if (aHasDisk && disk.mRevision > 0) {
     aEntry.mDisk = disk;
     auto copy = disk;
@@ -180,16 +182,17 @@
 }
 
 void
-AskStore(world& aWorld, model_entry& aEntry)
+QueryStore(simulation& aSimulation, model_entry& aEntry)
 {
-  auto& store = aWorld.mStore;
-  if (store.mIsDown || aEntry.mIsCut) {
+  auto& store = aSimulation.mStore;
+  if (store.mIsDown || aEntry.mIsCutOffFromStore) {
     return;
   }
-  const auto& list = store.mAnswersOldCopy ? store.mOldCopy : store.mNow;
+  const auto& list =
+    store.mReadsStaleReplica ? store.mStaleReplica : store.mNow;
   const auto from = aEntry.mState.mKnownUpTo;
   if (from == 0 || from < store.mOldestKept) {
-    TakeList(aEntry.mState, list, aWorld.mNow);
+    TakeList(aEntry.mState, list, aSimulation.mNow);
     return;
   }
   platform::watch_batch batch;
@@ -200,25 +203,26 @@
       batch.mEvents.push_back(event);
     }
   }
-  TakeBatch(aEntry.mState, batch, aWorld.mNow);
+  TakeBatch(aEntry.mState, batch, aSimulation.mNow);
 }
 
 void
-ExchangeWithPeers(world& aWorld, std::size_t aIndex)
+ExchangeWithPeers(simulation& aSimulation, std::size_t aIndex)
 {
-  auto& entry = aWorld.mEntries[aIndex];
+  auto& entry = aSimulation.mEntries[aIndex];
   for (std::size_t i = 0; i < kEntries; ++i) {
-    const auto& peer = aWorld.mEntries[i];
+    const auto& peer = aSimulation.mEntries[i];
     if (i == aIndex) {
       continue;
     }
     auto& view = entry.mPeers[i];
     view.mIsAsked = true;
-    if (!peer.IsRunning() || !aWorld.ArePeersLinked(entry.mSide, peer.mSide)) {
+    if (!peer.IsRunning() ||
+        !aSimulation.ArePeersLinked(entry.mSide, peer.mSide)) {
       continue;
     }
     const auto digest = DigestOf(peer.mState);
-    view.mHeardAt = aWorld.mNow;
+    view.mHeardAt = aSimulation.mNow;
     view.mChanged = digest.mChanged;
     view.mProvenAt = digest.mProvenAt;
     if (TakeDigest(entry.mState, digest) == take_outcome::NeedsCopy) {
@@ -228,20 +232,20 @@
 }
 
 void
-PollAgents(world& aWorld, model_entry& aEntry)
+PollAgents(simulation& aSimulation, model_entry& aEntry)
 {
   for (std::size_t i = 0; i < kAgents; ++i) {
-    auto& agent = aWorld.mAgents[i];
+    auto& agent = aSimulation.mAgents[i];
     auto& view = aEntry.mAgents[i];
     view.mIsAsked = true;
-    if (!aWorld.AreLinked(aEntry.mSide, agent.mSide)) {
+    if (!aSimulation.AreLinked(aEntry.mSide, agent.mSide)) {
       continue;
     }
     if (aEntry.mState.mChanged > 0 && aEntry.mState.mProvenAt) {
       agent.mFreshAt = std::max(agent.mFreshAt, *aEntry.mState.mProvenAt);
     }
     agent.mChanged = std::max(agent.mChanged, aEntry.mState.mChanged);
-    view.mHeardAt = aWorld.mNow;
+    view.mHeardAt = aSimulation.mNow;
     view.mChanged = agent.mChanged;
     view.mProvenAt = agent.mFreshAt;
   }
@@ -249,7 +253,7 @@
 
 template<typename Views>
 void
-AddUp(const Views& aViews, keys::witness_summary& aSummary, time_point aNow)
+AddViews(const Views& aViews, keys::witness_summary& aSummary, time_point aNow)
 {
   for (const auto& view : aViews) {
     aSummary.mAsked += view.mIsAsked ? 1 : 0;
@@ -263,144 +267,159 @@
   }
 }
 
-/** An entry that joins holds all that anybody it can hear knows. */
+/** Checks that an entry that joins holds every change that a process it can
+ * reach knew. */
 void
-CheckJoining(const world& aWorld, const model_entry& aEntry)
+CheckJoining(const simulation& aSimulation, const model_entry& aEntry)
 {
-  for (const auto& peer : aWorld.mEntries) {
-    if (peer.IsRunning() && aWorld.ArePeersLinked(aEntry.mSide, peer.mSide)) {
-      RC_ASSERT(aEntry.mState.mKnownUpTo >= peer.mChangedBefore);
+  for (const auto& peer : aSimulation.mEntries) {
+    if (peer.IsRunning() &&
+        aSimulation.ArePeersLinked(aEntry.mSide, peer.mSide)) {
+      RC_ASSERT(aEntry.mState.mKnownUpTo >= peer.mChangedBeforeTick);
     }
   }
-  for (const auto& agent : aWorld.mAgents) {
-    if (aWorld.AreLinked(aEntry.mSide, agent.mSide)) {
-      RC_ASSERT(aEntry.mState.mKnownUpTo >= agent.mChangedBefore);
+  for (const auto& agent : aSimulation.mAgents) {
+    if (aSimulation.AreLinked(aEntry.mSide, agent.mSide)) {
+      RC_ASSERT(aEntry.mState.mKnownUpTo >= agent.mChangedBeforeTick);
     }
   }
 }
 
 void
-JudgeEntry(world& aWorld, model_entry& aEntry)
+EvaluateEntry(simulation& aSimulation, model_entry& aEntry)
 {
-  const bool hadJoined = aEntry.mGate.mHasJoined;
+  const bool hadJoined = aEntry.mFreshnessState.mHasJoined;
   keys::witness_summary summary;
   summary.mKnown = kAgents + kEntries - 1;
-  AddUp(aEntry.mAgents, summary, aWorld.mNow);
-  AddUp(aEntry.mPeers, summary, aWorld.mNow);
-  aEntry.mVerdict =
-    keys::Judge(aEntry.mGate,
-                { aEntry.mState.mKnownUpTo, aEntry.mState.mProvenAt },
-                summary,
-                {},
-                aWorld.mNow);
-  if (!hadJoined && aEntry.mGate.mHasJoined) {
-    CheckJoining(aWorld, aEntry);
+  AddViews(aEntry.mAgents, summary, aSimulation.mNow);
+  AddViews(aEntry.mPeers, summary, aSimulation.mNow);
+  aEntry.mFreshness = keys::EvaluateFreshness(
+    aEntry.mFreshnessState,
+    { aEntry.mState.mKnownUpTo, aEntry.mState.mProvenAt },
+    summary,
+    {},
+    aSimulation.mNow);
+  if (!hadJoined && aEntry.mFreshnessState.mHasJoined) {
+    CheckJoining(aSimulation, aEntry);
   }
 }
 
-/** Both can tell each other something: directly, or through an agent. */
+/** True when two running entries can exchange revisions, directly or through an
+ * agent. */
 bool
-CanTell(const world& aWorld, const model_entry& aOne, const model_entry& aOther)
+CanTell(const simulation& aSimulation,
+        const model_entry& aOne,
+        const model_entry& aOther)
 {
-  const bool hasAgent = std::any_of(
-    aWorld.mAgents.begin(), aWorld.mAgents.end(), [&](const auto& aAgent) {
-      return aWorld.AreLinked(aOne.mSide, aAgent.mSide) &&
-             aWorld.AreLinked(aOther.mSide, aAgent.mSide);
-    });
+  const bool hasAgent =
+    std::any_of(aSimulation.mAgents.begin(),
+                aSimulation.mAgents.end(),
+                [&](const auto& aAgent) {
+                  return aSimulation.AreLinked(aOne.mSide, aAgent.mSide) &&
+                         aSimulation.AreLinked(aOther.mSide, aAgent.mSide);
+                });
   return aOne.IsRunning() && aOther.IsRunning() &&
-         (aWorld.ArePeersLinked(aOne.mSide, aOther.mSide) || hasAgent);
+         (aSimulation.ArePeersLinked(aOne.mSide, aOther.mSide) || hasAgent);
 }
 
-/** Fewer than half of the others could be heard at any time within the 4 s
- * for which a process counts as audible. */
+/** True when fewer than half of the other processes could be reached at any
+ * time within the last 4 s, for which a process counts as reachable. */
 bool
-HearsFew(const world& aWorld, model_entry& aEntry)
+ReachesFewerThanHalf(const simulation& aSimulation, model_entry& aEntry)
 {
   constexpr int kAudibleTicks = 8;
-  std::size_t heardOf = 0;
-  const auto count = [&](int& aTicksSince, bool aIsHeard) {
-    aTicksSince = aIsHeard ? 0 : aTicksSince + 1;
-    heardOf += aTicksSince <= kAudibleTicks ? 1 : 0;
+  std::size_t reachableCount = 0;
+  const auto count = [&](int& aTicksSince, bool aIsReachable) {
+    aTicksSince = aIsReachable ? 0 : aTicksSince + 1;
+    reachableCount += aTicksSince <= kAudibleTicks ? 1 : 0;
   };
   for (std::size_t i = 0; i < kAgents; ++i) {
-    count(aEntry.mSinceAgent[i],
-          aWorld.AreLinked(aEntry.mSide, aWorld.mAgents[i].mSide));
+    count(aEntry.mTicksSinceAgent[i],
+          aSimulation.AreLinked(aEntry.mSide, aSimulation.mAgents[i].mSide));
   }
   for (std::size_t i = 0; i < kEntries; ++i) {
-    const auto& peer = aWorld.mEntries[i];
+    const auto& peer = aSimulation.mEntries[i];
     if (&peer != &aEntry) {
-      count(aEntry.mSincePeer[i],
+      count(aEntry.mTicksSincePeer[i],
             peer.IsRunning() &&
-              aWorld.ArePeersLinked(aEntry.mSide, peer.mSide));
+              aSimulation.ArePeersLinked(aEntry.mSide, peer.mSide));
     }
   }
-  return heardOf * 2 < kAgents + kEntries - 1;
+  return reachableCount * 2 < kAgents + kEntries - 1;
 }
 
-/** Some entry alive holds the last change that any agent has heard of. After
- * its death, with the store down, refusing is right. */
+/** True when a running entry holds the latest change that any agent knows.
+ * Otherwise no process can provide that change while the store is down, and
+ * refusing keys is correct. */
 bool
-IsLastChangeHeld(const world& aWorld)
+IsLastChangeHeld(const simulation& aSimulation)
 {
   std::int64_t held = 0;
-  for (const auto& entry : aWorld.mEntries) {
+  for (const auto& entry : aSimulation.mEntries) {
     held = std::max(held, entry.IsRunning() ? entry.mState.mKnownUpTo : 0);
   }
-  return held > 0 && std::all_of(aWorld.mAgents.begin(),
-                                 aWorld.mAgents.end(),
+  return held > 0 && std::all_of(aSimulation.mAgents.begin(),
+                                 aSimulation.mAgents.end(),
                                  [held](const auto& aAgent) {
                                    return aAgent.mChanged <= held;
                                  });
 }
 
 void
-CountTicks(world& aWorld)
+CountTicks(simulation& aSimulation)
 {
-  for (auto& entry : aWorld.mEntries) {
-    const bool reaches =
-      entry.IsRunning() && !entry.mIsCut && aWorld.mStore.IsTrue();
-    entry.mReachesStore = reaches ? entry.mReachesStore + 1 : 0;
-  }
-  bool isCalm = IsLastChangeHeld(aWorld) && !aWorld.mIsPartitioned &&
-                !aWorld.mArePeersCut && !aWorld.mStore.mAnswersOldCopy;
-  for (auto& entry : aWorld.mEntries) {
-    isCalm = isCalm && entry.IsRunning();
-    bool hasRelay = entry.mReachesStore > 0;
+  for (auto& entry : aSimulation.mEntries) {
+    const bool reaches = entry.IsRunning() && !entry.mIsCutOffFromStore &&
+                         aSimulation.mStore.AnswersCurrentState();
+    entry.mStoreReachableTicks = reaches ? entry.mStoreReachableTicks + 1 : 0;
+  }
+  bool isHealthy = IsLastChangeHeld(aSimulation) &&
+                   !aSimulation.mIsPartitioned &&
+                   !aSimulation.mArePeersDisconnected &&
+                   !aSimulation.mStore.mReadsStaleReplica;
+  for (auto& entry : aSimulation.mEntries) {
+    isHealthy = isHealthy && entry.IsRunning();
+    bool hasRelay = entry.mStoreReachableTicks > 0;
     for (std::size_t i = 0; i < kEntries; ++i) {
-      const auto& other = aWorld.mEntries[i];
-      const bool canTell = CanTell(aWorld, entry, other);
-      entry.mLinked[i] = canTell ? entry.mLinked[i] + 1 : 0;
-      hasRelay = hasRelay || (canTell && other.mReachesStore > 0);
+      const auto& other = aSimulation.mEntries[i];
+      const bool canTell = CanTell(aSimulation, entry, other);
+      entry.mLinkedTicks[i] = canTell ? entry.mLinkedTicks[i] + 1 : 0;
+      hasRelay = hasRelay || (canTell && other.mStoreReachableTicks > 0);
     }
-    const bool hearsFew = HearsFew(aWorld, entry);
-    const bool isAlone = entry.IsRunning() && !hasRelay && hearsFew &&
-                         !aWorld.mStore.mAnswersOldCopy;
-    entry.mIsAlone = isAlone ? entry.mIsAlone + 1 : 0;
+    const bool reachesFewerThanHalf = ReachesFewerThanHalf(aSimulation, entry);
+    const bool isIsolated = entry.IsRunning() && !hasRelay &&
+                            reachesFewerThanHalf &&
+                            !aSimulation.mStore.mReadsStaleReplica;
+    entry.mIsolatedTicks = isIsolated ? entry.mIsolatedTicks + 1 : 0;
     for (int key = 0; key < kKeys; ++key) {
-      auto& ticks = entry.mKnowsWithdrawal[static_cast<std::size_t>(key)];
+      auto& ticks = entry.mKnowsWithdrawalTicks[static_cast<std::size_t>(key)];
       const bool knows = entry.IsRunning() && entry.mState.mKnownUpTo > 0 &&
                          !KnowsKeyAsGood(entry, key);
       ticks = knows ? ticks + 1 : 0;
     }
   }
-  aWorld.mCalmTicks = isCalm ? aWorld.mCalmTicks + 1 : 0;
+  aSimulation.mHealthyTicks = isHealthy ? aSimulation.mHealthyTicks + 1 : 0;
 }
 
-/** Somebody could have told the entry for the whole bound. */
+/** True when the entry had a source for the withdrawal throughout the bound, or
+ * was isolated throughout it and must refuse keys. */
 bool
-OughtToKnow(const world& aWorld, const model_entry& aEntry, std::size_t aKey)
+MustKnowWithdrawal(const simulation& aSimulation,
+                   const model_entry& aEntry,
+                   std::size_t aKey)
 {
-  if (aWorld.mTicksSinceWithdrawal[aKey] <= kBoundTicks) {
+  if (aSimulation.mTicksSinceWithdrawal[aKey] <= kBoundTicks) {
     return false;
   }
-  if (aEntry.mReachesStore > kBoundTicks || aEntry.mIsAlone > kBoundTicks) {
+  if (aEntry.mStoreReachableTicks > kBoundTicks ||
+      aEntry.mIsolatedTicks > kBoundTicks) {
     return true;
   }
   for (std::size_t i = 0; i < kEntries; ++i) {
-    const auto& other = aWorld.mEntries[i];
-    const bool knows = other.mReachesStore > kBoundTicks ||
-                       other.mKnowsWithdrawal[aKey] > kBoundTicks;
-    if (&other != &aEntry && aEntry.mLinked[i] > kBoundTicks && knows) {
+    const auto& other = aSimulation.mEntries[i];
+    const bool knows = other.mStoreReachableTicks > kBoundTicks ||
+                       other.mKnowsWithdrawalTicks[aKey] > kBoundTicks;
+    if (&other != &aEntry && aEntry.mLinkedTicks[i] > kBoundTicks && knows) {
       return true;
     }
   }
@@ -408,101 +427,104 @@
 }
 
 void
-CheckEntry(world& aWorld, model_entry& aEntry)
+CheckEntry(simulation& aSimulation, model_entry& aEntry)
 {
   RC_ASSERT(aEntry.mState.mKnownUpTo >= aEntry.mHighestKnown);
   RC_ASSERT(aEntry.mState.mSnapshot->mRevision <= aEntry.mState.mKnownUpTo);
   aEntry.mHighestKnown = aEntry.mState.mKnownUpTo;
-  if (!aEntry.IsRunning() || !keys::IsFreshEnough(aEntry.mVerdict)) {
+  if (!aEntry.IsRunning() || !keys::IsFreshEnough(aEntry.mFreshness)) {
     return;
   }
-  ++aWorld.mAccepted;
+  ++aSimulation.mAccepted;
   for (std::size_t key = 0; key < kKeys; ++key) {
-    if (OughtToKnow(aWorld, aEntry, key)) {
-      ++aWorld.mWithdrawalsChecked;
+    if (MustKnowWithdrawal(aSimulation, aEntry, key)) {
+      ++aSimulation.mWithdrawalsChecked;
       RC_ASSERT(!KnowsKeyAsGood(aEntry, static_cast<int>(key)));
     }
   }
 }
 
-/** With every process alive and linked, valid keys must work, with the store
- * up, cut from some, or down for all. */
+/** Checks that valid keys are accepted while every process runs and is
+ * connected, whether the store answers all entries, some, or none. */
 void
-CheckAvailability(const world& aWorld)
+CheckAvailability(const simulation& aSimulation)
 {
-  if (aWorld.mCalmTicks <= kBoundTicks) {
+  if (aSimulation.mHealthyTicks <= kBoundTicks) {
     return;
   }
-  for (const auto& entry : aWorld.mEntries) {
-    RC_ASSERT(keys::IsFreshEnough(entry.mVerdict));
-    RC_ASSERT(entry.mState.mKnownUpTo >= aWorld.mEntries[0].mState.mChanged);
+  for (const auto& entry : aSimulation.mEntries) {
+    RC_ASSERT(keys::IsFreshEnough(entry.mFreshness));
+    RC_ASSERT(entry.mState.mKnownUpTo >=
+              aSimulation.mEntries[0].mState.mChanged);
   }
 }
 
 void
-RunTick(world& aWorld)
+RunTick(simulation& aSimulation)
 {
-  aWorld.mNow += kTick;
-  for (auto& entry : aWorld.mEntries) {
-    entry.mChangedBefore = entry.mState.mChanged;
+  aSimulation.mNow += kTick;
+  for (auto& entry : aSimulation.mEntries) {
+    entry.mChangedBeforeTick = entry.mState.mChanged;
   }
-  for (auto& agent : aWorld.mAgents) {
-    agent.mChangedBefore = agent.mChanged;
+  for (auto& agent : aSimulation.mAgents) {
+    agent.mChangedBeforeTick = agent.mChanged;
   }
   for (std::size_t i = 0; i < kEntries; ++i) {
-    auto& entry = aWorld.mEntries[i];
+    auto& entry = aSimulation.mEntries[i];
     if (!entry.IsRunning()) {
       entry.mPausedTicks = std::max(entry.mPausedTicks - 1, 0);
       continue;
     }
-    AskStore(aWorld, entry);
-    ExchangeWithPeers(aWorld, i);
-    PollAgents(aWorld, entry);
+    QueryStore(aSimulation, entry);
+    ExchangeWithPeers(aSimulation, i);
+    PollAgents(aSimulation, entry);
     if (entry.mState.mChanged > entry.mDisk.mChanged) {
       entry.mDisk = CopyOf(entry.mState);
     }
   }
-  for (auto& entry : aWorld.mEntries) {
+  for (auto& entry : aSimulation.mEntries) {
     if (entry.IsRunning()) {
-      JudgeEntry(aWorld, entry);
+      EvaluateEntry(aSimulation, entry);
     }
   }
   for (int key = 0; key < kKeys; ++key) {
-    auto& ticks = aWorld.mTicksSinceWithdrawal[static_cast<std::size_t>(key)];
+    auto& ticks =
+      aSimulation.mTicksSinceWithdrawal[static_cast<std::size_t>(key)];
     ticks += ticks > 0 ? 1 : 0;
   }
-  CountTicks(aWorld);
-  for (auto& entry : aWorld.mEntries) {
-    CheckEntry(aWorld, entry);
+  CountTicks(aSimulation);
+  for (auto& entry : aSimulation.mEntries) {
+    CheckEntry(aSimulation, entry);
   }
-  CheckAvailability(aWorld);
+  CheckAvailability(aSimulation);
 }
 
 void
-Withdraw(world& aWorld, int aKey, bool aIsDeletion)
+Withdraw(simulation& aSimulation, int aKey, bool aIsDeletion)
 {
-  auto& ticks = aWorld.mTicksSinceWithdrawal[static_cast<std::size_t>(aKey)];
-  if (ticks > 0 || aWorld.mStore.mIsDown) {
+  auto& ticks =
+    aSimulation.mTicksSinceWithdrawal[static_cast<std::size_t>(aKey)];
+  if (ticks > 0 || aSimulation.mStore.mIsDown) {
     return;
   }
   ticks = 1;
   if (aIsDeletion) {
-    aWorld.mStore.Delete("Key", KeyName(aKey));
+    aSimulation.mStore.Delete("Key", KeyName(aKey));
   } else {
-    aWorld.mStore.Put("Key", KeyName(aKey), KeySpec(aKey, true));
+    aSimulation.mStore.Put("Key", KeyName(aKey), KeySpec(aKey, true));
   }
 }
 
 void
-Act(world& aWorld, unsigned aNumber)
+ApplyAction(simulation& aSimulation, unsigned aNumber)
 {
-  auto& entry = aWorld.mEntries[aNumber / 16 % kEntries];
+  auto& entry = aSimulation.mEntries[aNumber / 16 % kEntries];
   const int detail = static_cast<int>(aNumber / 64 % 16);
-  auto& store = aWorld.mStore;
+  auto& store = aSimulation.mStore;
   switch (aNumber % 16) {
     case 0:
     case 1:
-      Withdraw(aWorld, detail % kKeys, detail >= 8);
+      Withdraw(aSimulation, detail % kKeys, detail >= 8);
       break;
     case 2:
       if (!store.mIsDown) {
@@ -513,16 +535,16 @@
       store.mIsDown = !store.mIsDown;
       break;
     case 4:
-      entry.mIsCut = !entry.mIsCut;
+      entry.mIsCutOffFromStore = !entry.mIsCutOffFromStore;
       break;
     case 5:
-      aWorld.mIsPartitioned = !aWorld.mIsPartitioned;
+      aSimulation.mIsPartitioned = !aSimulation.mIsPartitioned;
       break;
     case 6:
       entry.mSide = detail % 2;
       break;
     case 7:
-      aWorld.mAgents[static_cast<std::size_t>(detail) % kAgents].mSide =
+      aSimulation.mAgents[static_cast<std::size_t>(detail) % kAgents].mSide =
         detail / 4 % 3;
       break;
     case 8:
@@ -530,12 +552,12 @@
       break;
     case 9:
     case 10:
-      Boot(entry, detail % 2 == 0);
+      Restart(entry, detail % 2 == 0);
       break;
     case 11:
       entry.mIsAlive = !entry.mIsAlive;
       if (entry.mIsAlive) {
-        Boot(entry, detail % 2 == 0);
+        Restart(entry, detail % 2 == 0);
       }
       break;
     case 12:
@@ -543,30 +565,30 @@
       store.mOldestKept = store.mNow.mRevision;
       break;
     case 13:
-      store.mAnswersOldCopy = !store.mAnswersOldCopy;
-      if (store.mAnswersOldCopy && detail % 2 == 0) {
-        store.mOldCopy = store.mNow;
+      store.mReadsStaleReplica = !store.mReadsStaleReplica;
+      if (store.mReadsStaleReplica && detail % 2 == 0) {
+        store.mStaleReplica = store.mNow;
       }
       break;
     case 14:
-      aWorld.mArePeersCut = !aWorld.mArePeersCut;
+      aSimulation.mArePeersDisconnected = !aSimulation.mArePeersDisconnected;
       break;
     default:
       break;
   }
   for (int i = 0; i < 1 + detail; ++i) {
-    RunTick(aWorld);
+    RunTick(aSimulation);
   }
 }
 
 void
-Prepare(world& aWorld)
+SetUp(simulation& aSimulation)
 {
-  aWorld.mStore.Put("Customer", "brf", json::object{});
+  aSimulation.mStore.Put("Customer", "brf", json::object{});
   for (int key = 0; key < kKeys; ++key) {
-    aWorld.mStore.Put("Key", KeyName(key), KeySpec(key, false));
+    aSimulation.mStore.Put("Key", KeyName(key), KeySpec(key, false));
   }
-  aWorld.mStore.mOldCopy = aWorld.mStore.mNow;
+  aSimulation.mStore.mStaleReplica = aSimulation.mStore.mNow;
 }
 
 } // namespace
@@ -578,18 +600,18 @@
   long accepted = 0;
   long checked = 0;
   BOOST_TEST(
-    rc::check("a withdrawn key stops within the bound at whoever could be told",
+    rc::check("an entry that can learn of a withdrawal refuses the key in time",
               [&](const std::vector<unsigned short>& aNumbers) {
-                world world;
-                Prepare(world);
-                RunTick(world);
+                simulation simulation;
+                SetUp(simulation);
+                RunTick(simulation);
                 for (const auto number : aNumbers) {
-                  Act(world, number);
+                  ApplyAction(simulation, number);
                 }
-                accepted += world.mAccepted;
-                checked += world.mWithdrawalsChecked;
+                accepted += simulation.mAccepted;
+                checked += simulation.mWithdrawalsChecked;
               }));
-  // The histories must really have met what they are about.
+  // The generated histories must have exercised both cases.
   BOOST_TEST(accepted > 10000);
   BOOST_TEST(checked > 1000);
   BOOST_TEST_MESSAGE("accepted=" << accepted << " checked=" << checked);
