--- a/Duties/Membership/DirectoryState.cpp
+++ b/Duties/Membership/DirectoryState.cpp
@@ -6,19 +6,20 @@
 namespace {
 
 void
-TakeListed(server_view& aView,
-           const platform::instance& aInstance,
-           const connection_maker& aMakeConnections)
+ApplyInstance(server_view& aView,
+              const platform::instance& aInstance,
+              const connection_maker& aMakeConnections)
 {
   const bool isMoved = http::FormatEndpoint(aView.mInstance.mEndpoint) !=
                        http::FormatEndpoint(aInstance.mEndpoint);
   aView.mInstance = aInstance;
-  aView.mGoneSince.reset();
+  aView.mUnlistedSince.reset();
   if (isMoved || !aView.mConnections) {
-    // Another process answers there: nothing known of the old one holds.
+    // The instance has a new address, so a new process runs there and the state
+    // of the old one is invalid.
     aView.mConnections = aMakeConnections(aInstance.mEndpoint);
     aView.mHeardAt.reset();
-    aView.mFailedAt.reset();
+    aView.mLastFailedPollAt.reset();
     aView.mReportedAt = {};
     aView.mIncarnation.clear();
     aView.mIsLeaving = false;
@@ -27,22 +28,22 @@
 }
 
 bool
-IsToBeForgotten(const server_view& aView,
+MustBeForgotten(const server_view& aView,
                 const directory_limits& aLimits,
                 time_point aNow)
 {
-  const auto gone = aNow - *aView.mGoneSince;
-  if (gone >= aLimits.mForgetAfter) {
+  const auto unlistedFor = aNow - *aView.mUnlistedSince;
+  if (unlistedFor >= aLimits.mForgetAfter) {
     return true;
   }
-  return gone >= aLimits.mForgetSilentAfter &&
-         JudgeHeartbeat({ aView.mHeardAt, aView.mFailedAt },
-                        aLimits.mHeartbeat,
-                        aNow) != liveness::Live;
+  return unlistedFor >= aLimits.mForgetUnresponsiveAfter &&
+         EvaluateHeartbeat({ aView.mHeardAt, aView.mLastFailedPollAt },
+                           aLimits.mHeartbeat,
+                           aNow) != liveness::Live;
 }
 
-/** Draining never ends within one incarnation. Answers may overtake each
- * other, so an older one must not make the agent look open again. */
+/** An incarnation that drains never stops draining. Answers may arrive out of
+ * order, so an older answer must not reset the flag. */
 bool
 IsLeavingNow(const server_view& aView,
              const std::string& aIncarnation,
@@ -59,11 +60,11 @@
         const heartbeat_limits& aLimits,
         time_point aNow)
 {
-  const auto live =
-    JudgeHeartbeat({ aView.mHeardAt, aView.mFailedAt }, aLimits, aNow);
+  const auto live = EvaluateHeartbeat(
+    { aView.mHeardAt, aView.mLastFailedPollAt }, aLimits, aNow);
   if (live != liveness::Live) {
     return live == liveness::Unknown ? server_state::Unknown
-                                     : server_state::Silent;
+                                     : server_state::Unresponsive;
   }
   if (aView.mIsLeaving || aView.mInstance.mIsLeaving) {
     return server_state::Leaving;
@@ -80,7 +81,7 @@
       return "live";
     case server_state::Leaving:
       return "leaving";
-    case server_state::Silent:
+    case server_state::Unresponsive:
       return "silent";
     case server_state::ServerDown:
       return "server_down";
@@ -105,16 +106,17 @@
       aState.mEntries.push_back(instance);
     } else {
       listed.insert(instance.mName);
-      TakeListed(aState.mServers[instance.mName], instance, aMakeConnections);
+      ApplyInstance(
+        aState.mServers[instance.mName], instance, aMakeConnections);
     }
   }
   std::vector<std::string> names;
   for (auto item = aState.mServers.begin(); item != aState.mServers.end();) {
     auto& view = item->second;
-    if (listed.count(item->first) == 0 && !view.mGoneSince) {
-      view.mGoneSince = aNow;
+    if (listed.count(item->first) == 0 && !view.mUnlistedSince) {
+      view.mUnlistedSince = aNow;
     }
-    if (view.mGoneSince && IsToBeForgotten(view, aLimits, aNow)) {
+    if (view.mUnlistedSince && MustBeForgotten(view, aLimits, aNow)) {
       item = aState.mServers.erase(item);
     } else {
       names.push_back(item->first);
@@ -124,7 +126,7 @@
   return names;
 }
 
-report_outcome
+apply_report_outcome
 TakeReport(directory_state& aState,
            const std::string& aName,
            const wire::agent_report& aReport,
@@ -136,15 +138,17 @@
   if (found == aState.mServers.end() ||
       found->second.mConnections != aConnections ||
       aAskedAt < found->second.mReportedAt) {
-    // A report that was overtaken may be a predecessor's at this address.
-    return report_outcome::Outdated;
+    // A report that arrives out of order may come from a previous process at
+    // this address.
+    return apply_report_outcome::Outdated;
   }
   auto& view = found->second;
   if (aReport.server_name != aName) {
-    // Work for this instance's pool must not go to whoever answers there now.
-    view.mFailedAt = aAskedAt;
+    // Requests for this instance's pool must not be sent to the other instance
+    // that now uses its address.
+    view.mLastFailedPollAt = aAskedAt;
     view.mHeardAt.reset();
-    return report_outcome::OtherInstance;
+    return apply_report_outcome::OtherInstance;
   }
   view.mIsLeaving =
     IsLeavingNow(view, aReport.agent_incarnation, aReport.draining);
@@ -154,22 +158,22 @@
   view.mIsServerReachable = aReport.server_reachable;
   view.mModel = aReport.model;
   view.mWeightVersion = aReport.weight_version;
-  view.mWitnessedRevision = aReport.witnessed_revision;
-  view.mWitnessedFreshAge = milliseconds(aReport.witnessed_fresh_age_ms);
+  view.mReportedRevision = aReport.witnessed_revision;
+  view.mReportedFreshAge = milliseconds(aReport.witnessed_fresh_age_ms);
   view.mAgentClock = milliseconds(aReport.clock_ms);
   view.mReportedAt = aAskedAt;
   view.mHeardAt = aNow;
-  return report_outcome::Taken;
+  return apply_report_outcome::Applied;
 }
 
 void
-TakeSilence(directory_state& aState,
-            const std::string& aName,
-            time_point aAskedAt)
+ApplyPollFailure(directory_state& aState,
+                 const std::string& aName,
+                 time_point aAskedAt)
 {
   if (const auto found = aState.mServers.find(aName);
       found != aState.mServers.end()) {
-    found->second.mFailedAt = aAskedAt;
+    found->second.mLastFailedPollAt = aAskedAt;
   }
 }
 
@@ -184,8 +188,9 @@
   }
   auto& view = found->second;
   if (view.mIncarnation != aReply.agent_incarnation) {
-    // A restarted process, or a late word of its predecessor. Which of them
-    // serves now, and whether it drains, is for the next report to tell.
+    // The response comes from a restarted agent, or is a late one from its
+    // predecessor. The next report shows which incarnation runs now and whether
+    // it drains.
     view.mHeardAt.reset();
     return;
   }
--- a/Duties/Membership/DirectoryState.h
+++ b/Duties/Membership/DirectoryState.h
@@ -12,37 +12,41 @@
 #include <string>
 #include <vector>
 
-/** Which backend servers exist, and what is known of each. */
+/** Membership of the fleet: the backend servers and entries that exist, and
+ * the last known state of each server. */
 namespace lavender::membership {
 
 using agent_pool = wire::connection_pool<wire::agent_serviceClient>;
 
-/** What an entry knows of one backend server. */
+/** What an entry knows about one backend server. */
 struct server_view
 {
   platform::instance mInstance;
-  /** Of the agent that answered last; empty before the first answer. */
+  /** Incarnation of the agent that answered last; empty before the first
+   * answer. */
   std::string mIncarnation;
   wire::load_figures mLoad;
-  /** Customers with requests on the server, over all entries. */
+  /** Load of each customer with requests on the server, summed over all
+   * entries. */
   std::vector<wire::customer_load> mCustomers;
-  /** The agent said so, or the platform's list does. */
+  /** True when the agent reports that it drains, or the platform's list marks
+   * the instance as leaving. */
   bool mIsLeaving = false;
   bool mIsServerReachable = false;
   std::string mModel;
   std::int64_t mWeightVersion = 0;
-  std::int64_t mWitnessedRevision = 0;
-  milliseconds mWitnessedFreshAge{ 0 };
+  std::int64_t mReportedRevision = 0;
+  milliseconds mReportedFreshAge{ 0 };
   std::optional<time_point> mHeardAt;
   /** Start of the last poll that got no answer. */
-  std::optional<time_point> mFailedAt;
-  /** When the last answered poll left: its report is no older. */
+  std::optional<time_point> mLastFailedPollAt;
+  /** When the last answered poll was sent; its report is at least as recent. */
   time_point mReportedAt;
-  /** The agent's clock when the entry heard from it at mHeardAt. */
+  /** The agent's clock reading in the report that arrived at mHeardAt. */
   milliseconds mAgentClock{ 0 };
-  /** Last list that didn't name the instance any more, from its first on. */
-  std::optional<time_point> mGoneSince;
-  /** Requests that this entry sent and has no answer to. */
+  /** Time of the first list without the instance; none while it is listed. */
+  std::optional<time_point> mUnlistedSince;
+  /** Requests that this entry sent and that are still unanswered. */
   int mOwnInFlight = 0;
   std::shared_ptr<agent_pool> mConnections;
 };
@@ -51,31 +55,32 @@
 {
   std::map<std::string, server_view> mServers;
   std::vector<platform::instance> mEntries;
-  /** None before the first list. */
+  /** Time of the last list; none before the first one. */
   std::optional<time_point> mListedAt;
 };
 
 struct directory_limits
 {
   heartbeat_limits mHeartbeat;
-  /** An instance that is gone from the list is forgotten after this when it
-   * is silent too: the list may be wrong for a moment. */
-  milliseconds mForgetSilentAfter{ 5000 };
-  /** The same for one that goes on answering. */
+  /** Time after which an unlisted instance that doesn't answer is forgotten.
+   * Instances aren't forgotten at once because the list may be temporarily
+   * wrong. */
+  milliseconds mForgetUnresponsiveAfter{ 5000 };
+  /** Time after which an unlisted instance that still answers is forgotten. */
   milliseconds mForgetAfter{ 60000 };
 };
 
 enum class server_state
 {
-  /** Takes new work. */
+  /** Accepts new requests. */
   Live,
-  /** Gets no new work; what it has goes on. */
+  /** Receives no new requests; those in progress are completed. */
   Leaving,
-  /** Its agent gave no answer for too long. */
-  Silent,
-  /** Its agent answers, the server behind doesn't. */
+  /** Its agent hasn't answered within the heartbeat limits. */
+  Unresponsive,
+  /** Its agent answers but can't reach the backend server. */
   ServerDown,
-  /** Not heard yet. */
+  /** Its agent hasn't answered yet. */
   Unknown
 };
 
@@ -84,16 +89,16 @@
         const heartbeat_limits& aLimits,
         time_point aNow);
 
-/** Word for logs, metrics and status. */
+/** Name used in logs, metrics and resource status. */
 const char*
 WordFor(server_state aState);
 
 using connection_maker =
   std::function<std::shared_ptr<agent_pool>(const http::endpoint&)>;
 
-/** Takes the platform's list, which lags, and forgets instances that have
- * been gone for long.
- * @return names of the servers that are known now */
+/** Applies the platform's instance list, which may lag behind, and forgets
+ * instances that have been unlisted for too long.
+ * @return names of all servers that are known now */
 std::vector<std::string>
 TakeList(directory_state& aState,
          const std::vector<platform::instance>& aList,
@@ -101,19 +106,20 @@
          const connection_maker& aMakeConnections,
          time_point aNow);
 
-enum class report_outcome
+enum class apply_report_outcome
 {
-  Taken,
-  /** The instance moved or was forgotten while it was asked. */
+  Applied,
+  /** The instance changed its address or was forgotten during the poll, or a
+   * later poll was answered first. */
   Outdated,
-  /** Another instance has been given the address. */
+  /** The address now belongs to another instance. */
   OtherInstance
 };
 
-/** Takes an agent's report.
- * @param aConnections that the report came on
- * @param aAskedAt when the poll left */
-report_outcome
+/** Applies an agent's report.
+ * @param aConnections pool that the report was received on
+ * @param aAskedAt when the poll was sent */
+apply_report_outcome
 TakeReport(directory_state& aState,
            const std::string& aName,
            const wire::agent_report& aReport,
@@ -121,13 +127,15 @@
            time_point aAskedAt,
            time_point aNow);
 
-/** Notes that a poll got no answer. */
+/** Records that a poll got no answer.
+ * @param aAskedAt when the poll was sent */
 void
-TakeSilence(directory_state& aState,
-            const std::string& aName,
-            time_point aAskedAt);
+ApplyPollFailure(directory_state& aState,
+                 const std::string& aName,
+                 time_point aAskedAt);
 
-/** Takes what any reply told of its agent. */
+/** Updates the server's state from the agent's incarnation and draining flag in
+ * the response to a request. */
 void
 TakeReply(directory_state& aState,
           const std::string& aName,
--- a/Duties/Membership/Heartbeat.cpp
+++ b/Duties/Membership/Heartbeat.cpp
@@ -3,18 +3,19 @@
 namespace lavender::membership {
 
 liveness
-JudgeHeartbeat(const heartbeat& aHeartbeat,
-               const heartbeat_limits& aLimits,
-               time_point aNow)
+EvaluateHeartbeat(const heartbeat& aHeartbeat,
+                  const heartbeat_limits& aLimits,
+                  time_point aNow)
 {
   if (!aHeartbeat.mHeardAt) {
     return liveness::Unknown;
   }
   const auto silence = aNow - *aHeartbeat.mHeardAt;
-  const bool hasFailed =
-    aHeartbeat.mFailedAt && *aHeartbeat.mFailedAt >= *aHeartbeat.mHeardAt;
-  const auto limit = hasFailed ? aLimits.mSilence : aLimits.mLongSilence;
-  return silence <= limit ? liveness::Live : liveness::Silent;
+  const bool hasFailed = aHeartbeat.mLastFailedPollAt &&
+                         *aHeartbeat.mLastFailedPollAt >= *aHeartbeat.mHeardAt;
+  const auto limit =
+    hasFailed ? aLimits.mTimeoutAfterFailedPoll : aLimits.mTimeout;
+  return silence <= limit ? liveness::Live : liveness::Unresponsive;
 }
 
 } // namespace lavender::membership
--- a/Duties/Membership/Heartbeat.h
+++ b/Duties/Membership/Heartbeat.h
@@ -6,35 +6,38 @@
 
 namespace lavender::membership {
 
-/** When an agent was heard, and when it failed to answer. */
+/** When an agent last answered, and when it last failed to. */
 struct heartbeat
 {
   std::optional<time_point> mHeardAt;
   /** Start of the last poll that got no answer. */
-  std::optional<time_point> mFailedAt;
+  std::optional<time_point> mLastFailedPollAt;
 };
 
 struct heartbeat_limits
 {
-  /** Silence after which an agent that failed a poll counts as dead. */
-  milliseconds mSilence{ 2500 };
-  /** Silence after which it counts as dead in any case. */
-  milliseconds mLongSilence{ 10000 };
+  /** Time without an answer after which an agent counts as dead when a poll
+   * has failed since its last answer. */
+  milliseconds mTimeoutAfterFailedPoll{ 2500 };
+  /** Time without an answer after which an agent counts as dead even when no
+   * poll has failed. */
+  milliseconds mTimeout{ 10000 };
 };
 
 enum class liveness
 {
-  /** Never heard yet. */
+  /** The agent has never answered. */
   Unknown,
   Live,
-  Silent
+  Unresponsive
 };
 
-/** Judges silence by evidence: an agent that this process was too busy to
- * poll is not dead, one that was asked and gave no answer is. */
+/** Evaluates whether an agent is alive. The short limit applies only after a
+ * failed poll, so that an agent which this process was too busy to poll isn't
+ * considered dead. */
 liveness
-JudgeHeartbeat(const heartbeat& aHeartbeat,
-               const heartbeat_limits& aLimits,
-               time_point aNow);
+EvaluateHeartbeat(const heartbeat& aHeartbeat,
+                  const heartbeat_limits& aLimits,
+                  time_point aNow);
 
 } // namespace lavender::membership
--- a/Duties/Membership/PollPool.cpp
+++ b/Duties/Membership/PollPool.cpp
@@ -9,16 +9,16 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kRingCapacity = 2048;
-/** How exactly a poll is due. */
-constexpr milliseconds kTick = 20ms;
+/** Resolution of the poll schedule. */
+constexpr milliseconds kScheduleResolution = 20ms;
 constexpr milliseconds kPopWait = 1000ms;
 
 } // namespace
 
 poll_pool::poll_pool(poll_options aOptions)
   : mOptions(std::move(aOptions))
-  , mAnswering(kRingCapacity)
-  , mSilent(kRingCapacity)
+  , mResponsiveQueue(kRingCapacity)
+  , mUnresponsiveQueue(kRingCapacity)
 {
 }
 
@@ -32,10 +32,10 @@
 {
   mThreads.emplace_back([this] { Schedule(); });
   for (std::size_t i = 0; i < mOptions.mThreads; ++i) {
-    mThreads.emplace_back([this] { Work(mAnswering); });
+    mThreads.emplace_back([this] { RunWorker(mResponsiveQueue); });
   }
-  for (std::size_t i = 0; i < mOptions.mThreadsForSilent; ++i) {
-    mThreads.emplace_back([this] { Work(mSilent); });
+  for (std::size_t i = 0; i < mOptions.mThreadsForUnresponsive; ++i) {
+    mThreads.emplace_back([this] { RunWorker(mUnresponsiveQueue); });
   }
 }
 
@@ -47,8 +47,8 @@
     mIsStopping = true;
   }
   mChanged.notify_all();
-  mAnswering.Close();
-  mSilent.Close();
+  mResponsiveQueue.Close();
+  mUnresponsiveQueue.Close();
   for (auto& thread : mThreads) {
     if (thread.joinable()) {
       thread.join();
@@ -76,7 +76,7 @@
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
     PushDue(boot_clock::now());
-    mChanged.wait_for(lock, kTick);
+    mChanged.wait_for(lock, kScheduleResolution);
   }
 }
 
@@ -84,10 +84,12 @@
 poll_pool::PushDue(time_point aNow)
 {
   for (auto& [name, target] : mTargets) {
-    if (target.mPhase == phase::Queued || target.mDue > aNow) {
+    if (target.mPhase == phase::Queued || target.mDueAt > aNow) {
       continue;
     }
-    auto& ring = target.mLast == poll_outcome::Silent ? mSilent : mAnswering;
+    auto& ring = target.mLastOutcome == poll_outcome::Unresponsive
+                   ? mUnresponsiveQueue
+                   : mResponsiveQueue;
     if (auto item = name; ring.TryPush(item)) {
       target.mPhase = phase::Queued;
     }
@@ -95,7 +97,7 @@
 }
 
 void
-poll_pool::Work(bounded_ring<std::string>& aRing)
+poll_pool::RunWorker(bounded_ring<std::string>& aRing)
 {
   while (!aRing.IsClosed()) {
     const auto name = aRing.Pop(kPopWait);
@@ -104,9 +106,9 @@
     }
     const auto outcome = mOptions.mPoll(*name);
     std::lock_guard lock(mMutex);
-    // Forgotten while it was polled: nothing is left to schedule.
+    // A target that was removed during its poll isn't scheduled again.
     if (const auto found = mTargets.find(*name); found != mTargets.end()) {
-      found->second = { boot_clock::now() + mOptions.mEvery,
+      found->second = { boot_clock::now() + mOptions.mInterval,
                         phase::Waiting,
                         outcome };
     }
--- a/Duties/Membership/PollPool.h
+++ b/Duties/Membership/PollPool.h
@@ -16,26 +16,26 @@
 enum class poll_outcome
 {
   Answered,
-  Silent
+  Unresponsive
 };
 
 struct poll_options
 {
-  /** Time between the end of one poll of a target and the next. */
-  milliseconds mEvery{ 500 };
-  /** Threads for targets that answer. */
+  /** Time from the end of one poll of a target to the start of the next. */
+  milliseconds mInterval{ 500 };
+  /** Threads for targets whose last poll was answered. */
   std::size_t mThreads = 16;
   /** Threads for targets whose last poll failed. */
-  std::size_t mThreadsForSilent = 4;
+  std::size_t mThreadsForUnresponsive = 4;
   std::function<poll_outcome(const std::string&)> mPoll;
 };
 
 /** Polls any number of targets with a bounded number of threads.
  *
- * A silent target holds a thread for a whole timeout. When an availability
- * zone goes silent, its targets would hold all threads, and the live ones
- * would look silent too. So a target whose last poll failed is polled by
- * threads of its own until it answers. */
+ * An unresponsive target occupies a thread for a whole timeout. If a whole
+ * availability zone became unresponsive, its targets would occupy all threads,
+ * and the remaining targets would appear unresponsive too. Therefore a separate
+ * set of threads polls the targets whose last poll failed. */
 class poll_pool
 {
 public:
@@ -46,7 +46,7 @@
 
   void Start();
   void Stop();
-  /** From now on exactly these are polled, new ones at once. */
+  /** Replaces the set of targets. New targets are polled immediately. */
   void SetTargets(const std::vector<std::string>& aNames);
 
 private:
@@ -57,22 +57,22 @@
   };
   struct target
   {
-    time_point mDue;
+    time_point mDueAt;
     phase mPhase = phase::Waiting;
-    poll_outcome mLast = poll_outcome::Answered;
+    poll_outcome mLastOutcome = poll_outcome::Answered;
   };
 
   void Schedule();
   void PushDue(time_point aNow);
-  void Work(bounded_ring<std::string>& aRing);
+  void RunWorker(bounded_ring<std::string>& aRing);
 
   const poll_options mOptions;
   std::mutex mMutex;
   std::condition_variable mChanged;
   bool mIsStopping = false;
   std::map<std::string, target> mTargets;
-  bounded_ring<std::string> mAnswering;
-  bounded_ring<std::string> mSilent;
+  bounded_ring<std::string> mResponsiveQueue;
+  bounded_ring<std::string> mUnresponsiveQueue;
   std::vector<std::thread> mThreads;
 };
 
--- a/Duties/Membership/ServerDirectory.cpp
+++ b/Duties/Membership/ServerDirectory.cpp
@@ -9,8 +9,9 @@
 namespace lavender::membership {
 namespace {
 
-/** An agent heard within this counts as audible for the freshness of keys. */
-constexpr milliseconds kAudible{ 4000 };
+/** An agent that answered within this time counts as reachable when the
+ * freshness of the configuration is evaluated. */
+constexpr milliseconds kReachableWithin{ 4000 };
 constexpr const char* kListFile = "/instances";
 
 wire::instance_list
@@ -99,18 +100,22 @@
   do {
     const auto list = platform::ListInstances(mOptions.mPlatform);
     if (list) {
-      TakeNewList(*list);
+      ApplyNewList(*list);
       SaveList(*list);
     } else if (list.mLastReason != lastFailure) {
-      // The last list goes on serving: the platform may be down for long.
-      Log(log_level::Warning, "membership", "No list: " + list.mLastReason);
+      // The last list stays in use, because a platform outage may be long.
+      Log(
+        log_level::Warning,
+        "membership",
+        "Instance list not fetched from the platform, keeping the last one: " +
+          list.mLastReason);
     }
     lastFailure = list.mLastReason;
-  } while (!WaitOrStop(mOptions.mListEvery));
+  } while (!WaitOrStop(mOptions.mListInterval));
 }
 
 void
-server_directory::TakeNewList(const std::vector<platform::instance>& aList)
+server_directory::ApplyNewList(const std::vector<platform::instance>& aList)
 {
   std::vector<std::string> names;
   {
@@ -137,10 +142,13 @@
   const auto message =
     bytes ? wire::Decode<wire::instance_list>(*bytes) : std::nullopt;
   if (!message) {
-    Log(log_level::Info, "membership", "No list kept: " + bytes.mLastReason);
+    Log(log_level::Info,
+        "membership",
+        "No saved instance list loaded from the data folder: " +
+          bytes.mLastReason);
     return;
   }
-  TakeNewList(FromMessage(*message));
+  ApplyNewList(FromMessage(*message));
 }
 
 void
@@ -150,14 +158,16 @@
     return;
   }
   auto bytes = wire::Encode(ToMessage(aList));
-  if (bytes == mSavedList) {
+  if (bytes == mSavedListBytes) {
     return;
   }
   const auto failure = SaveChecked(mOptions.mDataFolder + kListFile, bytes);
   if (failure.empty()) {
-    mSavedList = std::move(bytes);
+    mSavedListBytes = std::move(bytes);
   } else {
-    Log(log_level::Warning, "membership", "List not kept: " + failure);
+    Log(log_level::Warning,
+        "membership",
+        "Instance list not saved to the data folder: " + failure);
   }
 }
 
@@ -177,7 +187,7 @@
     std::lock_guard lock(mMutex);
     const auto found = mState.mServers.find(aName);
     if (found == mState.mServers.end()) {
-      return poll_outcome::Silent;
+      return poll_outcome::Unresponsive;
     }
     connections = found->second.mConnections;
   }
@@ -193,19 +203,19 @@
       aClient.Report(aReply, message);
     });
   if (outcome.mState != wire::wire_state::Answered) {
-    // Old connections may be dead while new ones work.
+    // Idle connections may be broken although new ones would work.
     connections->DropIdle();
     CountPoll("silent");
     std::lock_guard lock(mMutex);
-    TakeSilence(mState, aName, askedAt);
-    return poll_outcome::Silent;
+    ApplyPollFailure(mState, aName, askedAt);
+    return poll_outcome::Unresponsive;
   }
   std::unique_lock lock(mMutex);
   const auto taken = TakeReport(
     mState, aName, outcome.mReply, connections, askedAt, boot_clock::now());
-  CountPoll(taken == report_outcome::OtherInstance ? "other_instance"
-                                                   : "answered");
-  if (taken == report_outcome::Taken && mObserver) {
+  CountPoll(taken == apply_report_outcome::OtherInstance ? "other_instance"
+                                                         : "answered");
+  if (taken == apply_report_outcome::Applied && mObserver) {
     const auto changed = mState.mServers.at(aName);
     lock.unlock();
     mObserver(changed);
@@ -229,16 +239,16 @@
     report.mKnown = mState.mServers.size();
   }
   for (const auto& [name, view] : mState.mServers) {
-    report.mAsked += view.mHeardAt || view.mFailedAt ? 1 : 0;
+    report.mAsked += view.mHeardAt || view.mLastFailedPollAt ? 1 : 0;
     if (!view.mHeardAt) {
       continue;
     }
-    report.mAudible += now - *view.mHeardAt <= kAudible ? 1 : 0;
+    report.mAudible += now - *view.mHeardAt <= kReachableWithin ? 1 : 0;
     report.mHighestChanged =
-      std::max(report.mHighestChanged, view.mWitnessedRevision);
-    // Counted from when the question left, so the proof is no younger than
-    // this.
-    const auto proof = view.mReportedAt - view.mWitnessedFreshAge;
+      std::max(report.mHighestChanged, view.mReportedRevision);
+    // Computed from the time at which the request was sent, so the verification
+    // is never dated too late.
+    const auto proof = view.mReportedAt - view.mReportedFreshAge;
     report.mLatestProof = std::max(report.mLatestProof.value_or(proof), proof);
   }
   return report;
@@ -252,10 +262,11 @@
   for (const auto& view : Servers()) {
     for (const auto state : { server_state::Live,
                               server_state::Leaving,
-                              server_state::Silent,
+                              server_state::Unresponsive,
                               server_state::ServerDown,
                               server_state::Unknown }) {
-      // Zeros too, so that a series doesn't stay at its last value.
+      // States without servers are set to 0, so that no series keeps its
+      // previous value.
       counts[{ view.mInstance.mPool, WordFor(state) }] +=
         StateOf(view, mOptions.mLimits.mHeartbeat, now) == state ? 1 : 0;
     }
--- a/Duties/Membership/ServerDirectory.h
+++ b/Duties/Membership/ServerDirectory.h
@@ -15,10 +15,11 @@
 
 namespace lavender::membership {
 
-/** What an entry tells agents of its configuration with each poll. */
+/** Revision and age of an entry's configuration, sent to agents with each
+ * poll. */
 struct own_digest
 {
-  /** Of the last change to the configuration. */
+  /** Revision of the last change to the configuration. */
   std::int64_t mRevision = 0;
   milliseconds mFreshAge{ 0 };
 };
@@ -28,22 +29,23 @@
   platform::client mPlatform;
   std::string mEntryIncarnation;
   milliseconds mPollEvery{ 500 };
-  milliseconds mListEvery{ 1000 };
-  /** Threads that poll agents; a quarter as many again poll silent ones. */
+  milliseconds mListInterval{ 1000 };
+  /** Threads that poll responsive agents. A quarter of this number is added for
+   * the unresponsive ones. */
   std::size_t mPollThreads = 16;
-  /** Longest silence of one poll. */
+  /** Timeout of one poll. */
   milliseconds mPollTimeout{ 1000 };
   std::function<own_digest()> mDigest;
   directory_limits mLimits;
-  /** Folder that keeps the last list for a start while the platform is down;
-   * empty to keep nothing. */
+  /** Folder in which the last list is saved, for a start while the platform is
+   * down; empty to save nothing. */
   std::string mDataFolder;
-  /** May be null. */
+  /** Optional; null disables the metrics. */
   metrics::registry* mMetrics = nullptr;
 };
 
-/** How many servers could be asked and heard, and the freshest they know of
- * the configuration. */
+/** How many agents were polled and answered, and the most recent state of the
+ * configuration that they know of. */
 struct witness_report
 {
   std::optional<std::size_t> mKnown;
@@ -53,8 +55,8 @@
   std::optional<time_point> mLatestProof;
 };
 
-/** Keeps the views fresh with a thread for the platform's list and a bounded
- * number of them for the agents' reports. */
+/** Maintains the state of all servers: one thread fetches the platform's
+ * instance list, and a bounded number of threads polls the agents. */
 class server_directory
 {
 public:
@@ -66,27 +68,30 @@
   void Start();
   void Stop();
 
-  /** Copies of all views. */
+  /** Returns copies of all server views. */
   std::vector<server_view> Servers() const;
-  /** Other entries by the platform's list. */
+  /** Returns the entries on the platform's list. */
   std::vector<platform::instance> Entries() const;
   std::optional<server_view> Find(const std::string& aName) const;
-  /** Counts a request sent to, or answered by, a server. */
+  /** Adds aChange to the number of this entry's unanswered requests at a
+   * server.
+   */
   void AddInFlight(const std::string& aName, int aChange);
-  /** Called with a copy of each view that a report has changed, from the
-   * polling threads. Set before Start. */
+  /** Sets a callback that the polling threads call with a copy of each server
+   * view after a report has changed it. Must be called before Start. */
   void OnReport(std::function<void(const server_view&)> aObserver);
-  /** Takes what any reply told of its agent. */
+  /** Updates the server's state from the agent's incarnation and draining flag
+   * in the response to a request. */
   void TakeReply(const std::string& aName, const wire::dispatch_reply& aReply);
 
-  /** What the agents tell of the configuration. */
+  /** Summarises what the agents report about the configuration. */
   witness_report Witnesses() const;
-  /** Sets the gauges of servers by pool and state. */
+  /** Sets the gauges that count servers by pool and state. */
   void WriteGauges(metrics::registry& aMetrics) const;
 
 private:
   void ListLoop();
-  void TakeNewList(const std::vector<platform::instance>& aList);
+  void ApplyNewList(const std::vector<platform::instance>& aList);
   void LoadList();
   void SaveList(const std::vector<platform::instance>& aList);
   poll_outcome PollOnce(const std::string& aName);
@@ -98,7 +103,7 @@
   std::condition_variable mStopped;
   bool mIsStopping = false;
   directory_state mState;
-  std::string mSavedList;
+  std::string mSavedListBytes;
   std::function<void(const server_view&)> mObserver;
   std::thread mListThread;
   poll_pool mPolls;
--- a/Duties/Membership/TestDirectoryState.cpp
+++ b/Duties/Membership/TestDirectoryState.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kNames = 3;
 
-/** What one process of an instance is, and whether it has begun to drain. */
+/** The agent process that currently runs on an instance. */
 struct model_agent
 {
   int mIncarnation = 1;
@@ -22,8 +22,8 @@
   bool mIsDraining = false;
 };
 
-/** A report on its way: it may be overtaken by later ones. */
-struct report_under_way
+/** A report in transit; reports may be delivered out of order. */
+struct report_in_transit
 {
   std::string mName;
   wire::agent_report mReport;
@@ -31,20 +31,21 @@
   time_point mAskedAt;
 };
 
-struct world
+struct simulation
 {
   time_point mNow{ 1000s };
   directory_state mState;
   std::array<model_agent, kNames> mAgents;
-  std::vector<report_under_way> mUnderWay;
-  /** Answers to requests, by server; they may come much later. */
-  std::vector<std::pair<std::string, wire::dispatch_reply>> mReplies;
-  /** Ports that were given to another instance. */
+  std::vector<report_in_transit> mReportsInTransit;
+  /** Responses to requests in transit, by server; they may be delivered much
+   * later. */
+  std::vector<std::pair<std::string, wire::dispatch_reply>> mRepliesInTransit;
+  /** Ports that were reassigned to an unrelated instance. */
   std::set<int> mReusedPorts;
-  /** Incarnations that told this entry of their draining. */
-  std::set<std::string> mSaidDraining;
+  /** Incarnations that have reported to this entry that they drain. */
+  std::set<std::string> mReportedDraining;
   std::array<bool, kNames> mIsListed{};
-  std::array<std::optional<time_point>, kNames> mGoneSince;
+  std::array<std::optional<time_point>, kNames> mUnlistedSince;
 };
 
 std::string
@@ -60,48 +61,49 @@
 }
 
 void
-PublishList(world& aWorld)
+PublishList(simulation& aSimulation)
 {
   std::vector<platform::instance> list;
   for (int i = 0; i < kNames; ++i) {
     const auto index = static_cast<std::size_t>(i);
-    if (aWorld.mIsListed[index]) {
-      const auto port = static_cast<std::uint16_t>(aWorld.mAgents[index].mPort);
+    if (aSimulation.mIsListed[index]) {
+      const auto port =
+        static_cast<std::uint16_t>(aSimulation.mAgents[index].mPort);
       list.push_back({ NameOf(i),
                        "hall-lund",
                        "pool",
                        "backend",
                        { "127.0.0.1", port },
                        false });
-      aWorld.mGoneSince[index].reset();
-    } else if (!aWorld.mGoneSince[index]) {
-      aWorld.mGoneSince[index] = aWorld.mNow;
+      aSimulation.mUnlistedSince[index].reset();
+    } else if (!aSimulation.mUnlistedSince[index]) {
+      aSimulation.mUnlistedSince[index] = aSimulation.mNow;
     }
   }
   TakeList(
-    aWorld.mState,
+    aSimulation.mState,
     list,
     {},
     [](const http::endpoint& aEndpoint) {
       return std::make_shared<agent_pool>(aEndpoint, 1000ms);
     },
-    aWorld.mNow);
+    aSimulation.mNow);
 }
 
 void
-Ask(world& aWorld, int aIndex)
+PollAgent(simulation& aSimulation, int aIndex)
 {
-  const auto found = aWorld.mState.mServers.find(NameOf(aIndex));
-  if (found == aWorld.mState.mServers.end()) {
+  const auto found = aSimulation.mState.mServers.find(NameOf(aIndex));
+  if (found == aSimulation.mState.mServers.end()) {
     return;
   }
-  const auto& agent = aWorld.mAgents[static_cast<std::size_t>(aIndex)];
+  const auto& agent = aSimulation.mAgents[static_cast<std::size_t>(aIndex)];
   const int port = found->second.mConnections->Endpoint().mPort;
-  report_under_way report;
+  report_in_transit report;
   report.mName = NameOf(aIndex);
   report.mConnections = found->second.mConnections;
-  report.mAskedAt = aWorld.mNow;
-  if (aWorld.mReusedPorts.count(port) > 0) {
+  report.mAskedAt = aSimulation.mNow;
+  if (aSimulation.mReusedPorts.count(port) > 0) {
     report.mReport.server_name = "somebody-else";
     report.mReport.agent_incarnation = "elsewhere";
   } else if (agent.mIsRunning && agent.mPort == port) {
@@ -109,167 +111,171 @@
     report.mReport.agent_incarnation = IncarnationOf(aIndex, agent);
     report.mReport.draining = agent.mIsDraining;
   } else {
-    TakeSilence(aWorld.mState, NameOf(aIndex), aWorld.mNow);
+    ApplyPollFailure(aSimulation.mState, NameOf(aIndex), aSimulation.mNow);
     return;
   }
   report.mReport.server_reachable = true;
-  aWorld.mUnderWay.push_back(std::move(report));
+  aSimulation.mReportsInTransit.push_back(std::move(report));
 }
 
 void
-Deliver(world& aWorld, std::size_t aWhich)
+Deliver(simulation& aSimulation, std::size_t aWhich)
 {
-  if (aWorld.mUnderWay.empty()) {
+  if (aSimulation.mReportsInTransit.empty()) {
     return;
   }
-  const auto which = aWhich % aWorld.mUnderWay.size();
-  const auto report = aWorld.mUnderWay[which];
-  aWorld.mUnderWay.erase(aWorld.mUnderWay.begin() +
-                         static_cast<std::ptrdiff_t>(which));
-  const auto taken = TakeReport(aWorld.mState,
+  const auto which = aWhich % aSimulation.mReportsInTransit.size();
+  const auto report = aSimulation.mReportsInTransit[which];
+  aSimulation.mReportsInTransit.erase(aSimulation.mReportsInTransit.begin() +
+                                      static_cast<std::ptrdiff_t>(which));
+  const auto taken = TakeReport(aSimulation.mState,
                                 report.mName,
                                 report.mReport,
                                 report.mConnections,
                                 report.mAskedAt,
-                                aWorld.mNow);
-  if (taken == report_outcome::Taken && report.mReport.draining) {
-    aWorld.mSaidDraining.insert(report.mReport.agent_incarnation);
+                                aSimulation.mNow);
+  if (taken == apply_report_outcome::Applied && report.mReport.draining) {
+    aSimulation.mReportedDraining.insert(report.mReport.agent_incarnation);
   }
 }
 
 void
-AnswerRequest(world& aWorld, int aIndex)
+SendReply(simulation& aSimulation, int aIndex)
 {
-  const auto& agent = aWorld.mAgents[static_cast<std::size_t>(aIndex)];
+  const auto& agent = aSimulation.mAgents[static_cast<std::size_t>(aIndex)];
   wire::dispatch_reply reply;
   reply.agent_incarnation = IncarnationOf(aIndex, agent);
   reply.draining = agent.mIsDraining;
   if (agent.mIsRunning) {
-    aWorld.mReplies.emplace_back(NameOf(aIndex), reply);
+    aSimulation.mRepliesInTransit.emplace_back(NameOf(aIndex), reply);
   }
 }
 
 void
-DeliverReply(world& aWorld, std::size_t aWhich)
+DeliverReply(simulation& aSimulation, std::size_t aWhich)
 {
-  if (aWorld.mReplies.empty()) {
+  if (aSimulation.mRepliesInTransit.empty()) {
     return;
   }
-  const auto which = aWhich % aWorld.mReplies.size();
-  const auto [name, reply] = aWorld.mReplies[which];
-  aWorld.mReplies.erase(aWorld.mReplies.begin() +
-                        static_cast<std::ptrdiff_t>(which));
-  const auto found = aWorld.mState.mServers.find(name);
-  const bool isCurrent = found != aWorld.mState.mServers.end() &&
+  const auto which = aWhich % aSimulation.mRepliesInTransit.size();
+  const auto [name, reply] = aSimulation.mRepliesInTransit[which];
+  aSimulation.mRepliesInTransit.erase(aSimulation.mRepliesInTransit.begin() +
+                                      static_cast<std::ptrdiff_t>(which));
+  const auto found = aSimulation.mState.mServers.find(name);
+  const bool isCurrent = found != aSimulation.mState.mServers.end() &&
                          found->second.mIncarnation == reply.agent_incarnation;
-  TakeReply(aWorld.mState, name, reply);
+  TakeReply(aSimulation.mState, name, reply);
   if (isCurrent && reply.draining) {
-    aWorld.mSaidDraining.insert(reply.agent_incarnation);
+    aSimulation.mReportedDraining.insert(reply.agent_incarnation);
   }
 }
 
 void
-Restart(world& aWorld, int aIndex, bool aIsElsewhere)
+Restart(simulation& aSimulation, int aIndex, bool aHasNewAddress)
 {
-  auto& agent = aWorld.mAgents[static_cast<std::size_t>(aIndex)];
+  auto& agent = aSimulation.mAgents[static_cast<std::size_t>(aIndex)];
   ++agent.mIncarnation;
   agent.mIsRunning = true;
   agent.mIsDraining = false;
-  if (aIsElsewhere) {
-    aWorld.mReusedPorts.insert(agent.mPort);
+  if (aHasNewAddress) {
+    aSimulation.mReusedPorts.insert(agent.mPort);
     agent.mPort = 1000 + aIndex * 1000 + agent.mIncarnation;
   }
 }
 
 void
-Check(const world& aWorld)
+Check(const simulation& aSimulation)
 {
   for (int i = 0; i < kNames; ++i) {
     const auto index = static_cast<std::size_t>(i);
-    const auto found = aWorld.mState.mServers.find(NameOf(i));
-    const bool isKnown = found != aWorld.mState.mServers.end();
-    if (aWorld.mGoneSince[index]) {
-      // Told by the next list, which comes each second.
-      RC_ASSERT(!isKnown || aWorld.mNow - *aWorld.mGoneSince[index] <= 62s);
+    const auto found = aSimulation.mState.mServers.find(NameOf(i));
+    const bool isKnown = found != aSimulation.mState.mServers.end();
+    if (aSimulation.mUnlistedSince[index]) {
+      // An unlisted instance is forgotten after 60 s, when the next list is
+      // applied; a list arrives each second.
+      RC_ASSERT(!isKnown ||
+                aSimulation.mNow - *aSimulation.mUnlistedSince[index] <= 62s);
     }
     if (!isKnown) {
       continue;
     }
     const auto& view = found->second;
-    if (StateOf(view, {}, aWorld.mNow) == server_state::Live) {
-      RC_ASSERT(aWorld.mSaidDraining.count(view.mIncarnation) == 0u);
+    if (StateOf(view, {}, aSimulation.mNow) == server_state::Live) {
+      RC_ASSERT(aSimulation.mReportedDraining.count(view.mIncarnation) == 0u);
       RC_ASSERT(view.mIncarnation != "elsewhere");
-      RC_ASSERT(view.mHeardAt && aWorld.mNow - *view.mHeardAt <= 10s);
+      RC_ASSERT(view.mHeardAt && aSimulation.mNow - *view.mHeardAt <= 10s);
     }
   }
 }
 
 void
-Act(world& aWorld, unsigned aNumber)
+ApplyAction(simulation& aSimulation, unsigned aNumber)
 {
   const int index = static_cast<int>(aNumber / 16) % kNames;
   const auto slot = static_cast<std::size_t>(index);
   switch (aNumber % 16) {
     case 0:
-      aWorld.mAgents[slot].mIsDraining = true;
+      aSimulation.mAgents[slot].mIsDraining = true;
       break;
     case 1:
-      aWorld.mAgents[slot].mIsRunning = false;
+      aSimulation.mAgents[slot].mIsRunning = false;
       break;
     case 2:
-      Restart(aWorld, index, aNumber / 64 % 2 == 0);
+      Restart(aSimulation, index, aNumber / 64 % 2 == 0);
       break;
     case 3:
-      aWorld.mIsListed[slot] = !aWorld.mIsListed[slot];
+      aSimulation.mIsListed[slot] = !aSimulation.mIsListed[slot];
       break;
     case 4:
       for (int i = 0; i < 70; ++i) {
-        aWorld.mNow += 1s;
-        PublishList(aWorld);
-        Ask(aWorld, i % kNames);
-        Deliver(aWorld, 0);
+        aSimulation.mNow += 1s;
+        PublishList(aSimulation);
+        PollAgent(aSimulation, i % kNames);
+        Deliver(aSimulation, 0);
       }
       break;
     case 5:
-      aWorld.mNow += 3s;
+      aSimulation.mNow += 3s;
       break;
     case 6:
     case 7:
     case 8:
-      PublishList(aWorld);
+      PublishList(aSimulation);
       break;
     case 9:
     case 10:
     case 11:
-      Deliver(aWorld, aNumber / 64);
+      Deliver(aSimulation, aNumber / 64);
       break;
     case 12:
-      AnswerRequest(aWorld, index);
+      SendReply(aSimulation, index);
       break;
     case 13:
-      DeliverReply(aWorld, aNumber / 64);
+      DeliverReply(aSimulation, aNumber / 64);
       break;
     default:
-      Ask(aWorld, index);
+      PollAgent(aSimulation, index);
   }
-  aWorld.mNow += 100ms;
+  aSimulation.mNow += 100ms;
 }
 
-/** Once the list is right and reports come through, whoever serves is used. */
+/** Checks that every running server counts as live once the list is correct and
+ * reports are delivered. */
 void
-CheckRecovery(world& aWorld)
+CheckRecovery(simulation& aSimulation)
 {
-  aWorld.mUnderWay.clear();
-  PublishList(aWorld);
+  aSimulation.mReportsInTransit.clear();
+  PublishList(aSimulation);
   for (int i = 0; i < kNames; ++i) {
-    aWorld.mNow += 100ms;
-    Ask(aWorld, i);
-    Deliver(aWorld, 0);
+    aSimulation.mNow += 100ms;
+    PollAgent(aSimulation, i);
+    Deliver(aSimulation, 0);
     const auto index = static_cast<std::size_t>(i);
-    const auto& agent = aWorld.mAgents[index];
-    if (aWorld.mIsListed[index] && agent.mIsRunning && !agent.mIsDraining) {
-      const auto& view = aWorld.mState.mServers.at(NameOf(i));
-      RC_ASSERT(StateOf(view, {}, aWorld.mNow) == server_state::Live);
+    const auto& agent = aSimulation.mAgents[index];
+    if (aSimulation.mIsListed[index] && agent.mIsRunning &&
+        !agent.mIsDraining) {
+      const auto& view = aSimulation.mState.mServers.at(NameOf(i));
+      RC_ASSERT(StateOf(view, {}, aSimulation.mNow) == server_state::Live);
     }
   }
 }
@@ -278,52 +284,54 @@
 
 BOOST_AUTO_TEST_SUITE(TestDirectoryState)
 
-// Story: servers leave, die, come back elsewhere, and their old addresses go
-// to others, while the list lags and answers overtake each other. A request
-// goes to a server that had said it leaves, or to a stranger at its address.
+// Guards against sending a request to a server that has reported that it
+// drains, or to another instance at its former address. Servers drain, die,
+// restart at other addresses, and their addresses are reassigned, while the
+// list lags and answers arrive out of order.
 BOOST_AUTO_TEST_CASE(NoWorkForLeavingOrStrangeServers)
 {
   int live = 0;
   int drained = 0;
   BOOST_TEST(rc::check(
-    "draining sticks, strangers never count, the gone are forgotten",
+    "no live state for draining, reassigned or long unlisted servers",
     [&](const std::vector<unsigned short>& aNumbers) {
-      world world;
-      world.mIsListed = { true, true, false };
+      simulation simulation;
+      simulation.mIsListed = { true, true, false };
       for (int i = 0; i < kNames; ++i) {
-        world.mAgents[static_cast<std::size_t>(i)].mPort = 1000 + i * 1000;
+        simulation.mAgents[static_cast<std::size_t>(i)].mPort = 1000 + i * 1000;
       }
-      PublishList(world);
+      PublishList(simulation);
       for (const auto number : aNumbers) {
-        Act(world, number);
-        Check(world);
+        ApplyAction(simulation, number);
+        Check(simulation);
       }
-      CheckRecovery(world);
-      for (const auto& [name, view] : world.mState.mServers) {
-        live += StateOf(view, {}, world.mNow) == server_state::Live ? 1 : 0;
+      CheckRecovery(simulation);
+      for (const auto& [name, view] : simulation.mState.mServers) {
+        live +=
+          StateOf(view, {}, simulation.mNow) == server_state::Live ? 1 : 0;
       }
-      drained += static_cast<int>(world.mSaidDraining.size());
+      drained += static_cast<int>(simulation.mReportedDraining.size());
     }));
   BOOST_TEST(live > 1000);
   BOOST_TEST(drained > 1000);
 }
 
-// Story: a whole zone goes silent. Polling it takes up this entry's threads,
-// and live servers that it had no time to poll are given up for dead as well.
+// Guards against treating live servers as dead because this entry didn't poll
+// them in time: polling a whole unresponsive zone occupies its threads.
 BOOST_AUTO_TEST_CASE(SilenceNeedsEvidence)
 {
   const time_point heard{ 1000s };
   const heartbeat_limits limits;
-  const auto judge = [&](std::optional<time_point> aFailed,
-                         milliseconds aLater) {
-    return JudgeHeartbeat({ heard, aFailed }, limits, heard + aLater);
+  const auto evaluate = [&](std::optional<time_point> aFailed,
+                            milliseconds aLater) {
+    return EvaluateHeartbeat({ heard, aFailed }, limits, heard + aLater);
   };
-  BOOST_TEST((judge(std::nullopt, 9s) == liveness::Live));
-  BOOST_TEST((judge(std::nullopt, 11s) == liveness::Silent));
-  BOOST_TEST((judge(heard + 500ms, 2s) == liveness::Live));
-  BOOST_TEST((judge(heard + 500ms, 3s) == liveness::Silent));
-  BOOST_TEST((judge(heard - 500ms, 3s) == liveness::Live));
-  BOOST_TEST((JudgeHeartbeat({}, limits, heard) == liveness::Unknown));
+  BOOST_TEST((evaluate(std::nullopt, 9s) == liveness::Live));
+  BOOST_TEST((evaluate(std::nullopt, 11s) == liveness::Unresponsive));
+  BOOST_TEST((evaluate(heard + 500ms, 2s) == liveness::Live));
+  BOOST_TEST((evaluate(heard + 500ms, 3s) == liveness::Unresponsive));
+  BOOST_TEST((evaluate(heard - 500ms, 3s) == liveness::Live));
+  BOOST_TEST((EvaluateHeartbeat({}, limits, heard) == liveness::Unknown));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/Membership/TestPollPool.cpp
+++ b/Duties/Membership/TestPollPool.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Threads of this process. */
+/** Returns the number of threads of this process. */
 int
 CountThreads()
 {
@@ -41,9 +41,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestPollPool)
 
-// Story: the fleet grows to 1,200 servers, of which a third goes silent. With
-// a thread for each server memory runs out; with too few, the silent ones keep
-// the live ones from being asked.
+// A fleet has 1,200 servers, and a third of them becomes unresponsive. One
+// thread for each server would exhaust the memory. With few shared threads, the
+// unresponsive servers would prevent the live ones from being polled.
 BOOST_AUTO_TEST_CASE(PollsManyWithFewThreadsThoughManyAreSilent)
 {
   std::array<std::atomic<int>, 1200> polls{};
@@ -57,7 +57,7 @@
     if (indexOf(aName) % 3 == 0) {
       ++silentPolls;
       std::this_thread::sleep_for(100ms);
-      return poll_outcome::Silent;
+      return poll_outcome::Unresponsive;
     }
     return poll_outcome::Answered;
   };
@@ -75,8 +75,8 @@
     });
   }));
   BOOST_TEST(CountThreads() - before <= 21);
-  // By now all silent ones are with their own threads: in the time in which
-  // those poll 60 of them, each live one is polled again.
+  // All unresponsive targets are now polled by the separate threads. In the
+  // time in which those make 60 polls, each live target is polled again.
   const int mark = silentPolls;
   std::array<int, 1200> seen{};
   for (std::size_t i = 0; i < polls.size(); ++i) {
