--- a/Duties/Configuration/ConfigurationState.cpp
+++ b/Duties/Configuration/ConfigurationState.cpp
@@ -5,39 +5,39 @@
 namespace lavender::configuration {
 namespace {
 
-constexpr std::size_t kMaximumRecent = 2000;
+constexpr std::size_t kMaximumRecentChanges = 2000;
 constexpr const char* kModelVersion = "ModelVersion";
 constexpr const char* kTrainingRun = "TrainingRun";
 
 void
-Prove(configuration_state& aState, std::optional<time_point> aAt)
+RecordVerification(configuration_state& aState, std::optional<time_point> aAt)
 {
   if (aAt && (!aState.mProvenAt || *aState.mProvenAt < *aAt)) {
     aState.mProvenAt = aAt;
   }
 }
 
-/** Puts a whole new state in place. Nothing tells which changes led to it, so
- * operators' watches have to begin anew. */
+/** Replaces the whole state. The individual changes that led to it are unknown,
+ * so operators' watches must restart from a list. */
 void
-Replace(configuration_state& aState,
-        object_map aObjects,
-        std::int64_t aRevision,
-        std::int64_t aChanged)
+ReplaceState(configuration_state& aState,
+             object_map aObjects,
+             std::int64_t aRevision,
+             std::int64_t aChanged)
 {
   aState.mObjects = std::move(aObjects);
   aState.mKnownUpTo = aRevision;
   aState.mChanged = aChanged;
-  aState.mRecent.clear();
-  aState.mOldestRecent = aRevision;
+  aState.mRecentChanges.clear();
+  aState.mOldestResumableRevision = aRevision;
   aState.mSnapshot =
     std::make_shared<const snapshot>(BuildSnapshot(aState.mObjects, aRevision));
 }
 
 void
-TakeEvent(configuration_state& aState,
-          snapshot& aNext,
-          const platform::object_event& aEvent)
+ApplyEvent(configuration_state& aState,
+           snapshot& aNext,
+           const platform::object_event& aEvent)
 {
   const auto& object = aEvent.mObject;
   const std::pair identity{ object.mKind, object.mName };
@@ -55,11 +55,12 @@
   }
   ApplyChange(aNext, change);
   aState.mChanged = std::max(aState.mChanged, object.mRevision);
-  aState.mRecent.push_back(
+  aState.mRecentChanges.push_back(
     { aEvent.mIsDeletion, object.mKind, object.mName, std::move(kept) });
-  if (aState.mRecent.size() > kMaximumRecent) {
-    aState.mOldestRecent = aState.mRecent.front().mObject.mRevision;
-    aState.mRecent.pop_front();
+  if (aState.mRecentChanges.size() > kMaximumRecentChanges) {
+    aState.mOldestResumableRevision =
+      aState.mRecentChanges.front().mObject.mRevision;
+    aState.mRecentChanges.pop_front();
   }
 }
 
@@ -71,11 +72,11 @@
          time_point aAskedAt)
 {
   if (aList.mRevision < aState.mKnownUpTo) {
-    // An old copy of the store answered. Taking it would bring withdrawn
-    // keys back to life.
+    // The list comes from a stale replica of the store. Applying it would make
+    // withdrawn keys valid again.
     return take_outcome::Older;
   }
-  Prove(aState, aAskedAt);
+  RecordVerification(aState, aAskedAt);
   if (aList.mRevision == aState.mKnownUpTo) {
     return take_outcome::Confirmed;
   }
@@ -86,11 +87,11 @@
                                                   json::Write(object.mValue) };
     }
   }
-  // A list doesn't say what was deleted, or written and deleted again, since
-  // the state held. Its own revision is the only safe bound for the last
-  // change: with a lower one, a peer that still holds a deleted key would take
-  // this state's digest as the word that nothing changed.
-  Replace(aState, std::move(objects), aList.mRevision, aList.mRevision);
+  // A list doesn't show which objects were deleted, or created and deleted,
+  // since the previous state. The list's revision is the only safe bound for
+  // the last change: with a lower one, a peer that still holds a deleted key
+  // would conclude from this state's digest that nothing has changed.
+  ReplaceState(aState, std::move(objects), aList.mRevision, aList.mRevision);
   return take_outcome::Advanced;
 }
 
@@ -102,14 +103,14 @@
   if (aBatch.mRevision < aState.mKnownUpTo) {
     return take_outcome::Older;
   }
-  Prove(aState, aAskedAt);
+  RecordVerification(aState, aAskedAt);
   if (aBatch.mRevision == aState.mKnownUpTo) {
     return take_outcome::Confirmed;
   }
   std::shared_ptr<snapshot> next;
   bool hasNewVersions = false;
   for (const auto& event : aBatch.mEvents) {
-    // A copy from a peer may have come in while the watch was waiting.
+    // A peer's copy may have been applied while the watch was waiting.
     const bool isKnown = event.mObject.mRevision <= aState.mKnownUpTo;
     if (isKnown || !IsConfigurationKind(event.mObject.mKind)) {
       continue;
@@ -117,7 +118,7 @@
     if (!next) {
       next = std::make_shared<snapshot>(*aState.mSnapshot);
     }
-    TakeEvent(aState, *next, event);
+    ApplyEvent(aState, *next, event);
     hasNewVersions = hasNewVersions || event.mObject.mKind == kModelVersion ||
                      event.mObject.mKind == kTrainingRun;
   }
@@ -133,33 +134,33 @@
 }
 
 take_outcome
-TakeCopy(configuration_state& aState, whole_copy aCopy)
+ApplyCopy(configuration_state& aState, full_copy aCopy)
 {
   if (aCopy.mRevision < aState.mKnownUpTo) {
     return take_outcome::Older;
   }
-  Prove(aState, aCopy.mProvenAt);
+  RecordVerification(aState, aCopy.mProvenAt);
   if (aCopy.mRevision == aState.mKnownUpTo) {
     return take_outcome::Confirmed;
   }
-  Replace(aState,
-          std::move(aCopy.mObjects),
-          aCopy.mRevision,
-          std::max(aCopy.mChanged, aState.mChanged));
+  ReplaceState(aState,
+               std::move(aCopy.mObjects),
+               aCopy.mRevision,
+               std::max(aCopy.mChanged, aState.mChanged));
   return take_outcome::Advanced;
 }
 
 take_outcome
-TakeDigest(configuration_state& aState, const state_digest& aDigest)
+ApplyDigest(configuration_state& aState, const state_digest& aDigest)
 {
   if (aDigest.mKnownUpTo < aState.mKnownUpTo) {
     return take_outcome::Older;
   }
   if (aState.mKnownUpTo == 0 || aDigest.mChanged > aState.mKnownUpTo) {
-    return take_outcome::NeedsCopy;
+    return take_outcome::NeedsFullCopy;
   }
-  // Nothing of the configuration changed between the two revisions.
-  Prove(aState, aDigest.mProvenAt);
+  // The configuration didn't change between the two revisions.
+  RecordVerification(aState, aDigest.mProvenAt);
   aState.mKnownUpTo = aDigest.mKnownUpTo;
   return take_outcome::Confirmed;
 }
@@ -170,7 +171,7 @@
   return { aState.mKnownUpTo, aState.mChanged, aState.mProvenAt };
 }
 
-whole_copy
+full_copy
 CopyOf(const configuration_state& aState)
 {
   return {
@@ -183,8 +184,8 @@
 {
   change_batch batch;
   batch.mRevision = std::max(aFrom, aState.mKnownUpTo);
-  batch.mIsTooOld = aFrom < aState.mOldestRecent;
-  for (const auto& event : aState.mRecent) {
+  batch.mIsTooOld = aFrom < aState.mOldestResumableRevision;
+  for (const auto& event : aState.mRecentChanges) {
     if (!batch.mIsTooOld && event.mObject.mRevision > aFrom) {
       batch.mEvents.push_back(event);
     }
--- a/Duties/Configuration/ConfigurationState.h
+++ b/Duties/Configuration/ConfigurationState.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-/** What an entry holds of the configuration, and the only ways in which it
- * changes. The revision never goes back on any of them. */
+/** An entry's copy of the configuration and all functions that modify it. None
+ * of them ever decreases its revision. */
 namespace lavender::configuration {
 
-/** One change, kept for operators' watches. */
+/** One recent change, kept so that operators' watches can resume. */
 struct kept_event
 {
   bool mIsDeletion = false;
@@ -26,23 +26,23 @@
 {
   object_map mObjects;
   /** Every change of the store up to this revision is known; 0 before the
-   * first state came. */
+   * first state arrived. */
   std::int64_t mKnownUpTo = 0;
-  /** Last revision that touched the configuration. Other kinds of objects,
-   * such as leases, move the store's revision without moving this one. */
+  /** Last revision that changed the configuration. Changes to other kinds of
+   * objects, such as leases, increase the store's revision but not this one. */
   std::int64_t mChanged = 0;
-  /** A time at which mKnownUpTo was certainly the store's newest; none for a
-   * state that was read from the disk. */
+  /** Last time at which mKnownUpTo was verified as the store's newest revision;
+   * none for a state that was read from the disk. */
   std::optional<time_point> mProvenAt;
-  std::deque<kept_event> mRecent;
-  /** Watches from before this revision are too old. */
-  std::int64_t mOldestRecent = 0;
+  std::deque<kept_event> mRecentChanges;
+  /** Watches can't resume from a revision below this one. */
+  std::int64_t mOldestResumableRevision = 0;
   std::shared_ptr<const snapshot> mSnapshot = std::make_shared<snapshot>();
 };
 
-/** The whole configuration as one process gives it to another, or to its
+/** A full copy of the configuration, as sent to another process or saved to
  * disk. */
-struct whole_copy
+struct full_copy
 {
   std::int64_t mRevision = 0;
   std::int64_t mChanged = 0;
@@ -50,7 +50,7 @@
   object_map mObjects;
 };
 
-/** What a peer says of its state without sending it. */
+/** Summary of a peer's state, exchanged instead of a full copy. */
 struct state_digest
 {
   std::int64_t mKnownUpTo = 0;
@@ -60,44 +60,47 @@
 
 enum class take_outcome
 {
-  /** The state is newer than before. */
+  /** The known revision has increased. */
   Advanced,
-  /** Only the proof of freshness may be newer. */
+  /** The content is unchanged; only the revision or the verification time may
+   * be newer. */
   Confirmed,
-  /** Older than the state held, so nothing of it was taken. */
+  /** The input was older than the state and was ignored. */
   Older,
-  /** The digest shows a change that only a copy can bring. */
-  NeedsCopy
+  /** The digest shows a change that must be fetched with a full copy. */
+  NeedsFullCopy
 };
 
-/** Takes a list of the whole store.
- * @param aAskedAt when the request left: the list is no older than that */
+/** Applies a list of all objects in the store.
+ * @param aAskedAt when the request was sent: the list is at least as recent */
 take_outcome
 TakeList(configuration_state& aState,
          const platform::object_list& aList,
          time_point aAskedAt);
 
-/** Takes the answer to a watch. */
+/** Applies the response to a watch.
+ * @param aAskedAt when the request was sent */
 take_outcome
 TakeBatch(configuration_state& aState,
           const platform::watch_batch& aBatch,
           time_point aAskedAt);
 
-/** Takes a copy from a peer or from the disk. */
+/** Applies a full copy from a peer or from the disk. */
 take_outcome
-TakeCopy(configuration_state& aState, whole_copy aCopy);
+ApplyCopy(configuration_state& aState, full_copy aCopy);
 
-/** Takes over a peer's proof when it holds for this state too: both know the
- * same changes of the configuration. */
+/** Applies a peer's verification time and revision when both sides know the
+ * same configuration changes, so that the verification is valid for this state
+ * too. */
 take_outcome
-TakeDigest(configuration_state& aState, const state_digest& aDigest);
+ApplyDigest(configuration_state& aState, const state_digest& aDigest);
 
 state_digest
 DigestOf(const configuration_state& aState);
-whole_copy
+full_copy
 CopyOf(const configuration_state& aState);
 
-/** Changes after a revision, for a resumed watch. */
+/** Changes after a given revision, for a watch that resumes. */
 struct change_batch
 {
   std::int64_t mRevision = 0;
--- a/Duties/Configuration/ConfigurationStore.cpp
+++ b/Duties/Configuration/ConfigurationStore.cpp
@@ -9,9 +9,10 @@
 
 using namespace std::chrono_literals;
 
-/** A watch that waits longer would make the proof of freshness older. */
+/** Maximum wait of one watch request. Each response verifies the state, so a
+ * longer wait would make the last verification older. */
 constexpr milliseconds kWatchWait = 1000ms;
-constexpr milliseconds kRetryEvery = 300ms;
+constexpr milliseconds kRetryInterval = 300ms;
 constexpr const char* kCopyFile = "/configuration";
 
 const char*
@@ -24,7 +25,7 @@
       return "confirmed";
     case take_outcome::Older:
       return "older";
-    case take_outcome::NeedsCopy:
+    case take_outcome::NeedsFullCopy:
       break;
   }
   return "needs_copy";
@@ -36,17 +37,17 @@
 AgeOf(const std::optional<time_point>& aProvenAt, time_point aNow)
 {
   return aProvenAt ? std::chrono::duration_cast<milliseconds>(aNow - *aProvenAt)
-                   : kNeverProven;
+                   : kNeverVerified;
 }
 
 std::optional<time_point>
-ProofAt(milliseconds aAge, time_point aAt)
+VerificationTime(milliseconds aAge, time_point aAt)
 {
-  return aAge < kNeverProven ? std::optional(aAt - aAge) : std::nullopt;
+  return aAge < kNeverVerified ? std::optional(aAt - aAge) : std::nullopt;
 }
 
 wire::configuration_copy
-ToMessage(const whole_copy& aCopy, time_point aNow)
+ToMessage(const full_copy& aCopy, time_point aNow)
 {
   wire::configuration_copy message;
   message.revision = aCopy.mRevision;
@@ -64,13 +65,14 @@
   return message;
 }
 
-whole_copy
+full_copy
 FromMessage(const wire::configuration_copy& aMessage, time_point aAskedAt)
 {
-  whole_copy copy;
+  full_copy copy;
   copy.mRevision = aMessage.revision;
   copy.mChanged = aMessage.changed_revision;
-  copy.mProvenAt = ProofAt(milliseconds(aMessage.fresh_age_ms), aAskedAt);
+  copy.mProvenAt =
+    VerificationTime(milliseconds(aMessage.fresh_age_ms), aAskedAt);
   for (const auto& record : aMessage.objects) {
     copy.mObjects[{ record.kind, record.name }] = { record.revision,
                                                     record.value };
@@ -91,7 +93,7 @@
 void
 configuration_store::Start()
 {
-  Load();
+  LoadSavedCopy();
   mThread = std::thread([this] { WatchLoop(); });
 }
 
@@ -102,14 +104,14 @@
     std::lock_guard lock(mMutex);
     mIsStopping = true;
   }
-  mChanged.notify_all();
+  mStateChanged.notify_all();
   if (mThread.joinable()) {
     mThread.join();
   }
 }
 
 void
-configuration_store::Load()
+configuration_store::LoadSavedCopy()
 {
   if (mOptions.mDataFolder.empty()) {
     return;
@@ -120,32 +122,35 @@
   if (!message) {
     Log(log_level::Info,
         "configuration",
-        "No copy on the disk: " + bytes.mLastReason);
+        "No saved configuration loaded from the data folder: " +
+          bytes.mLastReason);
     return;
   }
-  // What was proven before the restart says nothing of what happened since.
+  // A verification from before the restart doesn't cover changes since then.
   auto copy = FromMessage(*message, boot_clock::now());
   copy.mProvenAt.reset();
-  mSavedChanged = copy.mChanged;
-  Note("disk", TakeCopy(std::move(copy)));
+  mSavedChangedRevision = copy.mChanged;
+  CountOutcome("disk", ApplyCopy(std::move(copy)));
 }
 
 void
-configuration_store::SaveIfChanged()
+configuration_store::SaveCopyIfChanged()
 {
   if (mOptions.mDataFolder.empty()) {
     return;
   }
   const auto copy = Copy();
-  if (copy.mChanged <= mSavedChanged) {
+  if (copy.mChanged <= mSavedChangedRevision) {
     return;
   }
   const auto bytes = wire::Encode(ToMessage(copy, boot_clock::now()));
   const auto failure = SaveChecked(mOptions.mDataFolder + kCopyFile, bytes);
   if (failure.empty()) {
-    mSavedChanged = copy.mChanged;
+    mSavedChangedRevision = copy.mChanged;
   } else {
-    Log(log_level::Warning, "configuration", "Copy not kept: " + failure);
+    Log(log_level::Warning,
+        "configuration",
+        "Configuration not saved to the data folder: " + failure);
   }
 }
 
@@ -176,22 +181,22 @@
 }
 
 take_outcome
-configuration_store::TakeDigest(const state_digest& aDigest)
+configuration_store::ApplyDigest(const state_digest& aDigest)
 {
   std::lock_guard lock(mMutex);
-  return configuration::TakeDigest(mState, aDigest);
+  return configuration::ApplyDigest(mState, aDigest);
 }
 
 take_outcome
-configuration_store::TakeCopy(whole_copy aCopy)
+configuration_store::ApplyCopy(full_copy aCopy)
 {
   std::lock_guard lock(mMutex);
-  const auto outcome = configuration::TakeCopy(mState, std::move(aCopy));
-  mChanged.notify_all();
+  const auto outcome = configuration::ApplyCopy(mState, std::move(aCopy));
+  mStateChanged.notify_all();
   return outcome;
 }
 
-whole_copy
+full_copy
 configuration_store::Copy() const
 {
   std::lock_guard lock(mMutex);
@@ -227,9 +232,9 @@
                                     milliseconds aWait) const
 {
   std::unique_lock lock(mMutex);
-  mChanged.wait_for(lock, aWait, [&] {
+  mStateChanged.wait_for(lock, aWait, [&] {
     return mIsStopping || mState.mChanged > aFrom ||
-           aFrom < mState.mOldestRecent;
+           aFrom < mState.mOldestResumableRevision;
   });
   return ChangesAfter(mState, aFrom);
 }
@@ -238,11 +243,11 @@
 configuration_store::WaitOrStop(milliseconds aWait)
 {
   std::unique_lock lock(mMutex);
-  return mChanged.wait_for(lock, aWait, [this] { return mIsStopping; });
+  return mStateChanged.wait_for(lock, aWait, [this] { return mIsStopping; });
 }
 
 void
-configuration_store::Note(const char* aSource, take_outcome aOutcome)
+configuration_store::CountOutcome(const char* aSource, take_outcome aOutcome)
 {
   if (auto* metrics = mOptions.mPlatform.mMetrics) {
     metrics->Count("lavender_configuration_taken_total",
@@ -251,17 +256,18 @@
 }
 
 void
-configuration_store::NoteFailure(const std::string& aSentence)
+configuration_store::LogNewFailure(const std::string& aText)
 {
-  // An outage may be long: one line for each cause, not for each try.
-  if (aSentence != mLastFailure) {
-    Log(log_level::Warning, "configuration", aSentence);
-    mLastFailure = aSentence;
+  // During a long outage, each cause is logged once rather than at each
+  // attempt.
+  if (aText != mLastFailure) {
+    Log(log_level::Warning, "configuration", aText);
+    mLastFailure = aText;
   }
 }
 
 void
-configuration_store::CountBreak()
+configuration_store::CountWatchFailure()
 {
   if (auto* metrics = mOptions.mPlatform.mMetrics) {
     metrics->Count("lavender_configuration_watch_breaks_total", {});
@@ -273,41 +279,43 @@
 {
   bool isLoaded = IsReady();
   while (!WaitOrStop(0ms)) {
-    isLoaded = isLoaded ? WatchOnce() : LoadAll();
-    SaveIfChanged();
-    if (!isLoaded && WaitOrStop(kRetryEvery)) {
+    isLoaded = isLoaded ? PollWatch() : LoadFromPlatform();
+    SaveCopyIfChanged();
+    if (!isLoaded && WaitOrStop(kRetryInterval)) {
       return;
     }
   }
 }
 
 bool
-configuration_store::LoadAll()
+configuration_store::LoadFromPlatform()
 {
   const auto askedAt = boot_clock::now();
   const auto list = platform::List(mOptions.mPlatform, "");
   if (!list) {
-    NoteFailure("No configuration: " + list.mLastReason);
+    LogNewFailure("Configuration not listed from the platform, retrying: " +
+                  list.mLastReason);
     return false;
   }
   std::lock_guard lock(mMutex);
   const auto outcome = TakeList(mState, *list, askedAt);
-  Note("list", outcome);
-  mChanged.notify_all();
+  CountOutcome("list", outcome);
+  mStateChanged.notify_all();
   return outcome != take_outcome::Older;
 }
 
 bool
-configuration_store::WatchOnce()
+configuration_store::PollWatch()
 {
   const auto askedAt = boot_clock::now();
   const auto batch =
     platform::Watch(mOptions.mPlatform, Digest().mKnownUpTo, kWatchWait);
   if (!batch) {
-    // The state goes on serving; the watch resumes from its revision.
-    NoteFailure("Watch broke: " + batch.mLastReason);
-    CountBreak();
-    WaitOrStop(kRetryEvery);
+    // The current state stays in use, and the watch resumes from its revision.
+    LogNewFailure("Watch on the platform's objects failed, retrying: " +
+                  batch.mLastReason);
+    CountWatchFailure();
+    WaitOrStop(kRetryInterval);
     return true;
   }
   mLastFailure.clear();
@@ -319,10 +327,10 @@
     std::lock_guard lock(mMutex);
     outcome = TakeBatch(mState, *batch, askedAt);
   }
-  Note("watch", outcome);
-  mChanged.notify_all();
+  CountOutcome("watch", outcome);
+  mStateChanged.notify_all();
   if (outcome == take_outcome::Older) {
-    WaitOrStop(kRetryEvery);
+    WaitOrStop(kRetryInterval);
   }
   return true;
 }
--- a/Duties/Configuration/ConfigurationStore.h
+++ b/Duties/Configuration/ConfigurationStore.h
@@ -17,17 +17,17 @@
 struct store_options
 {
   platform::client mPlatform;
-  /** Folder that keeps the configuration for a start while the platform is
-   * down; empty to keep nothing. Only hashes of keys are ever in it. */
+  /** Folder in which the configuration is saved, for a start while the platform
+   * is down; empty to save nothing. It holds only hashes of keys. */
   std::string mDataFolder;
 };
 
-/** Age of a proof that there never was one of. */
-constexpr milliseconds kNeverProven{ std::int64_t{ 1 } << 40 };
+/** Age that stands for a state that was never verified. */
+constexpr milliseconds kNeverVerified{ std::int64_t{ 1 } << 40 };
 
-/** Holds the configuration that is in force and keeps it up to date with a
- * watch on the Object API, in a thread of its own. All that may change it are
- * the functions over configuration_state, so the revision never goes back. */
+/** Holds the configuration that is in force. A background thread keeps it up to
+ * date with a watch on the Object API. Only the functions that modify
+ * configuration_state change it, so its revision never decreases. */
 class configuration_store
 {
 public:
@@ -36,64 +36,69 @@
   configuration_store(const configuration_store&) = delete;
   configuration_store& operator=(const configuration_store&) = delete;
 
-  /** Begins with the copy on the disk, if there is one, and watches. */
+  /** Loads the copy on the disk, if there is one, and starts the watch. */
   void Start();
   void Stop();
 
-  /** The configuration in force; never null, revision 0 before the first. */
+  /** Returns the configuration in force. Never null; its revision is 0 before
+   * the first state. */
   std::shared_ptr<const snapshot> Current() const;
-  /** What this store tells others of its state. */
+  /** Returns the summary of the state that other processes receive. */
   state_digest Digest() const;
-  /** Age of the last proof that the state was the newest. */
+  /** Returns the time since the state was last verified as the newest. */
   milliseconds FreshAge() const;
-  /** True once a first state has come. */
+  /** True once a first state has been loaded or received. */
   bool IsReady() const;
 
-  /** Takes a peer's word; NeedsCopy asks for a copy through TakeCopy. */
-  take_outcome TakeDigest(const state_digest& aDigest);
-  take_outcome TakeCopy(whole_copy aCopy);
-  whole_copy Copy() const;
+  /** Applies a peer's digest. On NeedsFullCopy the caller should fetch the
+   * peer's full copy and pass it to ApplyCopy. */
+  take_outcome ApplyDigest(const state_digest& aDigest);
+  take_outcome ApplyCopy(full_copy aCopy);
+  full_copy Copy() const;
 
-  /** Objects of a kind with their revisions, for operators. */
+  /** Returns all objects of a kind with their revisions. */
   std::vector<platform::stored_object> Objects(const std::string& aKind) const;
-  /** Waits for changes after the revision. */
+  /** Waits for at most aWait until there are changes after aFrom, and returns
+   * them. */
   change_batch WaitForChanges(std::int64_t aFrom, milliseconds aWait) const;
 
 private:
-  void Load();
-  void SaveIfChanged();
+  void LoadSavedCopy();
+  void SaveCopyIfChanged();
   void WatchLoop();
-  bool LoadAll();
-  bool WatchOnce();
-  void Note(const char* aSource, take_outcome aOutcome);
-  void NoteFailure(const std::string& aSentence);
-  void CountBreak();
+  bool LoadFromPlatform();
+  bool PollWatch();
+  void CountOutcome(const char* aSource, take_outcome aOutcome);
+  void LogNewFailure(const std::string& aText);
+  void CountWatchFailure();
   bool WaitOrStop(milliseconds aWait);
 
   const store_options mOptions;
   mutable std::mutex mMutex;
-  mutable std::condition_variable mChanged;
+  mutable std::condition_variable mStateChanged;
   bool mIsStopping = false;
   configuration_state mState;
-  /** Revision of the last change that is on the disk. */
-  std::int64_t mSavedChanged = 0;
-  /** Last failure that was logged; used by the watching thread alone. */
+  /** Revision of the last change that was saved to disk. */
+  std::int64_t mSavedChangedRevision = 0;
+  /** Last failure that was logged; used by the watch thread only. */
   std::string mLastFailure;
   std::thread mThread;
 };
 
-/** A copy as a message between processes or on the disk. */
+/** Converts a copy to the message that is sent or saved to disk. */
 wire::configuration_copy
-ToMessage(const whole_copy& aCopy, time_point aNow);
-/** @param aAskedAt when it was asked for; the proof is counted from then */
-whole_copy
+ToMessage(const full_copy& aCopy, time_point aNow);
+/** @param aAskedAt when the copy was requested; the age of its verification is
+ *   subtracted from this time */
+full_copy
 FromMessage(const wire::configuration_copy& aMessage, time_point aAskedAt);
 
-/** Age of a proof in milliseconds. */
+/** Returns the time since aProvenAt, or kNeverVerified when there is none. */
 milliseconds
 AgeOf(const std::optional<time_point>& aProvenAt, time_point aNow);
-/** Time of a proof that had that age at the given time. */
+/** Returns the verification time that had the given age at aAt; none for
+ * kNeverVerified. */
 std::optional<time_point>
-ProofAt(milliseconds aAge, time_point aAt);
+VerificationTime(milliseconds aAge, time_point aAt);
 
 } // namespace lavender::configuration
--- a/Duties/Configuration/PeerExchange.cpp
+++ b/Duties/Configuration/PeerExchange.cpp
@@ -9,18 +9,19 @@
 
 using membership::poll_outcome;
 
-/** A peer heard within this counts as audible. */
-constexpr milliseconds kAudible{ 4000 };
+/** A peer that answered within this time counts as reachable. */
+constexpr milliseconds kReachableWithin{ 4000 };
 constexpr std::size_t kThreads = 4;
-/** Polled like a peer: keeps the set of peers up to date with the list. */
-constexpr const char* kListTarget = "";
+/** Poll target that stands for no peer: polling it updates the set of peers
+ * from the instance list. */
+constexpr const char* kPeerListTarget = "";
 
 } // namespace
 
 peer_exchange::peer_exchange(peer_options aOptions, configuration_store& aStore)
   : mOptions(std::move(aOptions))
   , mStore(aStore)
-  , mPolls({ mOptions.mExchangeEvery,
+  , mPolls({ mOptions.mExchangeInterval,
              kThreads,
              kThreads,
              [this](const std::string& aName) { return PollOnce(aName); } })
@@ -35,7 +36,7 @@
 void
 peer_exchange::Start()
 {
-  mPolls.SetTargets({ kListTarget });
+  mPolls.SetTargets({ kPeerListTarget });
   mPolls.Start();
 }
 
@@ -48,7 +49,7 @@
 poll_outcome
 peer_exchange::PollOnce(const std::string& aName)
 {
-  if (aName == kListTarget) {
+  if (aName == kPeerListTarget) {
     RefreshPeers();
     return poll_outcome::Answered;
   }
@@ -58,7 +59,7 @@
 void
 peer_exchange::RefreshPeers()
 {
-  std::vector<std::string> targets = { kListTarget };
+  std::vector<std::string> targets = { kPeerListTarget };
   std::map<std::string, peer> peers;
   {
     std::lock_guard lock(mMutex);
@@ -91,7 +92,7 @@
     std::lock_guard lock(mMutex);
     const auto found = mPeers.find(aName);
     if (found == mPeers.end()) {
-      return poll_outcome::Silent;
+      return poll_outcome::Unresponsive;
     }
     connections = found->second.mConnections;
   }
@@ -109,15 +110,16 @@
       aClient.Exchange(aReply, message);
     });
   const auto& reply = outcome.mReply;
-  // The address may have been given to another instance since the list.
+  // The address may have been reassigned since the list was fetched.
   const bool isPeer =
     outcome.mState == wire::wire_state::Answered && reply.name == aName;
   state_digest digest;
   if (isPeer) {
-    // Counted from when the question left, the proof is never too young.
+    // Computed from the time at which the request was sent, so the verification
+    // is never dated too late.
     digest = { reply.configuration_revision,
                reply.changed_revision,
-               ProofAt(milliseconds(reply.fresh_age_ms), askedAt) };
+               VerificationTime(milliseconds(reply.fresh_age_ms), askedAt) };
   }
   {
     std::lock_guard lock(mMutex);
@@ -133,10 +135,10 @@
   if (!isPeer) {
     connections->DropIdle();
     Count("silent");
-    return poll_outcome::Silent;
+    return poll_outcome::Unresponsive;
   }
   Count("answered");
-  if (mStore.TakeDigest(digest) == take_outcome::NeedsCopy) {
+  if (mStore.ApplyDigest(digest) == take_outcome::NeedsFullCopy) {
     FetchFrom(aName, connections);
   }
   return poll_outcome::Answered;
@@ -156,11 +158,11 @@
     Count("fetch_failed");
     return;
   }
-  const auto taken = mStore.TakeCopy(FromMessage(outcome.mReply, askedAt));
+  const auto taken = mStore.ApplyCopy(FromMessage(outcome.mReply, askedAt));
   if (taken == take_outcome::Advanced) {
     Log(log_level::Info,
         "configuration",
-        "Caught up from " + aName +
+        "Fetched a newer configuration from entry " + aName +
           " revision=" + std::to_string(outcome.mReply.revision));
     Count("caught_up");
   }
@@ -181,7 +183,8 @@
   peer_report report;
   const auto now = boot_clock::now();
   std::lock_guard lock(mMutex);
-  // Counted from the list itself: a peer that isn't polled yet is known too.
+  // Peers are counted on the list rather than in mPeers, which lacks peers that
+  // aren't polled yet.
   bool isListed = false;
   for (const auto& instance : mOptions.mEntries()) {
     const bool isOwn = instance.mName == mOptions.mOwnName;
@@ -194,7 +197,7 @@
     if (!peer.mHeardAt) {
       continue;
     }
-    if (now - *peer.mHeardAt <= kAudible) {
+    if (now - *peer.mHeardAt <= kReachableWithin) {
       ++report.mAudible;
       report.mNames.push_back(name);
       lowest = std::min(lowest, peer.mDigest.mKnownUpTo);
@@ -206,7 +209,7 @@
         std::max(report.mLatestProof.value_or(*proof), *proof);
     }
   }
-  // A list that doesn't name this entry yet may lack others too.
+  // A list that lacks this entry may be outdated and lack other entries too.
   const bool areAllHeard = isListed && report.mAudible == report.mKnown;
   report.mLowestKnown = areAllHeard ? lowest : 0;
   return report;
--- a/Duties/Configuration/PeerExchange.h
+++ b/Duties/Configuration/PeerExchange.h
@@ -20,18 +20,18 @@
 
 struct peer_options
 {
-  /** Name of this instance, which the list names too. */
+  /** Name of this instance on the instance list. */
   std::string mOwnName;
   std::string mOwnIncarnation;
-  /** The entries by the last instance list. */
+  /** Returns the entries on the last instance list. */
   std::function<std::vector<platform::instance>()> mEntries;
-  milliseconds mExchangeEvery{ 500 };
+  milliseconds mExchangeInterval{ 500 };
   milliseconds mTimeout{ 1000 };
-  /** May be null. */
+  /** Optional; null disables the metrics. */
   metrics::registry* mMetrics = nullptr;
 };
 
-/** How many peers could be asked and heard, and what they know. */
+/** How many peers were polled and answered, and which revisions they know. */
 struct peer_report
 {
   std::size_t mKnown = 0;
@@ -39,15 +39,16 @@
   std::size_t mAudible = 0;
   std::int64_t mHighestChanged = 0;
   std::optional<time_point> mLatestProof;
-  /** Every peer knows all changes up to here; 0 while one can't be heard. */
+  /** Every peer knows all changes up to this revision; 0 while any peer is
+   * unreachable. */
   std::int64_t mLowestKnown = 0;
-  /** Names of the peers that can be heard. */
+  /** Names of the reachable peers. */
   std::vector<std::string> mNames;
 };
 
-/** Compares this entry's configuration with its peers' and fetches it from
- * one that knows later changes. An entry that is cut off from the platform
- * stays as fresh as the peers that it can reach. */
+/** Exchanges configuration digests with the other entries and fetches the
+ * configuration from a peer that knows later changes. An entry that is cut off
+ * from the platform thereby stays as recent as the peers that it can reach. */
 class peer_exchange
 {
 public:
--- a/Duties/Configuration/ResourceApi.cpp
+++ b/Duties/Configuration/ResourceApi.cpp
@@ -10,7 +10,7 @@
 namespace lavender::configuration {
 namespace {
 
-/** Written by the system only; operators may read it. */
+/** Kind that only the system writes; operators may read it. */
 constexpr char kUsageWindow[] = "UsageWindow";
 
 http::response
@@ -23,7 +23,7 @@
 }
 
 http::response
-Refuse(int aStatus, const std::string& aReason, json::value aDetail = {})
+ErrorResponse(int aStatus, const std::string& aReason, json::value aDetail = {})
 {
   json::value error;
   error.Set("reason", aReason);
@@ -42,7 +42,8 @@
   return value ? std::move(*value) : json::value();
 }
 
-/** What operators see of an object: a key's hash stays hidden. */
+/** Converts an object to the JSON that operators receive. The hash of a key is
+ * omitted. */
 json::value
 Describe(const platform::stored_object& aObject)
 {
@@ -78,8 +79,8 @@
   return items;
 }
 
-/** A version or wait in the query; the fallback when absent, none when it is
- * no number. */
+/** Parses a query parameter as a whole number. Returns aFallback when it is
+ * absent, and none when it isn't a number. */
 std::optional<std::int64_t>
 QueryNumber(const http::request& aRequest,
             const char* aName,
@@ -89,8 +90,8 @@
   if (text.empty()) {
     return aFallback;
   }
-  constexpr std::size_t kMostDigits = 18;
-  if (text.size() > kMostDigits ||
+  constexpr std::size_t kMaximumDigits = 18;
+  if (text.size() > kMaximumDigits ||
       text.find_first_not_of("0123456789") != std::string::npos) {
     return std::nullopt;
   }
@@ -98,56 +99,57 @@
 }
 
 http::response
-AnswerWrite(const platform::write_result& aWritten,
-            const platform::stored_object& aMeant,
-            const std::string& aShownKey)
+WriteResponse(const platform::write_result& aWritten,
+              const platform::stored_object& aIntended,
+              const std::string& aNewKey)
 {
   switch (aWritten.mState) {
     case platform::write_state::Done: {
-      auto object = aMeant;
+      auto object = aIntended;
       object.mRevision = aWritten.mRevision;
       auto body = Describe(object);
-      if (!aShownKey.empty()) {
-        body.Set("key", aShownKey);
+      if (!aNewKey.empty()) {
+        body.Set("key", aNewKey);
       }
       return JsonResponse(200, body);
     }
     case platform::write_state::Conflict:
-      return Refuse(409,
-                    "conflict",
-                    aWritten.mCurrent ? Describe(*aWritten.mCurrent)
-                                      : json::value());
+      return ErrorResponse(409,
+                           "conflict",
+                           aWritten.mCurrent ? Describe(*aWritten.mCurrent)
+                                             : json::value());
     case platform::write_state::Refused:
-      return Refuse(503, "platform_refused", aWritten.mLastReason);
+      return ErrorResponse(503, "platform_refused", aWritten.mLastReason);
     case platform::write_state::Unknown:
       break;
   }
-  return Refuse(503, "outcome_unknown", aWritten.mLastReason);
+  return ErrorResponse(503, "outcome_unknown", aWritten.mLastReason);
 }
 
-/** What an operator asks to be written. */
-struct put_order
+/** A parsed write request of an operator. */
+struct put_request
 {
   std::string mKind;
   std::string mName;
   json::value mSpec;
-  /** Version that the resource must still have; 0 for "must be absent". */
-  std::optional<std::int64_t> mExpected;
+  /** Version that the resource must have for the write to succeed; 0 when it
+   * must not exist, none for an unconditional write. */
+  std::optional<std::int64_t> mExpectedVersion;
 };
 
-/** Reads the order and collects everything that is wrong with it. */
-put_order
-ReadOrder(const http::request& aRequest,
-          const http::path_parts& aParts,
-          const json::value& aBody,
-          findings& aFound)
+/** Parses a write request and adds every problem to aFound. */
+put_request
+ParsePutRequest(const http::request& aRequest,
+                const http::path_parts& aParts,
+                const json::value& aBody,
+                findings& aFound)
 {
-  put_order order{ aParts[0], aParts[1], {}, std::nullopt };
-  const std::string place = order.mKind + "/" + order.mName;
+  put_request putRequest{ aParts[0], aParts[1], {}, std::nullopt };
+  const std::string place = putRequest.mKind + "/" + putRequest.mName;
   if (const auto* spec = aBody.Find("spec")) {
-    order.mSpec = *spec;
+    putRequest.mSpec = *spec;
   }
-  aFound = ValidateSpec(order.mKind, order.mName, order.mSpec);
+  aFound = ValidateSpec(putRequest.mKind, putRequest.mName, putRequest.mSpec);
   for (const auto& [name, member] : aBody.Members()) {
     if (name != "spec") {
       aFound.Add(place + " " + name,
@@ -156,19 +158,19 @@
     }
   }
   if (!http::QueryOr(aRequest, "resource_version", "").empty()) {
-    order.mExpected = QueryNumber(aRequest, "resource_version", 0);
-    if (!order.mExpected) {
+    putRequest.mExpectedVersion = QueryNumber(aRequest, "resource_version", 0);
+    if (!putRequest.mExpectedVersion) {
       aFound.Add(place + " resource_version", "is not a whole number");
     }
   }
-  return order;
+  return putRequest;
 }
 
-/** The snapshot may be a moment behind another entry's write, so the platform
- * has the last word on what doesn't exist. */
-existence
-ExistenceIn(const configuration_store& aStore,
-            const platform::client& aPlatform)
+/** Checks the snapshot first. It may lag behind another entry's write, so a
+ * resource that it lacks is looked up in the platform's store. */
+resource_lookup
+ResourceLookup(const configuration_store& aStore,
+               const platform::client& aPlatform)
 {
   return [&](const std::string& aKind, const std::string& aName) {
     const auto current = aStore.Current();
@@ -180,10 +182,12 @@
   };
 }
 
-/** Puts a key's hash into its spec: the one it has, or that of a new key.
- * @return the new key, to be shown this once; empty for a key that exists */
+/** Sets the hash in a key's spec: the existing one, or that of a newly
+ * generated key.
+ * @return the new key, which is shown only in this response; empty for a key
+ * that exists already */
 std::string
-GiveHash(json::value& aSpec, const json::value& aPrevious)
+SetKeyHash(json::value& aSpec, const json::value& aPrevious)
 {
   const auto* stored = aPrevious.Find("spec");
   if (stored) {
@@ -203,30 +207,33 @@
 {
   const auto body = json::Parse(aRequest.mBody);
   if (!body) {
-    return Refuse(400, "bad_json", body.mLastReason);
+    return ErrorResponse(400, "bad_json", body.mLastReason);
   }
   findings found;
-  auto order = ReadOrder(aRequest, aParts, *body, found);
-  const auto references = ValidateReferences(
-    order.mKind, order.mName, order.mSpec, ExistenceIn(aStore, aPlatform));
+  auto putRequest = ParsePutRequest(aRequest, aParts, *body, found);
+  const auto references = ValidateReferences(putRequest.mKind,
+                                             putRequest.mName,
+                                             putRequest.mSpec,
+                                             ResourceLookup(aStore, aPlatform));
   for (const auto& finding : references.mAll) {
     found.Add(finding.mPlace, finding.mProblem);
   }
   if (!found.IsEmpty()) {
-    return Refuse(400, "invalid_resource", Describe(found));
+    return ErrorResponse(400, "invalid_resource", Describe(found));
   }
-  const auto read = platform::Read(aPlatform, order.mKind, order.mName);
+  const auto read =
+    platform::Read(aPlatform, putRequest.mKind, putRequest.mName);
   if (read.mState == platform::read_state::Failed) {
-    return Refuse(503, "platform_unavailable", read.mLastReason);
+    return ErrorResponse(503, "platform_unavailable", read.mLastReason);
   }
   const bool isFound = read.mState == platform::read_state::Found;
   const auto previous = isFound ? read.mObject.mValue : json::value();
-  platform::stored_object object{ order.mKind, order.mName, 0, {} };
-  std::string shownKey;
-  if (order.mKind == "Key") {
-    shownKey = GiveHash(order.mSpec, previous);
+  platform::stored_object object{ putRequest.mKind, putRequest.mName, 0, {} };
+  std::string newKey;
+  if (putRequest.mKind == "Key") {
+    newKey = SetKeyHash(putRequest.mSpec, previous);
   }
-  object.mValue.Set("spec", order.mSpec);
+  object.mValue.Set("spec", putRequest.mSpec);
   object.mValue.Set("generation",
                     json::IntegerAt(previous, "generation", 0) + 1);
   if (const auto* status = previous.Find("status")) {
@@ -234,8 +241,8 @@
   }
   const auto current = isFound ? read.mObject.mRevision : 0;
   const auto written = platform::WriteSettled(
-    aPlatform, object, order.mExpected.value_or(current), previous);
-  return AnswerWrite(written, object, shownKey);
+    aPlatform, object, putRequest.mExpectedVersion.value_or(current), previous);
+  return WriteResponse(written, object, newKey);
 }
 
 http::response
@@ -246,26 +253,27 @@
   const auto& kind = aParts[0];
   const auto& name = aParts[1];
   if (!IsConfigurationKind(kind)) {
-    return Refuse(404, "unknown_resource");
+    return ErrorResponse(404, "unknown_resource");
   }
   const auto read = platform::Read(aPlatform, kind, name);
   if (read.mState == platform::read_state::Failed) {
-    return Refuse(503, "platform_unavailable", read.mLastReason);
+    return ErrorResponse(503, "platform_unavailable", read.mLastReason);
   }
   if (read.mState == platform::read_state::Absent) {
-    return Refuse(404, "unknown_resource");
+    return ErrorResponse(404, "unknown_resource");
   }
   const auto expected =
     QueryNumber(aRequest, "resource_version", read.mObject.mRevision);
   if (!expected) {
-    return Refuse(400, "invalid_resource", "resource_version is no number");
+    return ErrorResponse(
+      400, "invalid_resource", "resource_version is no number");
   }
   const auto written =
     platform::DeleteSettled(aPlatform, kind, name, *expected);
   if (written.mState == platform::write_state::Done) {
     return JsonResponse(200, json::object{});
   }
-  return AnswerWrite(written, read.mObject, "");
+  return WriteResponse(written, read.mObject, "");
 }
 
 http::response
@@ -274,14 +282,15 @@
   const auto from = QueryNumber(aRequest, "from", 0);
   const auto wait = QueryNumber(aRequest, "wait_ms", 1000);
   if (!from || !wait) {
-    return Refuse(400, "bad_request", "from and wait_ms are whole numbers");
+    return ErrorResponse(
+      400, "bad_request", "from and wait_ms are whole numbers");
   }
   const auto kind = http::QueryOr(aRequest, "kind", "");
   const auto batch = aStore.WaitForChanges(
     *from, milliseconds(std::min<std::int64_t>(*wait, 30000)));
   if (batch.mIsTooOld) {
-    // List anew, then watch from the list's revision.
-    return Refuse(410, "revision_too_old", json::value(batch.mRevision));
+    // The client has to list again and watch from the list's revision.
+    return ErrorResponse(410, "revision_too_old", json::value(batch.mRevision));
   }
   json::array events;
   for (const auto& event : batch.mEvents) {
@@ -312,7 +321,7 @@
               "/v1/resources/*",
               [&aStore](const auto&, const http::path_parts& aParts) {
                 if (!IsConfigurationKind(aParts[0])) {
-                  return Refuse(404, "unknown_kind");
+                  return ErrorResponse(404, "unknown_kind");
                 }
                 json::array items;
                 const auto revision = aStore.Digest().mKnownUpTo;
@@ -330,11 +339,11 @@
     [aPlatform](const auto&, const http::path_parts& aParts) {
       const auto read = platform::Read(aPlatform, aParts[0], aParts[1]);
       if (read.mState == platform::read_state::Failed) {
-        return Refuse(503, "platform_unavailable", read.mLastReason);
+        return ErrorResponse(503, "platform_unavailable", read.mLastReason);
       }
       if (read.mState == platform::read_state::Absent ||
           !(IsConfigurationKind(aParts[0]) || aParts[0] == kUsageWindow)) {
-        return Refuse(404, "unknown_resource");
+        return ErrorResponse(404, "unknown_resource");
       }
       return JsonResponse(200, Describe(read.mObject));
     });
@@ -365,9 +374,9 @@
     static const std::string kScheme = "Bearer ";
     const auto header = http::HeaderOr(aRequest.mHeaders, "Authorization", "");
     const bool isBearer = header.rfind(kScheme, 0) == 0;
-    // Hashes are compared, so the time taken tells nothing of the key.
+    // Comparing hashes avoids a timing side channel on the key.
     if (!isBearer || HashKey(header.substr(kScheme.size())) != aKeyHash) {
-      return Refuse(401, "operator_key_wrong");
+      return ErrorResponse(401, "operator_key_wrong");
     }
   }
   return http::Serve(aRouter, aRequest);
--- a/Duties/Configuration/ResourceApi.h
+++ b/Duties/Configuration/ResourceApi.h
@@ -5,18 +5,19 @@
 
 namespace lavender::configuration {
 
-/** Adds the operators' resource API: list, read, write, delete and watch.
- * @param aStore outlives the router
- * @param aPlatform copied */
+/** Adds the routes of the operators' resource API: list, read, write, delete
+ * and watch.
+ * @param aStore must outlive the router
+ * @param aPlatform is copied */
 void
 AddResourceRoutes(http::router& aRouter,
                   configuration_store& aStore,
                   const platform::client& aPlatform);
 
-/** Serves an operator who shows the operators' key as a bearer token; others
- * get 401.
- * @param aKeyHash SHA-256 of the key in hexadecimal; empty takes everybody,
- *   which the settings allow on loopback only */
+/** Serves a request that carries the operators' key as a bearer token, and
+ * responds with 401 to any other.
+ * @param aKeyHash SHA-256 of the key in hexadecimal; empty accepts every
+ * request, which the settings allow on loopback only */
 http::response
 ServeOperators(const http::router& aRouter,
                const std::string& aKeyHash,
--- a/Duties/Configuration/ResourceStatus.cpp
+++ b/Duties/Configuration/ResourceStatus.cpp
@@ -26,7 +26,7 @@
 }
 
 void
-SetPoolMembers(json::value& aStatus, const pool_facts& aFacts)
+SetPoolMembers(json::value& aStatus, const pool_summary& aFacts)
 {
   json::value servers = json::object{};
   for (const auto& [state, count] : aFacts.mServers) {
@@ -43,7 +43,7 @@
 } // namespace
 
 bool
-IsObserved(const held_resource& aResource)
+IsObserved(const stored_resource& aResource)
 {
   const auto* status = aResource.mValue.Find("status");
   return status && json::IntegerAt(*status, kObserved, 0) ==
@@ -51,7 +51,7 @@
 }
 
 std::optional<json::value>
-NextStatus(const held_resource& aResource,
+NextStatus(const stored_resource& aResource,
            const snapshot& aSnapshot,
            const status_facts& aFacts)
 {
@@ -69,7 +69,7 @@
   if (aResource.mKind == "BackendPool") {
     const auto pool = aFacts.mPools.find(aResource.mName);
     SetPoolMembers(next,
-                   pool == aFacts.mPools.end() ? pool_facts{} : pool->second);
+                   pool == aFacts.mPools.end() ? pool_summary{} : pool->second);
   }
   const bool isSame =
     shown ? json::Write(next) == json::Write(*shown) : next.Members().empty();
@@ -77,7 +77,7 @@
 }
 
 std::string
-ChooseStatusWriter(const held_resource& aResource,
+ChooseStatusWriter(const stored_resource& aResource,
                    const std::vector<std::string>& aEntries)
 {
   std::string chosen;
--- a/Duties/Configuration/ResourceStatus.h
+++ b/Duties/Configuration/ResourceStatus.h
@@ -10,27 +10,27 @@
 
 namespace lavender::configuration {
 
-/** What is known of one pool's servers. */
-struct pool_facts
+/** State of the servers of one pool. */
+struct pool_summary
 {
-  /** Servers by the word for their state. */
+  /** Number of servers by the name of their state. */
   std::map<std::string, std::int64_t> mServers;
-  /** Live servers by the weight version that they hold. */
+  /** Number of live servers by the weight version that they hold. */
   std::map<std::int64_t, std::int64_t> mHolding;
 };
 
-/** What status is made from. */
+/** Inputs from which the status of resources is computed. */
 struct status_facts
 {
-  /** Every entry by the instance list knows all changes up to here; 0 while
-   * any of them can't be heard. */
+  /** Every entry on the instance list knows all changes up to this revision; 0
+   * while any of them is unreachable. */
   std::int64_t mEverywhere = 0;
   std::int64_t mEntries = 1;
-  std::map<std::string, pool_facts> mPools;
+  std::map<std::string, pool_summary> mPools;
 };
 
-/** One resource as the store holds it. */
-struct held_resource
+/** A resource as stored in the Object API. */
+struct stored_resource
 {
   std::string mKind;
   std::string mName;
@@ -38,26 +38,29 @@
   json::value mValue;
 };
 
-/** The status that the resource should show; none when it shows that already.
+/** Computes the status that the resource should have; none when its status is
+ * already up to date.
  *
  * "observed_generation" equals the resource's generation once the operator's
- * last write is in force on all entries. A status write is itself a change, but
- * doesn't raise the generation, so status comes to rest. Members that other
- * duties wrote are left as they are. */
+ * last write is in force on all entries. A status write changes the resource's
+ * revision but not its generation, so that it doesn't cause further status
+ * writes. Status members that other components wrote are preserved. */
 std::optional<json::value>
-NextStatus(const held_resource& aResource,
+NextStatus(const stored_resource& aResource,
            const snapshot& aSnapshot,
            const status_facts& aFacts);
 
-/** True when the last write is shown as in force everywhere. */
+/** True when the status shows that the last write is in force on all entries.
+ */
 bool
-IsObserved(const held_resource& aResource);
+IsObserved(const stored_resource& aResource);
 
-/** The entry that writes a resource's status: each resource has one, chosen by
- * rendezvous, so that no lease is needed. Two entries that see different peers
- * may both write; the conditional write lets one of them through. */
+/** Chooses the entry that writes a resource's status, by rendezvous hashing
+ * over the entries, so that no lease is needed. Entries that see different
+ * peers may choose differently and both write; the conditional write lets one
+ * of them succeed. */
 std::string
-ChooseStatusWriter(const held_resource& aResource,
+ChooseStatusWriter(const stored_resource& aResource,
                    const std::vector<std::string>& aEntries);
 
 } // namespace lavender::configuration
--- a/Duties/Configuration/Snapshot.h
+++ b/Duties/Configuration/Snapshot.h
@@ -9,22 +9,24 @@
 #include <unordered_map>
 #include <utility>
 
-/** The configuration that is in force, and how it gets here. */
+/** The operators' configuration: its objects, how an entry receives them, and
+ * the API to change them. */
 namespace lavender::configuration {
 
 struct customer
 {
   std::string mName;
-  /** Share of a busy server relative to other customers. */
+  /** Weight of the customer's share of a busy server, relative to other
+   * customers. */
   double mWeight = 1;
-  /** Requests that may be under way at once over all entries; 0 for no
+  /** Maximum number of concurrent requests, summed over all entries; 0 for no
    * limit. */
   std::int64_t mMaximumConcurrent = 0;
-  /** Requests a second over all entries; 0 for no limit. */
+  /** Maximum requests per second, summed over all entries; 0 for no limit. */
   double mRequestsPerSecond = 0;
 };
 
-/** A key as it is stored: only its hash, never the key. */
+/** A customer key as it is stored, without the key itself. */
 struct key_record
 {
   std::string mName;
@@ -38,27 +40,29 @@
   std::string mCustomer;
   std::string mPool;
   std::string mModel;
-  /** How many versions older than the accepted one a sample may be. */
+  /** How many versions older than mAcceptedVersion a sample may be. */
   std::int64_t mStalenessBound = 1;
-  /** Newest weight version that the operator declared. */
+  /** Newest weight version of the model that the operator declared. */
   std::int64_t mAcceptedVersion = 0;
 };
 
 struct backend_pool
 {
   std::string mName;
-  /** Model that an engine pool serves, or empty. */
+  /** Model that the pool's inference engines serve, or empty. */
   std::string mModel;
   /** Service name under /v1/services, or empty. */
   std::string mService;
   bool mIsRepeatable = true;
-  /** Bounds of the servers that the system keeps in each zone. */
+  /** Minimum number of servers that the system keeps in each availability
+   * zone. */
   std::int64_t mMinimumPerZone = 0;
-  /** The system orders no start or stop while this is 0. */
+  /** Maximum number of servers in each availability zone. While it is 0, the
+   * system doesn't start or stop servers of this pool. */
   std::int64_t mMaximumPerZone = 0;
 };
 
-/** All of the configuration at one revision of the Object API. Immutable once
+/** The whole configuration at one revision of the Object API. Immutable once
  * published. */
 struct snapshot
 {
@@ -69,27 +73,28 @@
   std::map<std::string, backend_pool> mPools;
 };
 
-/** One object as it is held: the value stays JSON text, because a parsed tree
- * of every key would be the largest part of an entry's memory. */
+/** One object of the local copy. The value is kept as JSON text because the
+ * parsed trees of all keys would take the largest part of an entry's memory. */
 struct kept_object
 {
   std::int64_t mRevision = 0;
   std::string mText;
 };
 
-/** Objects by kind and name, as the Object API holds them. */
+/** Objects by kind and name, as in the Object API. */
 using object_map = std::map<std::pair<std::string, std::string>, kept_object>;
 
 /** True for the kinds that make up the configuration. */
 bool
 IsConfigurationKind(const std::string& aKind);
 
-/** Builds the snapshot from objects. An object that doesn't make sense is
- * left out; it can only come from a writer that went round the validation. */
+/** Builds a snapshot from all objects. Missing or malformed fields get their
+ * defaults; they can only come from a writer that bypassed the validation. */
 snapshot
 BuildSnapshot(const object_map& aObjects, std::int64_t aRevision);
 
-/** One object before and after a change; empty text where there is none. */
+/** JSON text of one object before and after a change; empty where it doesn't
+ * exist. */
 struct object_change
 {
   std::string mKind;
@@ -98,8 +103,8 @@
   std::string mAfter;
 };
 
-/** Carries one change over into a snapshot, which then equals one built anew
- * once RefreshAcceptedVersions has run too. */
+/** Applies one change to a snapshot. After RefreshAcceptedVersions has run too,
+ * the snapshot equals one that BuildSnapshot creates. */
 void
 ApplyChange(snapshot& aSnapshot, const object_change& aChange);
 
@@ -107,9 +112,10 @@
 void
 RefreshAcceptedVersions(snapshot& aSnapshot, const object_map& aObjects);
 
-/** Pool that serves the model, or the service; null when there is none. */
+/** Returns the pool that serves the model, or null. */
 const backend_pool*
 FindPoolForModel(const snapshot& aSnapshot, const std::string& aModel);
+/** Returns the pool that serves the service, or null. */
 const backend_pool*
 FindPoolForService(const snapshot& aSnapshot, const std::string& aService);
 
--- a/Duties/Configuration/StatusDuty.cpp
+++ b/Duties/Configuration/StatusDuty.cpp
@@ -14,9 +14,10 @@
                                    "TrainingRun",
                                    "BackendPool" };
 
-/** Its status shows the servers, which change without the resource. */
+/** True for a resource whose status includes the state of servers, which
+ * changes without a change to the resource. */
 bool
-IsAlwaysLookedAt(const held_resource& aResource)
+HasServerStatus(const stored_resource& aResource)
 {
   return aResource.mKind == "BackendPool";
 }
@@ -62,8 +63,8 @@
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
     lock.unlock();
-    TakeChanges();
-    WriteDue(boot_clock::now());
+    ReadChanges();
+    WritePending(boot_clock::now());
     lock.lock();
     mStopped.wait_for(
       lock, mOptions.mLookEvery, [this] { return mIsStopping; });
@@ -71,14 +72,14 @@
 }
 
 void
-status_duty::TakeChanges()
+status_duty::ReadChanges()
 {
-  const auto batch = mStore.WaitForChanges(mSeen, 0ms);
+  const auto batch = mStore.WaitForChanges(mSeenRevision, 0ms);
   if (batch.mIsTooOld) {
-    TakeAll();
+    ReadAll();
     return;
   }
-  mSeen = batch.mRevision;
+  mSeenRevision = batch.mRevision;
   for (const auto& event : batch.mEvents) {
     const identity name{ event.mKind, event.mName };
     if (event.mIsDeletion) {
@@ -92,16 +93,16 @@
 }
 
 void
-status_duty::TakeAll()
+status_duty::ReadAll()
 {
-  mSeen = mStore.Digest().mKnownUpTo;
+  mSeenRevision = mStore.Digest().mKnownUpTo;
   mPending.clear();
   for (const char* kind : kKinds) {
     for (auto& object : mStore.Objects(kind)) {
-      held_resource resource{
+      stored_resource resource{
         object.mKind, object.mName, object.mRevision, std::move(object.mValue)
       };
-      if (IsAlwaysLookedAt(resource) || !IsObserved(resource)) {
+      if (HasServerStatus(resource) || !IsObserved(resource)) {
         mPending[{ object.mKind, object.mName }].mResource =
           std::move(resource);
       }
@@ -110,7 +111,7 @@
 }
 
 void
-status_duty::WriteDue(time_point aNow)
+status_duty::WritePending(time_point aNow)
 {
   const auto facts = mOptions.mFacts();
   const auto entries = mOptions.mEntries();
@@ -119,13 +120,14 @@
     auto& pending = item->second;
     const auto& resource = pending.mResource;
     auto next = NextStatus(resource, *current, facts);
-    if (!next && IsObserved(resource) && !IsAlwaysLookedAt(resource)) {
+    if (!next && IsObserved(resource) && !HasServerStatus(resource)) {
       item = mPending.erase(item);
       continue;
     }
     ++item;
     const bool isTooSoon =
-      pending.mWrittenAt && aNow - *pending.mWrittenAt < mOptions.mWriteEvery;
+      pending.mWrittenAt &&
+      aNow - *pending.mWrittenAt < mOptions.mMinimumWriteInterval;
     const bool isOurs =
       next && ChooseStatusWriter(resource, entries) == mOptions.mOwnName;
     if (!isOurs || isTooSoon) {
@@ -145,18 +147,19 @@
 status_duty::WriteStatus(pending_resource& aPending, json::value aStatus)
 {
   auto& resource = aPending.mResource;
-  platform::stored_object meant{
+  platform::stored_object intended{
     resource.mKind, resource.mName, resource.mRevision, resource.mValue
   };
-  meant.mValue.Set("status", std::move(aStatus));
+  intended.mValue.Set("status", std::move(aStatus));
   const auto written = platform::WriteSettled(
-    mOptions.mPlatform, meant, resource.mRevision, resource.mValue);
+    mOptions.mPlatform, intended, resource.mRevision, resource.mValue);
   const bool isConflict = written.mState == platform::write_state::Conflict;
-  // After a conflict the watch brings what stands there now.
+  // After a conflict the store's watch delivers the current resource.
   if (written.mState != platform::write_state::Done && !isConflict) {
     Log(log_level::Warning,
         "status",
-        "Status not written: " + written.mLastReason);
+        "Status of a resource not written to the platform: " +
+          written.mLastReason);
     return false;
   }
   return true;
--- a/Duties/Configuration/StatusDuty.h
+++ b/Duties/Configuration/StatusDuty.h
@@ -19,17 +19,19 @@
 {
   platform::client mPlatform;
   std::string mOwnName;
-  /** Entries that can be heard, this one among them. */
+  /** Names of the reachable entries, including this one. */
   std::function<std::vector<std::string>()> mEntries;
   std::function<status_facts()> mFacts;
   milliseconds mLookEvery{ 1000 };
-  /** A resource's status is written at most this often. */
-  milliseconds mWriteEvery{ 5000 };
-  /** Status writes of this process; they must never crowd out leases. */
+  /** Minimum interval between two status writes to one resource. */
+  milliseconds mMinimumWriteInterval{ 5000 };
+  /** Rate limit for the status writes of this process, so that they never delay
+   * lease renewals. */
   double mWritesPerSecond = 5;
 };
 
-/** Writes what operators see of each resource, in a thread of its own. */
+/** Writes the status of each resource, which operators read, from a background
+ * thread. */
 class status_duty
 {
 public:
@@ -45,14 +47,14 @@
   using identity = std::pair<std::string, std::string>;
   struct pending_resource
   {
-    held_resource mResource;
+    stored_resource mResource;
     std::optional<time_point> mWrittenAt;
   };
 
   void Loop();
-  void TakeChanges();
-  void TakeAll();
-  void WriteDue(time_point aNow);
+  void ReadChanges();
+  void ReadAll();
+  void WritePending(time_point aNow);
   bool WriteStatus(pending_resource& aPending, json::value aStatus);
 
   const status_options mOptions;
@@ -60,7 +62,7 @@
   std::mutex mMutex;
   std::condition_variable mStopped;
   bool mIsStopping = false;
-  std::int64_t mSeen = 0;
+  std::int64_t mSeenRevision = 0;
   std::map<identity, pending_resource> mPending;
   platform::token_bucket mBucket;
   std::thread mThread;
--- a/Duties/Configuration/TestConfigurationState.cpp
+++ b/Duties/Configuration/TestConfigurationState.cpp
@@ -11,13 +11,13 @@
 
 constexpr int kKeys = 3;
 
-/** Every state that the store ever had, so that any old answer can be given
- * again. */
+/** Every past state of the store, so that any outdated response can be
+ * simulated. */
 struct store_history
 {
   std::vector<object_map> mAt = { {}, {} };
   std::vector<platform::object_event> mEvents;
-  /** Last revision that touched the configuration, by revision. */
+  /** Last revision that changed the configuration, by revision. */
   std::vector<std::int64_t> mChanged = { 0, 0 };
 
   std::int64_t Newest() const
@@ -44,7 +44,7 @@
 };
 
 void
-WriteSomething(store_history& aHistory, unsigned aChoice)
+WriteRandomChange(store_history& aHistory, unsigned aChoice)
 {
   const auto name = "key-" + std::to_string(aChoice / 8 % kKeys);
   json::value spec;
@@ -65,7 +65,7 @@
       aHistory.Write("TrainingRun", "run", spec);
       break;
     default:
-      // A key may come back with another hash, as after delete and create.
+      // A key may get another hash, as after it is deleted and created again.
       spec.Set("customer", "brf");
       spec.Set("hash", name + "-" + std::to_string(aChoice / 32 % 2));
       spec.Set("withdrawn", aChoice % 2 == 0);
@@ -88,8 +88,7 @@
   return list;
 }
 
-/** The answer to a watch from one revision, given when the store was at the
- * other one. */
+/** Returns the response to a watch from aFrom when the store was at aTo. */
 platform::watch_batch
 BatchOf(const store_history& aHistory, std::int64_t aFrom, std::int64_t aTo)
 {
@@ -124,7 +123,8 @@
 }
 
 void
-CheckAgainst(const store_history& aHistory, const configuration_state& aState)
+CheckStateAgainst(const store_history& aHistory,
+                  const configuration_state& aState)
 {
   const auto at = static_cast<std::size_t>(aState.mKnownUpTo);
   RC_ASSERT(aState.mObjects.size() == aHistory.mAt[at].size());
@@ -141,55 +141,57 @@
 
 BOOST_AUTO_TEST_SUITE(TestConfigurationState)
 
-// Story: an operator's change is in force at an entry, and a moment later the
-// old configuration is back. An answer that was late, from an old copy of the
-// store, or from a peer that lags, replaced what was newer.
+// Guards against reverting a change that was already in force at an entry. A
+// late response, one from a stale replica of the store, or one from a lagging
+// peer must not replace a newer state.
 BOOST_AUTO_TEST_CASE(NoAnswerInAnyOrderTakesTheStateBack)
 {
   BOOST_TEST(rc::check(
-    "the state always equals the store at its revision, which only grows",
+    "the state always equals the store at its revision, which never decreases",
     [](const std::vector<unsigned short>& aNumbers) {
       store_history history;
       std::array<configuration_state, 2> states;
       time_point now{ 1000s };
       for (const unsigned number : aNumbers) {
         now += 1s;
-        WriteSomething(history, number / 16);
+        WriteRandomChange(history, number / 16);
         auto& state = states[number / 4 % 2];
         auto& other = states[1 - number / 4 % 2];
         const auto before = state.mKnownUpTo;
         const auto provenBefore = state.mProvenAt;
-        // Any time of the past may be what a late or lagging answer shows.
-        const auto shown =
+        // A late or stale response may show any past revision.
+        const auto shownRevision =
           1 + (number / 8) % static_cast<unsigned>(history.Newest());
         switch (number % 4) {
           case 0:
-            TakeList(state, ListAt(history, shown), now);
+            TakeList(state, ListAt(history, shownRevision), now);
             break;
           case 1:
-            TakeBatch(state, BatchOf(history, state.mKnownUpTo, shown), now);
+            TakeBatch(
+              state, BatchOf(history, state.mKnownUpTo, shownRevision), now);
             break;
           case 2:
-            TakeCopy(state, CopyOf(other));
+            ApplyCopy(state, CopyOf(other));
             break;
           default:
-            TakeDigest(state, DigestOf(other));
+            ApplyDigest(state, DigestOf(other));
         }
         RC_ASSERT(state.mKnownUpTo >= before);
         RC_ASSERT(!provenBefore || *state.mProvenAt >= *provenBefore);
         if (state.mKnownUpTo > 0) {
-          CheckAgainst(history, state);
+          CheckStateAgainst(history, state);
         }
       }
     }));
 }
 
-// Story: an operator's tool watches, loses its connection and resumes. It must
-// see every change or be told that it is too late, never miss one silently.
+// An operator's tool loses its connection and resumes its watch. It must
+// receive every change, or be received that its revision is too old, but never
+// miss a change without notice.
 BOOST_AUTO_TEST_CASE(AResumedWatchMissesNothing)
 {
   BOOST_TEST(rc::check(
-    "changes after a revision are all there, or too old is said",
+    "a watch returns all changes after a revision, or says it is too old",
     [](const std::vector<unsigned short>& aNumbers) {
       store_history history;
       configuration_state state;
@@ -197,8 +199,9 @@
       std::int64_t seen = state.mKnownUpTo;
       std::int64_t listed = state.mKnownUpTo;
       for (const unsigned number : aNumbers) {
-        WriteSomething(history, number / 16);
-        // A copy may have come while the watch waited, so it began earlier.
+        WriteRandomChange(history, number / 16);
+        // A peer's copy may have been applied while the watch waited, so the
+        // watch may have started from an earlier revision.
         const auto from =
           std::max<std::int64_t>(1, state.mKnownUpTo - number / 8 % 4);
         if (number % 8 == 0) {
@@ -224,11 +227,11 @@
               expected.push_back(event.mObject.mRevision);
             }
           }
-          std::vector<std::int64_t> told;
+          std::vector<std::int64_t> received;
           for (const auto& event : batch.mEvents) {
-            told.push_back(event.mObject.mRevision);
+            received.push_back(event.mObject.mRevision);
           }
-          RC_ASSERT(told == expected);
+          RC_ASSERT(received == expected);
         }
         seen = batch.mRevision;
       }
--- a/Duties/Configuration/Validation.cpp
+++ b/Duties/Configuration/Validation.cpp
@@ -20,8 +20,8 @@
   const char* mName;
   field_type mType;
   bool mIsRequired;
-  double mLowest;
-  double mHighest;
+  double mMinimum;
+  double mMaximum;
 };
 
 const std::vector<field_rule>&
@@ -97,13 +97,14 @@
       break;
   }
   const double number = aValue.NumberOr(0);
-  return number < aRule.mLowest || number > aRule.mHighest ? "is out of range"
-                                                           : "";
+  return number < aRule.mMinimum || number > aRule.mMaximum ? "is out of range"
+                                                            : "";
 }
 
-/** Names go into paths, labels and logs. */
+/** Checks a resource's name, which is used in URL paths, metric labels and
+ * logs. */
 std::string
-FindNameFault(const std::string& aName)
+FindNameProblem(const std::string& aName)
 {
   constexpr std::size_t kLongestName = 128;
   if (aName.size() > kLongestName) {
@@ -120,13 +121,13 @@
 
 } // namespace
 
-std::vector<reference>
+std::vector<resource_reference>
 ReferencesOf(const std::string& aKind, const json::value& aSpec)
 {
-  std::vector<reference> references;
-  const auto add = [&](const char* aField, const char* aReferredKind) {
+  std::vector<resource_reference> references;
+  const auto add = [&](const char* aField, const char* aReferencedKind) {
     if (auto name = json::StringAt(aSpec, aField, ""); !name.empty()) {
-      references.push_back({ aField, aReferredKind, std::move(name) });
+      references.push_back({ aField, aReferencedKind, std::move(name) });
     }
   };
   if (aKind == "Key" || aKind == "TrainingRun") {
@@ -142,7 +143,7 @@
 ValidateReferences(const std::string& aKind,
                    const std::string& aName,
                    const json::value& aSpec,
-                   const existence& aExists)
+                   const resource_lookup& aExists)
 {
   findings found;
   for (const auto& [field, kind, name] : ReferencesOf(aKind, aSpec)) {
@@ -166,8 +167,8 @@
     found.Add(place, "unknown kind");
     return found;
   }
-  if (auto fault = FindNameFault(aName); !fault.empty()) {
-    found.Add(place, fault);
+  if (auto problem = FindNameProblem(aName); !problem.empty()) {
+    found.Add(place, problem);
   }
   if (!aSpec.IsObject()) {
     found.Add(place + " spec", "must be an object");
--- a/Duties/Configuration/Validation.h
+++ b/Duties/Configuration/Validation.h
@@ -9,33 +9,35 @@
 
 namespace lavender::configuration {
 
-/** Everything wrong with a resource's spec, each with kind, name and field. */
+/** Returns every problem of a resource's spec, with kind, name and field. */
 findings
 ValidateSpec(const std::string& aKind,
              const std::string& aName,
              const json::value& aSpec);
 
-/** A field that names another resource. */
-struct reference
+/** A field of a spec that names another resource. */
+struct resource_reference
 {
   std::string mField;
   std::string mKind;
   std::string mName;
 };
 
-std::vector<reference>
+std::vector<resource_reference>
 ReferencesOf(const std::string& aKind, const json::value& aSpec);
 
-/** Whether a resource of that kind and name exists. */
-using existence = std::function<bool(const std::string&, const std::string&)>;
+/** Returns whether a resource of the given kind and name exists. */
+using resource_lookup =
+  std::function<bool(const std::string&, const std::string&)>;
 
-/** References to resources that don't exist. They are refused, not warned of:
- * a key of an unknown customer is nearly always a slip of the pen, and the
- * right order of writing is always possible. */
+/** Returns every resource_reference to a resource that doesn't exist. They are
+ * errors rather than warnings because a key of an unknown customer is nearly
+ * always a typing error, and the referenced resource can always be written
+ * first. */
 findings
 ValidateReferences(const std::string& aKind,
                    const std::string& aName,
                    const json::value& aSpec,
-                   const existence& aExists);
+                   const resource_lookup& aExists);
 
 } // namespace lavender::configuration
--- a/Duties/Keys/FreshnessGate.cpp
+++ b/Duties/Keys/FreshnessGate.cpp
@@ -32,7 +32,7 @@
                          time_point aNow)
 {
   return IsRecent(
-           aWitnesses.mLatestProof, aLimits.mMaximumConfirmationAge, aNow) &&
+           aWitnesses.mLatestProof, aLimits.mMaximumVerificationAge, aNow) &&
          (!aOwn.mProvenAt ||
           *aWitnesses.mLatestProof - *aOwn.mProvenAt >= aLimits.mMinimumLead);
 }
@@ -51,7 +51,7 @@
       !aWitnesses.mKnown || aWitnesses.mAsked < *aWitnesses.mKnown) {
     return false;
   }
-  return IsRecent(aOwn.mProvenAt, aLimits.mMaximumConfirmationAge, aNow) ||
+  return IsRecent(aOwn.mProvenAt, aLimits.mMaximumVerificationAge, aNow) ||
          (*aWitnesses.mKnown > 0 && ReachesAtLeastHalf(aWitnesses));
 }
 
@@ -82,7 +82,7 @@
   if (isBehind) {
     return freshness::Behind;
   }
-  if (IsRecent(aOwn.mProvenAt, aLimits.mMaximumConfirmationAge, aNow)) {
+  if (IsRecent(aOwn.mProvenAt, aLimits.mMaximumVerificationAge, aNow)) {
     return freshness::Current;
   }
   if (isCutOff) {
--- a/Duties/Keys/FreshnessGate.h
+++ b/Duties/Keys/FreshnessGate.h
@@ -16,7 +16,7 @@
 {
   /** Every change up to this revision is known; 0 before the first state. */
   std::int64_t mKnownUpTo = 0;
-  /** Last time at which the store confirmed that this revision was its newest;
+  /** Last time at which the store confirmed this revision as its newest;
    * none when it never did. */
   std::optional<time_point> mProvenAt;
 };
@@ -32,23 +32,23 @@
   std::size_t mAudible = 0;
   /** Revision of the latest configuration change that any of them knows. */
   std::int64_t mHighestChanged = 0;
-  /** Latest time at which any entry's copy was confirmed as the newest. */
+  /** Latest time at which any entry's copy was verified as the newest. */
   std::optional<time_point> mLatestProof;
 };
 
 /** Bounds on how long a withdrawn key stays usable: at most
- * mMaximumConfirmationAge at an entry that is cut off from the store, and at
+ * mMaximumVerificationAge at an entry that is cut off from the store, and at
  * most mCatchUpTime at an entry that can reach a process which knows of the
  * withdrawal. */
 struct freshness_limits
 {
-  /** Maximum age of the last confirmation. Must exceed the longest interval
-   * between two confirmations in normal operation, which is a watch's wait plus
+  /** Maximum age of the last verification. Must exceed the longest interval
+   * between two verifications in normal operation, which is a watch's wait plus
    * its timeout. */
-  milliseconds mMaximumConfirmationAge{ 6000 };
-  /** How much later another entry's confirmation must be than this entry's to
+  milliseconds mMaximumVerificationAge{ 6000 };
+  /** How much later another entry's verification must be than this entry's to
    * show that the store still answers other entries. Must exceed the difference
-   * between the last confirmations of two entries that lose the store at the
+   * between the last verifications of two entries that lose the store at the
    * same time: otherwise each would conclude that the store still answers the
    * other, and refuse keys. */
   milliseconds mMinimumLead{ 3000 };
@@ -68,7 +68,7 @@
 
 enum class freshness
 {
-  /** Confirmed recently: keys are accepted. */
+  /** Verified recently: keys are accepted. */
   Current,
   /** The store answers no entry, so no key can be withdrawn: keys are
    * accepted. */
--- a/Duties/Keys/KeyGate.cpp
+++ b/Duties/Keys/KeyGate.cpp
@@ -28,8 +28,7 @@
   if (evaluated != mLastFreshness) {
     Log(IsFreshEnough(evaluated) ? log_level::Info : log_level::Warning,
         "keys",
-        std::string("Freshness of the configuration, which decides whether "
-                    "customer keys are accepted, is now: ") +
+        std::string("Freshness of the configuration changed to ") +
           WordFor(evaluated));
     if (mOptions.mMetrics) {
       mOptions.mMetrics->Count("lavender_freshness_changes_total",
--- a/Duties/Keys/TestFreshnessGate.cpp
+++ b/Duties/Keys/TestFreshnessGate.cpp
@@ -30,7 +30,7 @@
 BOOST_AUTO_TEST_SUITE(TestFreshnessGate)
 
 // Guards against 503 responses to valid keys at the start of a store outage.
-// The entry whose last confirmation is older must not conclude from the other
+// The entry whose last verification is older must not conclude from the other
 // entry's slightly later one that the store still answers other entries.
 BOOST_AUTO_TEST_CASE(EntriesThatLoseTheStoreTogetherGoOn)
 {
@@ -68,7 +68,7 @@
 }
 
 // The platform is so slow that it answers only occasionally. An entry that is
-// cut off must not accept keys between two confirmations of other entries.
+// cut off must not accept keys between two verifications of other entries.
 BOOST_AUTO_TEST_CASE(ProofsFarApartStillShowACut)
 {
   auto state = Joined();
--- a/Duties/Keys/TestFreshnessHistories.cpp
+++ b/Duties/Keys/TestFreshnessHistories.cpp
@@ -97,7 +97,7 @@
   keys::freshness_state mFreshnessState;
   std::array<process_view, kAgents> mAgents;
   std::array<process_view, kEntries> mPeers;
-  whole_copy mDisk;
+  full_copy mDisk;
   keys::freshness mFreshness = keys::freshness::Joining;
   std::int64_t mHighestKnown = 0;
   /** Last change held before the current tick: an entry may poll this one
@@ -177,7 +177,7 @@
     aEntry.mDisk = disk;
     auto copy = disk;
     copy.mProvenAt.reset();
-    TakeCopy(aEntry.mState, std::move(copy));
+    ApplyCopy(aEntry.mState, std::move(copy));
   }
 }
 
@@ -225,8 +225,8 @@
     view.mHeardAt = aSimulation.mNow;
     view.mChanged = digest.mChanged;
     view.mProvenAt = digest.mProvenAt;
-    if (TakeDigest(entry.mState, digest) == take_outcome::NeedsCopy) {
-      TakeCopy(entry.mState, CopyOf(peer.mState));
+    if (ApplyDigest(entry.mState, digest) == take_outcome::NeedsFullCopy) {
+      ApplyCopy(entry.mState, CopyOf(peer.mState));
     }
   }
 }
