--- a/Duties/Reports/Remainder.cpp
+++ b/Duties/Reports/Remainder.cpp
@@ -93,7 +93,7 @@
   }
   for (const auto& object : list->mObjects) {
     const auto buckets = Parse(object.mValue).mBuckets;
-    if (usage::IncludedOf(aMarks, buckets).size() == buckets.size()) {
+    if (usage::IncludedBuckets(aMarks, buckets).size() == buckets.size()) {
       platform::Delete(aPlatform, kKind, object.mName, object.mRevision);
     }
   }
--- a/Duties/Reports/UsageReporter.cpp
+++ b/Duties/Reports/UsageReporter.cpp
@@ -88,7 +88,7 @@
     });
 }
 
-usage::agent_offer
+usage::agent_usage
 ToOffer(const wire::usage_reply& aReply)
 {
   return { aReply.incarnation, aReply.closed_through, aReply.buckets };
@@ -197,7 +197,7 @@
 usage_reporter::FixNext(std::int64_t aWindow)
 {
   const auto all = Collect(aWindow);
-  const auto report = usage::MakeReport(
+  const auto report = usage::BuildReport(
     aWindow,
     all.mAgents,
     all.mFromEntries,
@@ -260,7 +260,7 @@
 usage_reporter::CollectAgents(std::int64_t aThrough, collection& aAll)
 {
   const auto servers = mDirectory.Servers();
-  std::vector<std::optional<usage::agent_offer>> offers(servers.size());
+  std::vector<std::optional<usage::agent_usage>> offers(servers.size());
   SideBySide(servers.size(), [&](std::size_t aPlace) {
     const auto& server = servers[aPlace];
     const auto answer = Ask(*server.mConnections,
@@ -338,7 +338,7 @@
       return;
     }
     const auto included =
-      usage::IncludedOf(report.mMarks, answer.mReply.buckets);
+      usage::IncludedBuckets(report.mMarks, answer.mReply.buckets);
     if (!included.empty()) {
       Ask(aPool, report.mWindow, included);
     }
@@ -350,7 +350,7 @@
   const auto pools = OtherEntries();
   SideBySide(pools.size(), [&](std::size_t aPlace) { settle(*pools[aPlace]); });
   mOwnAccount.Settle(
-    usage::IncludedOf(report.mMarks, mOwnAccount.Buckets(report.mWindow)));
+    usage::IncludedBuckets(report.mMarks, mOwnAccount.Buckets(report.mWindow)));
   DropRemainders(mOptions.mPlatform, report.mMarks);
 }
 
--- a/Duties/Reports/UsageReporter.h
+++ b/Duties/Reports/UsageReporter.h
@@ -56,7 +56,7 @@
   /** All that the witnesses told in one round. */
   struct collection
   {
-    std::vector<usage::agent_offer> mAgents;
+    std::vector<usage::agent_usage> mAgents;
     std::vector<wire::usage_bucket> mFromEntries;
     /** Told by the entries, for the agents to take out. */
     std::vector<wire::superseded_run> mSuperseded;
@@ -84,7 +84,7 @@
   std::int64_t mFencing = 0;
   std::optional<time_point> mUnansweredAt;
   /** Last words of agents that left, until they are fixed. */
-  std::map<std::string, usage::agent_offer> mDrained;
+  std::map<std::string, usage::agent_usage> mDrained;
   /** Since when an agent that an entry counted for didn't answer. */
   std::map<std::string, time_point> mMissingSince;
   std::map<std::string, std::unique_ptr<entry_pool>> mPools;
--- a/Duties/Usage/TestWindowReport.cpp
+++ b/Duties/Usage/TestWindowReport.cpp
@@ -17,14 +17,14 @@
 
 constexpr std::size_t kEvents = 120;
 
-/** A process that counts; another incarnation takes its place. */
-struct witness
+/** A process that counts usage; Renew replaces it with a new incarnation. */
+struct counting_process
 {
   std::string mIncarnation;
   std::shared_ptr<usage_account> mAccount = std::make_shared<usage_account>();
   bool mIsCutOff = false;
-  /** Its clock is behind by so many windows. */
-  std::int64_t mBehind = 0;
+  /** Number of windows by which its clock is behind. */
+  std::int64_t mWindowsBehind = 0;
 };
 
 enum class fault
@@ -40,29 +40,31 @@
   Superseded
 };
 
-/** A call that ran at one agent and was answered by another. */
+/** A request that ran at one agent and was answered by another. */
 struct repeated_call
 {
   std::string mEntry;
   std::string mFirstAgent;
-  /** The first agent knows that its run isn't to be billed. */
-  bool mIsTold = false;
+  /** The first agent knows that its run must not be billed. */
+  bool mIsAgentInformed = false;
 };
 
-/** What one reporter knows; it may be wrong by now. */
+/** What one reporter knows, which may be outdated. */
 struct reporter
 {
   std::optional<window_report> mNewest;
-  /** Made, and not yet written: the reporter was paused in between. */
-  std::optional<window_report> mMade;
+  /** Report that was built but not stored yet; the reporter may be paused in
+   * between. */
+  std::optional<window_report> mBuilt;
 };
 
 /** Two reporters, three agents, two entries and the Object API. Each request
- * has a customer of its own, so that the figures tell which were billed. */
-struct world
+ * has a customer of its own, so that the reports show which requests were
+ * billed. */
+struct simulation
 {
-  std::vector<witness> mAgents = std::vector<witness>(3);
-  std::vector<witness> mEntries = std::vector<witness>(2);
+  std::vector<counting_process> mAgents = std::vector<counting_process>(3);
+  std::vector<counting_process> mEntries = std::vector<counting_process>(2);
   std::vector<reporter> mReporters = std::vector<reporter>(2);
   std::vector<std::vector<wire::usage_bucket>> mRemainders;
   std::map<std::int64_t, window_report> mStore;
@@ -70,16 +72,17 @@
   std::set<std::string> mAlive;
   std::int64_t mNow = 100;
   int mNames = 0;
-  /** Requests and, for each, the incarnations that still know of it. */
+  /** Incarnations that still count each request, by the request's customer. */
   std::map<std::string, std::set<std::string>> mServed;
   std::set<std::string> mExcused;
-  /** Requests that were repeated elsewhere. */
+  /** Requests that were repeated at another agent. */
   std::map<std::string, repeated_call> mRepeated;
-  /** Of these, those whose entry was dead or out of the reporter's reach. */
-  std::set<std::string> mMayBeDouble;
+  /** Repeated requests that may be billed twice, because their entry was dead
+   * or unreachable for the reporter. */
+  std::set<std::string> mMayBeBilledTwice;
   std::set<fault> mFaults;
 
-  world()
+  simulation()
   {
     for (auto* group : { &mAgents, &mEntries }) {
       for (auto& each : *group) {
@@ -90,38 +93,42 @@
     mStore[mNow - 1].mIsReported = true;
   }
 
-  void Renew(witness& aWitness)
+  void Renew(counting_process& aProcess)
   {
-    mAlive.erase(aWitness.mIncarnation);
-    aWitness = {};
-    aWitness.mIncarnation = "p" + std::to_string(mNames++);
-    mAlive.insert(aWitness.mIncarnation);
+    mAlive.erase(aProcess.mIncarnation);
+    aProcess = {};
+    aProcess.mIncarnation = "p" + std::to_string(mNames++);
+    mAlive.insert(aProcess.mIncarnation);
   }
 
   const window_report& Newest() const { return mStore.rbegin()->second; }
 
-  void ServeOne(witness& aAgent, witness& aEntry)
+  void ServeOne(counting_process& aAgent, counting_process& aEntry)
   {
     const auto customer = "r" + std::to_string(mNames++);
     const auto window =
       aAgent.mAccount->CountRun(aAgent.mIncarnation,
                                 aEntry.mIncarnation,
-                                mNow - aAgent.mBehind,
+                                mNow - aAgent.mWindowsBehind,
                                 { customer + ".1", customer, 10, 20 });
     aEntry.mAccount->Count(
       aAgent.mIncarnation, aEntry.mIncarnation, customer, window, 10, 20);
     mServed[customer] = { aAgent.mIncarnation, aEntry.mIncarnation };
   }
 
-  /** The entry loses sight of the agent and repeats the call at another; the
-   * first run ends before that or after it. */
-  void ServeAgain(witness& aFirst, witness& aOther, witness& aEntry, bool aLate)
+  /** The entry loses contact with the first agent and repeats the request at
+   * another one. The first run ends before the repeated run, or after it if
+   * aLate. */
+  void ServeRepeated(counting_process& aFirst,
+                     counting_process& aOther,
+                     counting_process& aEntry,
+                     bool aLate)
   {
     const auto customer = "r" + std::to_string(mNames);
     const auto firstRun = [&] {
       aFirst.mAccount->CountRun(aFirst.mIncarnation,
                                 aEntry.mIncarnation,
-                                mNow - aFirst.mBehind,
+                                mNow - aFirst.mWindowsBehind,
                                 { customer + ".0", customer, 10, 20 });
     };
     if (!aLate) {
@@ -139,53 +146,55 @@
     mFaults.insert(fault::Superseded);
   }
 
-  /** Nobody but the entry knows which runs of its calls were repeated. */
-  void ExcuseDoubles(const witness& aEntry)
+  /** Only the entry knows which runs of its requests were repeated, so its
+   * death may cause double billing of those that no agent was told of. */
+  void ExcuseDoubleBilling(const counting_process& aEntry)
   {
     for (const auto& [customer, call] : mRepeated) {
-      if (call.mEntry == aEntry.mIncarnation && !call.mIsTold) {
-        mMayBeDouble.insert(customer);
+      if (call.mEntry == aEntry.mIncarnation && !call.mIsAgentInformed) {
+        mMayBeBilledTwice.insert(customer);
       }
     }
   }
 
-  void NoteTold(const witness& aAgent)
+  void RecordInformedAgent(const counting_process& aAgent)
   {
     for (auto& entry : mRepeated) {
       auto& call = entry.second;
-      const bool isHeard =
+      const bool isEntryReachable =
         std::any_of(mEntries.begin(), mEntries.end(), [&](const auto& aEntry) {
           return aEntry.mIncarnation == call.mEntry && !aEntry.mIsCutOff;
         });
-      call.mIsTold =
-        call.mIsTold || (isHeard && call.mFirstAgent == aAgent.mIncarnation);
+      call.mIsAgentInformed =
+        call.mIsAgentInformed ||
+        (isEntryReachable && call.mFirstAgent == aAgent.mIncarnation);
     }
   }
 
-  /** What an entry that can't be heard repeated, an agent that can be may
-   * offer for the bill. */
-  void ExcuseUnheard()
+  /** Excuses the requests that an unreachable entry repeated while the first
+   * agent, which isn't told of it, is reachable and reports its run. */
+  void ExcuseUnreachableEntries()
   {
     for (const auto& entry : mEntries) {
       for (const auto& repeated : mRepeated) {
         const auto& call = repeated.second;
-        const bool isOffered =
+        const bool isAgentReachable =
           std::any_of(mAgents.begin(), mAgents.end(), [&](const auto& aAgent) {
             return aAgent.mIncarnation == call.mFirstAgent && !aAgent.mIsCutOff;
           });
-        if (entry.mIsCutOff && entry.mIncarnation == call.mEntry && isOffered &&
-            !call.mIsTold) {
-          mMayBeDouble.insert(repeated.first);
+        if (entry.mIsCutOff && entry.mIncarnation == call.mEntry &&
+            isAgentReachable && !call.mIsAgentInformed) {
+          mMayBeBilledTwice.insert(repeated.first);
         }
       }
     }
   }
 
-  /** A death takes its counts along; only a request that no other witness
-   * counts, and no report includes, may stay unbilled. */
-  void Kill(witness& aWitness)
+  /** Replaces a process and loses its counts. A request may stay unbilled only
+   * when no other process counts it and no report or remainder includes it. */
+  void Kill(counting_process& aProcess)
   {
-    ExcuseDoubles(aWitness);
+    ExcuseDoubleBilling(aProcess);
     const auto billed = Billed();
     std::set<std::string> kept;
     for (const auto& buckets : mRemainders) {
@@ -196,13 +205,13 @@
       }
     }
     for (auto& [customer, knownBy] : mServed) {
-      knownBy.erase(aWitness.mIncarnation);
+      knownBy.erase(aProcess.mIncarnation);
       if (knownBy.empty() && billed.count(customer) == 0 &&
           kept.count(customer) == 0) {
         mExcused.insert(customer);
       }
     }
-    Renew(aWitness);
+    Renew(aProcess);
   }
 
   std::set<std::string> Billed() const
@@ -219,7 +228,7 @@
     return billed;
   }
 
-  void Make(reporter& aReporter)
+  void BuildNext(reporter& aReporter)
   {
     if (!aReporter.mNewest) {
       aReporter.mNewest = Newest();
@@ -228,9 +237,9 @@
     if (window >= mNow) {
       return;
     }
-    std::vector<agent_offer> agents;
+    std::vector<agent_usage> agents;
     std::vector<wire::usage_bucket> fromEntries;
-    ExcuseUnheard();
+    ExcuseUnreachableEntries();
     std::vector<wire::superseded_run> superseded;
     for (auto& entry : mEntries) {
       if (entry.mIsCutOff) {
@@ -247,14 +256,14 @@
     for (auto& agent : mAgents) {
       if (!agent.mIsCutOff) {
         agent.mAccount->TakeOut(agent.mIncarnation, superseded);
-        NoteTold(agent);
-        const auto closed =
-          agent.mAccount->Close(std::min(window, mNow - agent.mBehind - 1));
+        RecordInformedAgent(agent);
+        const auto closed = agent.mAccount->Close(
+          std::min(window, mNow - agent.mWindowsBehind - 1));
         agents.push_back(
           { agent.mIncarnation, closed, agent.mAccount->Buckets(window) });
       }
     }
-    aReporter.mMade = MakeReport(
+    aReporter.mBuilt = BuildReport(
       window,
       agents,
       fromEntries,
@@ -262,16 +271,17 @@
       aReporter.mNewest->mMarks);
   }
 
-  /** The conditional create; whoever was first stands. */
-  void Fix(reporter& aReporter, bool aLosesAnswer)
+  /** Stores the built report with a conditional create; the first one is kept.
+   */
+  void StoreBuilt(reporter& aReporter, bool aLosesAnswer)
   {
-    if (!aReporter.mMade) {
+    if (!aReporter.mBuilt) {
       return;
     }
-    const auto made = *aReporter.mMade;
-    aReporter.mMade.reset();
-    mStore.try_emplace(made.mWindow, made);
-    if (!made.mLateRows.empty()) {
+    const auto builtReport = *aReporter.mBuilt;
+    aReporter.mBuilt.reset();
+    mStore.try_emplace(builtReport.mWindow, builtReport);
+    if (!builtReport.mLateRows.empty()) {
       mFaults.insert(fault::LateCount);
     }
     if (aLosesAnswer) {
@@ -279,8 +289,8 @@
       aReporter.mNewest.reset();
       return;
     }
-    aReporter.mNewest = mStore.at(made.mWindow);
-    SettleAll(aReporter.mNewest->mMarks, made.mWindow);
+    aReporter.mNewest = mStore.at(builtReport.mWindow);
+    SettleAll(aReporter.mNewest->mMarks, builtReport.mWindow);
   }
 
   void SettleAll(const usage_marks& aMarks, std::int64_t aWindow)
@@ -298,7 +308,7 @@
     }
   }
 
-  /** The newest window goes to the intake, perhaps again. */
+  /** Sends the newest window to the intake, possibly a second time. */
   void ReportNewest(reporter& aReporter)
   {
     if (aReporter.mNewest) {
@@ -307,7 +317,7 @@
     }
   }
 
-  void Leave(witness& aEntry)
+  void Leave(counting_process& aEntry)
   {
     mRemainders.push_back(
       ParseBuckets(Describe(aEntry.mAccount->Buckets(1 << 30))));
@@ -315,21 +325,21 @@
     Kill(aEntry);
   }
 
-  void Do(int aWhat, std::size_t aIndex)
+  void ApplyAction(int aAction, std::size_t aIndex)
   {
     auto& agent = mAgents[aIndex % mAgents.size()];
     auto& entry = mEntries[aIndex / 3 % mEntries.size()];
     auto& reporter = mReporters[aIndex % mReporters.size()];
-    switch (aWhat) {
+    switch (aAction) {
       case 0:
         ++mNow;
         break;
       case 1:
-        Make(reporter);
+        BuildNext(reporter);
         mFaults.insert(fault::ReporterPaused);
         break;
       case 2:
-        Fix(reporter, aIndex % 5 == 0);
+        StoreBuilt(reporter, aIndex % 5 == 0);
         break;
       case 3:
         ReportNewest(reporter);
@@ -356,17 +366,17 @@
         mFaults.insert(fault::CutOff);
         break;
       case 7:
-        agent.mBehind = static_cast<std::int64_t>(aIndex % 3);
+        agent.mWindowsBehind = static_cast<std::int64_t>(aIndex % 3);
         break;
       case 8:
-        ServeAgain(agent,
-                   mAgents[(aIndex + 1) % mAgents.size()],
-                   entry,
-                   aIndex % 2 == 0);
+        ServeRepeated(agent,
+                      mAgents[(aIndex + 1) % mAgents.size()],
+                      entry,
+                      aIndex % 2 == 0);
         break;
       case 9:
-        Make(reporter);
-        Fix(reporter, false);
+        BuildNext(reporter);
+        StoreBuilt(reporter, false);
         ReportNewest(reporter);
         break;
       default:
@@ -375,21 +385,21 @@
     }
   }
 
-  /** Faults end, and the windows go on until all is collected. */
+  /** Ends all faults and reports windows until every count is collected. */
   void Finish()
   {
     for (auto* group : { &mAgents, &mEntries }) {
       for (auto& each : *group) {
         each.mIsCutOff = false;
-        each.mBehind = 0;
+        each.mWindowsBehind = 0;
       }
     }
     mNow += 3;
     auto& last = mReporters[0];
     last = {};
     while (Newest().mWindow < mNow - 1) {
-      Make(last);
-      Fix(last, false);
+      BuildNext(last);
+      StoreBuilt(last, false);
       ReportNewest(last);
     }
   }
@@ -408,7 +418,7 @@
     for (const auto& [customer, knownBy] : mServed) {
       const auto found = times.find(customer);
       const auto billed = found == times.end() ? 0 : found->second;
-      RC_ASSERT(billed <= (mMayBeDouble.count(customer) == 1 ? 2 : 1));
+      RC_ASSERT(billed <= (mMayBeBilledTwice.count(customer) == 1 ? 2 : 1));
       RC_ASSERT(billed >= 1 || mExcused.count(customer) == 1);
     }
     for (const auto& [window, figures] : mIntake) {
@@ -421,27 +431,27 @@
 
 BOOST_AUTO_TEST_SUITE(TestWindowReport)
 
-// A customer would pay twice, or not at all. Two reporters that may be paused
-// between making and fixing a window, witnesses that die, leave, are cut off or
-// have slow clocks, lost answers, counts that come late,
-// calls repeated at another agent.
+// Guards against billing a request twice or not at all. Reporters pause between
+// building and storing a report; agents and entries die, leave, are cut off or
+// have slow clocks; responses are lost, counts arrive late, and requests are
+// repeated at another agent.
 BOOST_AUTO_TEST_CASE(EveryRequestIsBilledOnce)
 {
   std::map<fault, int> provoked;
   std::int64_t served = 0;
   std::int64_t excused = 0;
   std::int64_t repeated = 0;
-  std::int64_t mayBeDouble = 0;
+  std::int64_t mayBeBilledTwice = 0;
   BOOST_TEST(rc::check("billed once", [&] {
-    world all;
+    simulation all;
     const auto events = *rc::gen::resize(
       rc::kNominalSize,
       rc::gen::container<std::vector<std::pair<int, std::size_t>>>(
         kEvents,
         rc::gen::pair(rc::gen::inRange(0, 15),
                       rc::gen::inRange<std::size_t>(0, 60))));
-    for (const auto& [what, index] : events) {
-      all.Do(what, index);
+    for (const auto& [action, index] : events) {
+      all.ApplyAction(action, index);
     }
     all.Finish();
     all.Check();
@@ -451,7 +461,7 @@
     served += static_cast<std::int64_t>(all.mServed.size());
     excused += static_cast<std::int64_t>(all.mExcused.size());
     repeated += static_cast<std::int64_t>(all.mRepeated.size());
-    mayBeDouble += static_cast<std::int64_t>(all.mMayBeDouble.size());
+    mayBeBilledTwice += static_cast<std::int64_t>(all.mMayBeBilledTwice.size());
   }));
   for (int each = 0; each <= static_cast<int>(fault::Superseded); ++each) {
     BOOST_TEST_CONTEXT("fault " << each)
@@ -459,15 +469,16 @@
       BOOST_TEST(provoked[static_cast<fault>(each)] > 100);
     }
   }
-  // Most repeats must be held to one bill, or the check says little.
-  BOOST_TEST(mayBeDouble < repeated / 2);
-  BOOST_TEST_MESSAGE("served " << served << ", both witnesses dead " << excused
-                               << ", repeated " << repeated
-                               << ", entry not heard " << mayBeDouble);
+  // The check is only meaningful when most repeated requests must be billed at
+  // most once.
+  BOOST_TEST(mayBeBilledTwice < repeated / 2);
+  BOOST_TEST_MESSAGE("served " << served << ", both counting processes dead "
+                               << excused << ", repeated " << repeated
+                               << ", entry unreachable " << mayBeBilledTwice);
 }
 
-// What the Object API holds is read back whole: the marks decide what later
-// windows include.
+// A report must survive conversion to JSON and back unchanged, because its
+// marks decide which buckets later windows include.
 BOOST_AUTO_TEST_CASE(ReportIsReadBackWhole)
 {
   window_report report;
@@ -484,7 +495,8 @@
 }
 
 // The reporter closes a window while the agent's threads still end runs. Such a
-// run belongs to the next window, or it would be in a bucket already taken.
+// run must be counted in the next window, because the bucket of the closed
+// window was already collected.
 BOOST_AUTO_TEST_CASE(ClosedWindowTakesNoMoreRuns)
 {
   usage_account account;
--- a/Duties/Usage/UsageAccount.cpp
+++ b/Duties/Usage/UsageAccount.cpp
@@ -5,9 +5,10 @@
 namespace lavender::usage {
 namespace {
 
-/** Takes a run out of its customer's row, and the row when nothing is left. */
+/** Subtracts a run from its customer's row, and removes the row when no request
+ * is left. */
 void
-Subtract(std::map<std::string, wire::usage_row>& aRows, const counted_run& aRun)
+Subtract(std::map<std::string, wire::usage_row>& aRows, const run_usage& aRun)
 {
   auto& row = aRows.at(aRun.mCustomer);
   --row.requests;
@@ -39,7 +40,7 @@
 usage_account::CountRun(const std::string& aAgentIncarnation,
                         const std::string& aEntryIncarnation,
                         std::int64_t aWindow,
-                        const counted_run& aRun)
+                        const run_usage& aRun)
 {
   std::lock_guard lock(mMutex);
   const auto window = std::max(aWindow, mClosedThrough + 1);
@@ -56,7 +57,7 @@
 usage_account::NoteSuperseded(const wire::superseded_run& aRun)
 {
   std::lock_guard lock(mMutex);
-  Remember(aRun);
+  RememberSuperseded(aRun);
 }
 
 std::vector<wire::superseded_run>
@@ -76,7 +77,7 @@
         IsSuperseded(run.agent_incarnation, run.request_id)) {
       continue;
     }
-    Remember(run);
+    RememberSuperseded(run);
     for (auto& [key, counts] : mBuckets) {
       if (const auto found = counts.mRuns.find(run.request_id);
           found != counts.mRuns.end()) {
@@ -99,7 +100,7 @@
 }
 
 void
-usage_account::Remember(const wire::superseded_run& aRun)
+usage_account::RememberSuperseded(const wire::superseded_run& aRun)
 {
   mSuperseded.push_back(aRun);
   if (mSuperseded.size() > kMaximumSuperseded) {
--- a/Duties/Usage/UsageAccount.h
+++ b/Duties/Usage/UsageAccount.h
@@ -12,12 +12,12 @@
 #include <tuple>
 #include <vector>
 
-/** What each customer has used, counted by two witnesses and reported once.
- */
+/** Usage of each customer. The agent and the entry of a request both count it,
+ * and it is reported once. */
 namespace lavender::usage {
 
-/** One run as the agent that made it counts it. */
-struct counted_run
+/** Usage of one run, as counted by the agent that executed it. */
+struct run_usage
 {
   std::string mRequestId;
   std::string mCustomer;
@@ -25,19 +25,19 @@
   std::int64_t mCompletionTokens = 0;
 };
 
-/** Superseded runs that a witness remembers, the newest ones. Runs are repeated
- * elsewhere only when an agent falls out of reach; 4,096 of them are all slots
- * of 340 such agents and take half a megabyte. */
+/** Number of superseded runs that a process remembers; older ones are dropped.
+ * Runs are repeated at another agent only when an agent becomes unreachable.
+ * 4,096 runs are all slots of 340 such agents and take half a megabyte. */
 constexpr std::size_t kMaximumSuperseded = 4096;
 
-/** One witness' counts: per agent, entry and window. Both the agent and the
- * entry of a request count it in the same bucket, so that the death of one
- * loses nothing. Safe to use from any thread. */
+/** The counts of one process, in buckets by agent, entry and window. The agent
+ * and the entry of a request both count it in the same bucket, so that no count
+ * is lost when one of them dies. Thread-safe. */
 class usage_account
 {
 public:
-  /** Counts one served request.
-   * @param aWindow window of the run's end by the agent's clock */
+  /** Counts one served request at the entry.
+   * @param aWindow window in which the run ended by the agent's clock */
   void Count(const std::string& aAgentIncarnation,
              const std::string& aEntryIncarnation,
              const std::string& aCustomer,
@@ -45,34 +45,37 @@
              std::int64_t aPromptTokens,
              std::int64_t aCompletionTokens);
 
-  /** Counts one run at the agent, in its window or, when that is closed, in the
-   * first one that isn't. A run that is superseded already isn't counted.
-   * @return window that it was counted in */
+  /** Counts one run at the agent, in aWindow or, when that window is closed, in
+   * the first open one. A run that is already superseded isn't counted.
+   * @return window in which the run is counted */
   std::int64_t CountRun(const std::string& aAgentIncarnation,
                         const std::string& aEntryIncarnation,
                         std::int64_t aWindow,
-                        const counted_run& aRun);
+                        const run_usage& aRun);
 
-  /** Notes that an entry repeats that run elsewhere. */
+  /** Records that this entry repeats the request of a run at another agent. */
   void NoteSuperseded(const wire::superseded_run& aRun);
-  /** The runs so noted, oldest first. */
+  /** Returns the recorded superseded runs, oldest first. */
   std::vector<wire::superseded_run> Superseded() const;
 
-  /** Takes runs of this agent out of its counts, also when they end later: a
-   * caller whose call was repeated would pay for both runs. Counts that a
-   * report has fixed already stay. */
+  /** Removes superseded runs from this agent's counts, including runs that end
+   * later, so that a repeated request isn't billed twice. Runs whose bucket was
+   * settled are billed already and can't be removed. */
   void TakeOut(const std::string& aAgentIncarnation,
                const std::vector<wire::superseded_run>& aRuns);
 
-  /** Closes the windows up to that one: whoever is told of their buckets can
-   * rely on getting them whole. Closed windows stay closed.
+  /** Closes all windows up to aThroughWindow: no further run is counted in
+   * their buckets, so a reporter receives them complete. Closed windows stay
+   * closed.
    * @return newest closed window */
   std::int64_t Close(std::int64_t aThroughWindow);
 
-  /** Buckets of windows up to that one that aren't settled. */
+  /** Returns the buckets of all windows up to aThroughWindow that aren't
+   * settled.
+   */
   std::vector<wire::usage_bucket> Buckets(std::int64_t aThroughWindow) const;
 
-  /** Forgets buckets that the platform has fixed. */
+  /** Removes buckets that are included in a stored window report. */
   void Settle(const std::vector<wire::usage_bucket>& aSettled);
 
 private:
@@ -80,10 +83,10 @@
 
   struct counts
   {
-    /** By customer. */
+    /** Sums by customer. */
     std::map<std::string, wire::usage_row> mRows;
     /** The agent's own runs by request id, until the bucket is settled. */
-    std::map<std::string, counted_run> mRuns;
+    std::map<std::string, run_usage> mRuns;
   };
 
   void Add(const bucket_key& aKey,
@@ -92,7 +95,7 @@
            std::int64_t aCompletionTokens);
   bool IsSuperseded(const std::string& aAgentIncarnation,
                     const std::string& aRequestId) const;
-  void Remember(const wire::superseded_run& aRun);
+  void RememberSuperseded(const wire::superseded_run& aRun);
 
   mutable std::mutex mMutex;
   std::int64_t mClosedThrough = -1;
@@ -100,7 +103,7 @@
   std::deque<wire::superseded_run> mSuperseded;
 };
 
-/** Number of the window that a wall-clock time falls in. */
+/** Returns the number of the window that contains a wall-clock time. */
 std::int64_t
 WindowOf(std::chrono::system_clock::time_point aTime,
          std::chrono::seconds aLength);
--- a/Duties/Usage/WindowReport.cpp
+++ b/Duties/Usage/WindowReport.cpp
@@ -25,17 +25,17 @@
 }
 
 bool
-IsDue(const window_report& aReport, const wire::usage_bucket& aBucket)
+IsReportable(const window_report& aReport, const wire::usage_bucket& aBucket)
 {
-  // Older ones could be included already by marks that were dropped.
+  // Older buckets may be included in earlier reports whose marks were dropped.
   return aBucket.window <= aReport.mWindow &&
-         aBucket.window > aReport.mWindow - kKeepWindows;
+         aBucket.window > aReport.mWindow - kRetainedWindows;
 }
 
 void
 DropOldMarks(usage_marks& aMarks, std::int64_t aWindow)
 {
-  const auto oldest = aWindow - kKeepWindows;
+  const auto oldest = aWindow - kRetainedWindows;
   for (auto mark = aMarks.mAgents.begin(); mark != aMarks.mAgents.end();) {
     mark = mark->second < oldest ? aMarks.mAgents.erase(mark) : ++mark;
   }
@@ -67,7 +67,7 @@
 }
 
 const json::array&
-ElementsAt(const json::value& aValue, const char* aName)
+ArrayAt(const json::value& aValue, const char* aName)
 {
   static const json::array kNone;
   const auto* member = aValue.Find(aName);
@@ -95,13 +95,13 @@
 ParseMarks(const json::value& aValue)
 {
   usage_marks marks;
-  for (const auto& mark : ElementsAt(aValue, "agents")) {
+  for (const auto& mark : ArrayAt(aValue, "agents")) {
     const auto& parts = mark.Elements();
     if (parts.size() == 2) {
       marks.mAgents[parts[0].StringOr("")] = parts[1].IntegerOr(0);
     }
   }
-  for (const auto& mark : ElementsAt(aValue, "buckets")) {
+  for (const auto& mark : ArrayAt(aValue, "buckets")) {
     const auto& parts = mark.Elements();
     if (parts.size() == 3) {
       marks.mBuckets.insert({ parts[0].StringOr(""),
@@ -131,8 +131,8 @@
 }
 
 std::vector<wire::usage_bucket>
-IncludedOf(const usage_marks& aMarks,
-           const std::vector<wire::usage_bucket>& aBuckets)
+IncludedBuckets(const usage_marks& aMarks,
+                const std::vector<wire::usage_bucket>& aBuckets)
 {
   std::vector<wire::usage_bucket> included;
   for (auto bucket : aBuckets) {
@@ -145,30 +145,31 @@
 }
 
 window_report
-MakeReport(std::int64_t aWindow,
-           const std::vector<agent_offer>& aAgents,
-           const std::vector<wire::usage_bucket>& aFromEntries,
-           const std::function<bool(const std::string&)>& aIsGone,
-           const usage_marks& aMarks)
+BuildReport(std::int64_t aWindow,
+            const std::vector<agent_usage>& aAgents,
+            const std::vector<wire::usage_bucket>& aFromEntries,
+            const std::function<bool(const std::string&)>& aHasTerminated,
+            const usage_marks& aMarks)
 {
   window_report report;
   report.mWindow = aWindow;
   report.mMarks = aMarks;
   auto& marks = report.mMarks;
-  for (const auto& offer : aAgents) {
-    const auto through = std::min(aWindow, offer.mClosedThrough);
-    for (const auto& bucket : offer.mBuckets) {
-      if (bucket.window <= through && IsDue(report, bucket) &&
+  for (const auto& agentUsage : aAgents) {
+    const auto through = std::min(aWindow, agentUsage.mClosedThrough);
+    for (const auto& bucket : agentUsage.mBuckets) {
+      if (bucket.window <= through && IsReportable(report, bucket) &&
           !IsIncluded(marks, bucket)) {
         Add(report, bucket);
       }
     }
-    const auto mark = marks.mAgents.try_emplace(offer.mIncarnation, through);
+    const auto mark =
+      marks.mAgents.try_emplace(agentUsage.mIncarnation, through);
     mark.first->second = std::max(mark.first->second, through);
   }
   for (const auto& bucket : aFromEntries) {
-    if (IsDue(report, bucket) && !IsIncluded(marks, bucket) &&
-        aIsGone(bucket.agent_incarnation)) {
+    if (IsReportable(report, bucket) && !IsIncluded(marks, bucket) &&
+        aHasTerminated(bucket.agent_incarnation)) {
       Add(report, bucket);
       marks.mBuckets.insert(KeyOf(bucket));
     }
@@ -215,11 +216,11 @@
   if (const auto* status = aValue.Find("status")) {
     report.mWindow = json::IntegerAt(*status, "window", 0);
     report.mIsReported = json::BooleanAt(*status, "reported", false);
-    for (const auto& item : ElementsAt(*status, "rows")) {
+    for (const auto& item : ArrayAt(*status, "rows")) {
       auto row = ParseRow(item);
       report.mRows[row.customer] = row;
     }
-    for (const auto& item : ElementsAt(*status, "late")) {
+    for (const auto& item : ArrayAt(*status, "late")) {
       auto row = ParseRow(item);
       report.mLateRows[{ json::IntegerAt(item, "window", 0), row.customer }] =
         row;
@@ -259,7 +260,7 @@
     bucket.agent_incarnation = json::StringAt(item, "agent", "");
     bucket.entry_incarnation = json::StringAt(item, "entry", "");
     bucket.window = json::IntegerAt(item, "window", 0);
-    for (const auto& row : ElementsAt(item, "rows")) {
+    for (const auto& row : ArrayAt(item, "rows")) {
       bucket.rows.push_back(ParseRow(row));
     }
     buckets.push_back(std::move(bucket));
--- a/Duties/Usage/WindowReport.h
+++ b/Duties/Usage/WindowReport.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-/** The figures of one usage window, and which counts they include. */
+/** The usage report of one window, and the buckets that it includes. */
 namespace lavender::usage {
 
 /** (agent incarnation, entry incarnation, window). */
@@ -21,66 +21,76 @@
 bucket_key
 KeyOf(const wire::usage_bucket& aBucket);
 
-/** Which buckets the reports so far include. Each report carries it on, so
- * that the newest one tells of all. */
+/** Which buckets the reports so far include. Each report extends the marks of
+ * the previous one, so the newest report covers all earlier ones. */
 struct usage_marks
 {
-  /** All buckets of that agent up to that window. One mark stands for the
-   * buckets of every entry, so its size grows with the agents only. */
+  /** For each agent, the window up to which all of its buckets are included.
+   * One mark covers the agent's buckets of every entry, so the size grows only
+   * with the number of agents. */
   std::map<std::string, std::int64_t> mAgents;
-  /** Buckets taken from the entry, of agents that were gone. */
+  /** Buckets that were included from the entry's counts because their agent had
+   * terminated. */
   std::set<bucket_key> mBuckets;
 };
 
 bool
 IsIncluded(const usage_marks& aMarks, const wire::usage_bucket& aBucket);
 
-/** Those that are included, by their keys alone: what a witness needs to forget
- * them. */
+/** Returns the included ones of aBuckets without their rows, for the processes
+ * that counted them to remove them. */
 std::vector<wire::usage_bucket>
-IncludedOf(const usage_marks& aMarks,
-           const std::vector<wire::usage_bucket>& aBuckets);
+IncludedBuckets(const usage_marks& aMarks,
+                const std::vector<wire::usage_bucket>& aBuckets);
 
-/** What an agent told. */
-struct agent_offer
+/** An agent's response to a usage query. */
+struct agent_usage
 {
   std::string mIncarnation;
   std::int64_t mClosedThrough = -1;
   std::vector<wire::usage_bucket> mBuckets;
 };
 
-/** The figures of one window. Fixed once, then reported unchanged. */
+/** The usage report of one window. It is stored once, and then sent unchanged.
+ */
 struct window_report
 {
   std::int64_t mWindow = 0;
   std::map<std::string, wire::usage_row> mRows;
-  /** Served in an earlier window, and known too late for its report. */
+  /** Usage of earlier windows that became known after their reports were
+   * stored.
+   */
   std::map<std::pair<std::int64_t, std::string>, wire::usage_row> mLateRows;
   usage_marks mMarks;
   bool mIsReported = false;
 };
 
-/** How many windows an unsettled bucket is waited for. Marks are kept as long,
- * so that no bucket outlives the memory of its inclusion. */
-constexpr std::int64_t kKeepWindows = 10080;
+/** Number of windows after which an unsettled bucket is no longer included.
+ * Marks are kept for the same number of windows, so that no bucket can be
+ * included again after its mark was dropped. */
+constexpr std::int64_t kRetainedWindows = 10080;
 
-/** Makes the figures of a window from what all witnesses told. An agent's own
- * bucket goes first; an entry's is used when that agent is gone.
- * @param aIsGone whether that agent incarnation will never answer again */
+/** Builds the report of a window from the counts of all agents and entries. A
+ * bucket is taken from its agent, or from its entry when the agent has
+ * terminated.
+ * @param aHasTerminated returns whether an agent incarnation will never answer
+ * again */
 window_report
-MakeReport(std::int64_t aWindow,
-           const std::vector<agent_offer>& aAgents,
-           const std::vector<wire::usage_bucket>& aFromEntries,
-           const std::function<bool(const std::string&)>& aIsGone,
-           const usage_marks& aMarks);
-
-/** What the Object API holds, kind "UsageWindow". */
+BuildReport(std::int64_t aWindow,
+            const std::vector<agent_usage>& aAgents,
+            const std::vector<wire::usage_bucket>& aFromEntries,
+            const std::function<bool(const std::string&)>& aHasTerminated,
+            const usage_marks& aMarks);
+
+/** Converts a report to and from the object of kind "UsageWindow" in the Object
+ * API. */
 json::value
 Describe(const window_report& aReport);
 window_report
 ParseReport(const json::value& aValue);
 
-/** What the platform's intake is told; the same on every try. */
+/** Returns the body that is sent to the platform's usage intake. It is the same
+ * at each attempt. */
 json::value
 DescribeFigures(const window_report& aReport);
 
