--- a/Duties/Reports/Remainder.cpp
+++ b/Duties/Reports/Remainder.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 constexpr char kKind[] = "UsageRemainder";
-constexpr milliseconds kRetryEvery = 200ms;
+constexpr milliseconds kRetryInterval = 200ms;
 
 json::value
 Describe(const remainder& aRemainder)
@@ -53,16 +53,18 @@
   do {
     const auto written =
       platform::Write(aPlatform, kKind, aEntryIncarnation, 0, described);
-    // A conflict can only be with an own write whose answer was lost.
+    // A conflict means that an earlier attempt, whose response was lost, has
+    // succeeded.
     if (written.mState == platform::write_state::Done ||
         written.mState == platform::write_state::Conflict) {
       return true;
     }
-    std::this_thread::sleep_for(kRetryEvery);
+    std::this_thread::sleep_for(kRetryInterval);
   } while (boot_clock::now() < aDeadline);
   Log(log_level::Error,
       "usage",
-      "Counts not handed over buckets=" + std::to_string(left.mBuckets.size()));
+      "Unreported usage not stored before the deadline: buckets=" +
+        std::to_string(left.mBuckets.size()));
   return false;
 }
 
--- a/Duties/Reports/Remainder.h
+++ b/Duties/Reports/Remainder.h
@@ -7,32 +7,33 @@
 #include <string>
 #include <vector>
 
-/** What entries that left still counted, kept in the Object API, kind
- * "UsageRemainder", until a window includes it. */
+/** Unreported counts of entries that have stopped. They are stored in the
+ * Object API as objects of kind "UsageRemainder" until a window report includes
+ * them. */
 namespace lavender::reports {
 
-/** The counts, and the runs that other entries' reports must not bill. */
+/** Unreported buckets, and the superseded runs that must not be billed. */
 struct remainder
 {
   std::vector<wire::usage_bucket> mBuckets;
   std::vector<wire::superseded_run> mSuperseded;
 };
 
-/** Hands what an entry still counts over when it leaves. False when the
- * platform didn't take it until the deadline; then the agents are the only
- * witnesses. */
+/** Stores the unreported counts of an entry that stops. Retries until the
+ * deadline and returns false when the platform hasn't accepted them by then; in
+ * that case only the agents have the counts. */
 bool
 WriteRemainder(const platform::client& aPlatform,
                const std::string& aEntryIncarnation,
                const usage::usage_account& aAccount,
                time_point aDeadline);
 
-/** Of all entries that left; nothing while the store doesn't answer, so that it
- * comes later. */
+/** Reads the remainders of all stopped entries. Returns an empty result while
+ * the store doesn't answer; later windows then include the counts. */
 remainder
 ReadRemainders(const platform::client& aPlatform);
 
-/** Deletes those whose buckets are all included. */
+/** Deletes the remainders whose buckets are all included in reports. */
 void
 DropRemainders(const platform::client& aPlatform,
                const usage::usage_marks& aMarks);
--- a/Duties/Reports/UsageReporter.cpp
+++ b/Duties/Reports/UsageReporter.cpp
@@ -14,31 +14,35 @@
 
 constexpr char kLease[] = "usage";
 constexpr milliseconds kCallTimeout = 1000ms;
-/** After a window's end, for witnesses whose clocks are behind. */
-constexpr milliseconds kLongestCloseLag = 5000ms;
-/** A replaced agent's last answers reach their entries within this. */
-constexpr milliseconds kReplacedFor = 5000ms;
-/** An agent that may be cut off and come back is waited for longer. */
-constexpr milliseconds kSilentFor = 30000ms;
+/** Maximum delay between the end of a window and its closing, for agents and
+ * entries whose clocks are behind. */
+constexpr milliseconds kMaximumCloseDelay = 5000ms;
+/** Time within which the last responses of a replaced agent reach their
+ * entries. */
+constexpr milliseconds kReplacedAgentWait = 5000ms;
+/** Minimum wait for an agent that is still listed, because it may be cut off
+ * temporarily. */
+constexpr milliseconds kUnresponsiveAgentWait = 30000ms;
 
-/** Witnesses asked at the same time: asked one after another, those of a zone
- * that fell silent would make a window as late as their timeouts add up to. */
-constexpr std::size_t kSideBySide = 16;
+/** Number of agents or entries that are queried concurrently. With sequential
+ * queries, the timeouts of an unresponsive availability zone would add up and
+ * delay the report of a window. */
+constexpr std::size_t kMaximumConcurrentQueries = 16;
 
 using usage::usage_account;
 
-/** Does something for each item, several at a time; the action gets the item's
- * place. */
+/** Calls aAction with each index below aItems, from several threads. */
 template<typename Action>
 void
-SideBySide(std::size_t aItems, const Action& aAction)
+ForEachConcurrently(std::size_t aItems, const Action& aAction)
 {
   std::atomic<std::size_t> next{ 0 };
   std::vector<std::thread> workers;
-  for (std::size_t i = 0; i < std::min(aItems, kSideBySide); ++i) {
+  for (std::size_t i = 0; i < std::min(aItems, kMaximumConcurrentQueries);
+       ++i) {
     workers.emplace_back([&] {
-      for (auto place = next++; place < aItems; place = next++) {
-        aAction(place);
+      for (auto index = next++; index < aItems; index = next++) {
+        aAction(index);
       }
     });
   }
@@ -49,17 +53,18 @@
 
 template<typename Item>
 void
-TakeAll(std::vector<Item>& aAll, std::vector<Item> aItems)
+AppendAll(std::vector<Item>& aAll, std::vector<Item> aItems)
 {
   std::move(aItems.begin(), aItems.end(), std::back_inserter(aAll));
 }
 
-/** Those of one agent: the lists of all agents, sent to each, would grow with
- * the square of the fleet. All of them for an agent that hasn't said yet who it
- * is, as one that was out of reach until now; it picks its own. */
+/** Selects the runs of one agent, because sending all runs to every agent would
+ * take traffic quadratic in the size of the fleet. Returns all runs when the
+ * incarnation is unknown, as for an agent that was unreachable until now; the
+ * agent then selects its own. */
 std::vector<wire::superseded_run>
-RunsOf(const std::string& aAgentIncarnation,
-       const std::vector<wire::superseded_run>& aRuns)
+RunsOfAgent(const std::string& aAgentIncarnation,
+            const std::vector<wire::superseded_run>& aRuns)
 {
   std::vector<wire::superseded_run> own;
   std::copy_if(
@@ -72,10 +77,10 @@
 
 template<typename Pool>
 wire::wire_result<wire::usage_reply>
-Ask(Pool& aPool,
-    std::int64_t aThrough,
-    const std::vector<wire::usage_bucket>& aSettled = {},
-    const std::vector<wire::superseded_run>& aSuperseded = {})
+QueryUsage(Pool& aPool,
+           std::int64_t aThrough,
+           const std::vector<wire::usage_bucket>& aSettled = {},
+           const std::vector<wire::superseded_run>& aSuperseded = {})
 {
   wire::usage_query query;
   query.echo = "usage" + std::to_string(aThrough);
@@ -89,7 +94,7 @@
 }
 
 usage::agent_usage
-ToOffer(const wire::usage_reply& aReply)
+ToAgentUsage(const wire::usage_reply& aReply)
 {
   return { aReply.incarnation, aReply.closed_through, aReply.buckets };
 }
@@ -128,8 +133,8 @@
   if (mThread.joinable()) {
     mThread.join();
   }
-  if (mOptions.mLetExpire && mUnansweredAt &&
-      boot_clock::now() - *mUnansweredAt < mOptions.mLateBytes) {
+  if (mOptions.mLetExpire && mLastUnansweredAt &&
+      boot_clock::now() - *mLastUnansweredAt < mOptions.mLateBytes) {
     mOptions.mLetExpire(kLease);
   }
 }
@@ -141,7 +146,7 @@
   while (!mIsStopping) {
     lock.unlock();
     if (const auto lease = mOptions.mLeases(kLease)) {
-      Look(*lease);
+      CheckWindows(*lease);
     }
     lock.lock();
     mStopped.wait_for(
@@ -157,7 +162,7 @@
 }
 
 void
-usage_reporter::Look(const leases::held_lease& aLease)
+usage_reporter::CheckWindows(const leases::held_lease& aLease)
 {
   const auto now = std::chrono::system_clock::now();
   if (mFencing != aLease.mFencing) {
@@ -165,51 +170,51 @@
       return;
     }
     mFencing = aLease.mFencing;
-    mMissingSince.clear();
+    mUnansweredSince.clear();
   }
-  CollectDrained();
+  CollectDrainingAgents();
   const milliseconds window = mOptions.mWindow;
-  const auto lag = std::min(window / 4, kLongestCloseLag);
-  const auto closed = usage::WindowOf(now - lag, mOptions.mWindow) - 1;
-  // Windows that were missed, as in an outage, follow one by one.
+  const auto closeDelay = std::min(window / 4, kMaximumCloseDelay);
+  const auto closed = usage::WindowOf(now - closeDelay, mOptions.mWindow) - 1;
+  // Windows that were missed, as during an outage, are reported in order.
   while (!IsStopping()) {
     const auto lease = mOptions.mLeases(kLease);
     if (!lease || lease->mFencing != mFencing) {
       return;
     }
-    if (!mStore.Newest().mIsReported && !Report(*lease)) {
+    if (!mStore.Newest().mIsReported && !SendNewest(*lease)) {
       return;
     }
     if (mStore.Newest().mWindow >= closed) {
       return;
     }
-    FixNext(mStore.Newest().mWindow + 1);
+    StoreNext(mStore.Newest().mWindow + 1);
     if (!mStore.Newest().mIsReported) {
       continue;
     }
-    // Not fixed: another look tells more.
+    // The window wasn't stored. The next check loads the newest one again.
     mFencing = 0;
     return;
   }
 }
 
 void
-usage_reporter::FixNext(std::int64_t aWindow)
+usage_reporter::StoreNext(std::int64_t aWindow)
 {
   const auto all = Collect(aWindow);
   const auto report = usage::BuildReport(
     aWindow,
     all.mAgents,
     all.mFromEntries,
-    [this](const std::string& aAgent) { return IsGone(aAgent); },
+    [this](const std::string& aAgent) { return HasTerminated(aAgent); },
     mStore.Newest().mMarks);
-  if (mStore.Fix(report)) {
+  if (mStore.Store(report)) {
     Settle();
   }
 }
 
 bool
-usage_reporter::Report(const leases::held_lease& aLease)
+usage_reporter::SendNewest(const leases::held_lease& aLease)
 {
   const auto& report = mStore.Newest();
   auto body = usage::DescribeFigures(report);
@@ -229,29 +234,31 @@
                              { { "result", isTaken ? "done" : "unknown" } });
   }
   if (!isTaken) {
-    mUnansweredAt = boot_clock::now();
+    mLastUnansweredAt = boot_clock::now();
     return false;
   }
   Log(log_level::Info,
       "usage",
-      "Reported window=" + std::to_string(report.mWindow));
-  return mStore.NoteReported();
+      "Usage report accepted by the platform: window=" +
+        std::to_string(report.mWindow));
+  return mStore.MarkReported();
 }
 
 usage_reporter::collection
 usage_reporter::Collect(std::int64_t aThrough)
 {
   collection all;
-  // Entries first: what an entry has counted by now, its agent has too, and
-  // what an entry repeated elsewhere is taken out by the agent.
+  // Entries are queried before agents: a run that an entry has counted by then
+  // is also counted by its agent, and the agents learn which runs the entries
+  // have repeated and must be removed.
   CollectEntries(aThrough, all);
   CollectRemainders(all);
   CollectAgents(aThrough, all);
-  for (const auto& offer : all.mAgents) {
-    mMissingSince.erase(offer.mIncarnation);
+  for (const auto& agentUsage : all.mAgents) {
+    mUnansweredSince.erase(agentUsage.mIncarnation);
   }
-  for (const auto& [incarnation, offer] : mDrained) {
-    all.mAgents.push_back(offer);
+  for (const auto& [incarnation, agentUsage] : mDrainingAgents) {
+    all.mAgents.push_back(agentUsage);
   }
   return all;
 }
@@ -260,42 +267,44 @@
 usage_reporter::CollectAgents(std::int64_t aThrough, collection& aAll)
 {
   const auto servers = mDirectory.Servers();
-  std::vector<std::optional<usage::agent_usage>> offers(servers.size());
-  SideBySide(servers.size(), [&](std::size_t aPlace) {
-    const auto& server = servers[aPlace];
-    const auto answer = Ask(*server.mConnections,
-                            aThrough,
-                            {},
-                            RunsOf(server.mIncarnation, aAll.mSuperseded));
+  std::vector<std::optional<usage::agent_usage>> agentUsages(servers.size());
+  ForEachConcurrently(servers.size(), [&](std::size_t aIndex) {
+    const auto& server = servers[aIndex];
+    const auto answer =
+      QueryUsage(*server.mConnections,
+                 aThrough,
+                 {},
+                 RunsOfAgent(server.mIncarnation, aAll.mSuperseded));
     if (answer.mState == wire::wire_state::Answered) {
-      offers[aPlace] = ToOffer(answer.mReply);
+      agentUsages[aIndex] = ToAgentUsage(answer.mReply);
     }
   });
-  for (auto& offer : offers) {
-    if (offer) {
-      aAll.mAgents.push_back(std::move(*offer));
+  for (auto& agentUsage : agentUsages) {
+    if (agentUsage) {
+      aAll.mAgents.push_back(std::move(*agentUsage));
     }
   }
 }
 
 void
-usage_reporter::CollectDrained()
+usage_reporter::CollectDrainingAgents()
 {
   const auto& marks = mStore.Newest().mMarks;
-  for (auto each = mDrained.begin(); each != mDrained.end();) {
+  for (auto each = mDrainingAgents.begin(); each != mDrainingAgents.end();) {
     const auto mark = marks.mAgents.find(each->first);
     const bool isFixed = mark != marks.mAgents.end() &&
                          mark->second >= each->second.mClosedThrough;
-    each = isFixed ? mDrained.erase(each) : ++each;
+    each = isFixed ? mDrainingAgents.erase(each) : ++each;
   }
   for (const auto& server : mDirectory.Servers()) {
     if (!server.mIsLeaving) {
       continue;
     }
-    const auto answer = Ask(*server.mConnections, mStore.Newest().mWindow);
+    const auto answer =
+      QueryUsage(*server.mConnections, mStore.Newest().mWindow);
     if (answer.mState == wire::wire_state::Answered &&
         !answer.mReply.buckets.empty()) {
-      mDrained[answer.mReply.incarnation] = ToOffer(answer.mReply);
+      mDrainingAgents[answer.mReply.incarnation] = ToAgentUsage(answer.mReply);
     }
   }
 }
@@ -303,19 +312,19 @@
 void
 usage_reporter::CollectEntries(std::int64_t aThrough, collection& aAll)
 {
-  TakeAll(aAll.mFromEntries, mOwnAccount.Buckets(aThrough));
-  TakeAll(aAll.mSuperseded, mOwnAccount.Superseded());
+  AppendAll(aAll.mFromEntries, mOwnAccount.Buckets(aThrough));
+  AppendAll(aAll.mSuperseded, mOwnAccount.Superseded());
   const auto pools = OtherEntries();
-  std::vector<wire::usage_reply> told(pools.size());
-  SideBySide(pools.size(), [&](std::size_t aPlace) {
-    auto answer = Ask(*pools[aPlace], aThrough);
+  std::vector<wire::usage_reply> replies(pools.size());
+  ForEachConcurrently(pools.size(), [&](std::size_t aIndex) {
+    auto answer = QueryUsage(*pools[aIndex], aThrough);
     if (answer.mState == wire::wire_state::Answered) {
-      told[aPlace] = std::move(answer.mReply);
+      replies[aIndex] = std::move(answer.mReply);
     }
   });
-  for (auto& reply : told) {
-    TakeAll(aAll.mFromEntries, std::move(reply.buckets));
-    TakeAll(aAll.mSuperseded, std::move(reply.superseded));
+  for (auto& reply : replies) {
+    AppendAll(aAll.mFromEntries, std::move(reply.buckets));
+    AppendAll(aAll.mSuperseded, std::move(reply.superseded));
   }
 }
 
@@ -323,8 +332,8 @@
 usage_reporter::CollectRemainders(collection& aAll)
 {
   auto left = ReadRemainders(mOptions.mPlatform);
-  TakeAll(aAll.mFromEntries, std::move(left.mBuckets));
-  TakeAll(aAll.mSuperseded, std::move(left.mSuperseded));
+  AppendAll(aAll.mFromEntries, std::move(left.mBuckets));
+  AppendAll(aAll.mSuperseded, std::move(left.mSuperseded));
 }
 
 void
@@ -332,41 +341,43 @@
 {
   const auto& report = mStore.Newest();
   const auto settle = [&](auto& aPool) {
-    // Asked again, since an answer taken before the fix may be older.
-    const auto answer = Ask(aPool, report.mWindow);
+    // Queried again, because the responses received before the report was
+    // stored may be outdated.
+    const auto answer = QueryUsage(aPool, report.mWindow);
     if (answer.mState != wire::wire_state::Answered) {
       return;
     }
     const auto included =
       usage::IncludedBuckets(report.mMarks, answer.mReply.buckets);
     if (!included.empty()) {
-      Ask(aPool, report.mWindow, included);
+      QueryUsage(aPool, report.mWindow, included);
     }
   };
   const auto servers = mDirectory.Servers();
-  SideBySide(servers.size(), [&](std::size_t aPlace) {
-    settle(*servers[aPlace].mConnections);
+  ForEachConcurrently(servers.size(), [&](std::size_t aIndex) {
+    settle(*servers[aIndex].mConnections);
   });
   const auto pools = OtherEntries();
-  SideBySide(pools.size(), [&](std::size_t aPlace) { settle(*pools[aPlace]); });
+  ForEachConcurrently(pools.size(),
+                      [&](std::size_t aIndex) { settle(*pools[aIndex]); });
   mOwnAccount.Settle(
     usage::IncludedBuckets(report.mMarks, mOwnAccount.Buckets(report.mWindow)));
   DropRemainders(mOptions.mPlatform, report.mMarks);
 }
 
 bool
-usage_reporter::IsGone(const std::string& aAgentIncarnation)
+usage_reporter::HasTerminated(const std::string& aAgentIncarnation)
 {
   const auto now = boot_clock::now();
-  const auto since = mMissingSince.try_emplace(aAgentIncarnation, now);
+  const auto since = mUnansweredSince.try_emplace(aAgentIncarnation, now);
   const auto servers = mDirectory.Servers();
   const bool mayComeBack =
     std::any_of(servers.begin(), servers.end(), [&](const auto& aServer) {
       return aServer.mIncarnation == aAgentIncarnation;
     });
-  const auto wait = mayComeBack
-                      ? std::max<milliseconds>(kSilentFor, 3 * mOptions.mWindow)
-                      : kReplacedFor;
+  const auto wait = mayComeBack ? std::max<milliseconds>(kUnresponsiveAgentWait,
+                                                         3 * mOptions.mWindow)
+                                : kReplacedAgentWait;
   return now - since.first->second >= wait;
 }
 
--- a/Duties/Reports/UsageReporter.h
+++ b/Duties/Reports/UsageReporter.h
@@ -17,16 +17,17 @@
 #include <thread>
 #include <vector>
 
-/** Reports usage windows to the platform, from one process at a time. Apart
- * from the counting itself, which agents need too. */
+/** Reports usage windows to the platform, from one process at a time. Separate
+ * from the counting in Duties/Usage, which agents need too. */
 namespace lavender::reports {
 
 struct reporter_options
 {
   platform::client mPlatform;
   leases::lease_source mLeases;
-  /** Told of the lease that must not be released at the end, since a report
-   * under it may still be on its way. */
+  /** Called with the name of a lease that must expire instead of being released
+   * when this process stops, because a report sent under it may still be in
+   * transit. */
   std::function<void(const std::string&)> mLetExpire;
   milliseconds mLateBytes{ 3000 };
   std::string mEntryName;
@@ -35,8 +36,8 @@
   metrics::registry* mMetrics = nullptr;
 };
 
-/** Fixes each window's figures, reports them, and lets the witnesses forget
- * what is fixed, with a thread of its own. */
+/** Stores the report of each window, sends it, and tells the agents and entries
+ * which buckets they can remove. Uses a background thread. */
 class usage_reporter
 {
 public:
@@ -53,27 +54,27 @@
 private:
   using entry_pool = wire::connection_pool<wire::entry_serviceClient>;
 
-  /** All that the witnesses told in one round. */
+  /** All responses of agents and entries to one usage query. */
   struct collection
   {
     std::vector<usage::agent_usage> mAgents;
     std::vector<wire::usage_bucket> mFromEntries;
-    /** Told by the entries, for the agents to take out. */
+    /** Runs that the entries superseded, for the agents to remove. */
     std::vector<wire::superseded_run> mSuperseded;
   };
 
   void Run();
-  void Look(const leases::held_lease& aLease);
-  void FixNext(std::int64_t aWindow);
-  bool Report(const leases::held_lease& aLease);
+  void CheckWindows(const leases::held_lease& aLease);
+  void StoreNext(std::int64_t aWindow);
+  bool SendNewest(const leases::held_lease& aLease);
   collection Collect(std::int64_t aThrough);
   void CollectAgents(std::int64_t aThrough, collection& aAll);
-  void CollectDrained();
+  void CollectDrainingAgents();
   void CollectEntries(std::int64_t aThrough, collection& aAll);
   void CollectRemainders(collection& aAll);
   void Settle();
-  bool IsGone(const std::string& aAgentIncarnation);
-  /** Connections to all entries but this one. */
+  bool HasTerminated(const std::string& aAgentIncarnation);
+  /** Returns the connection pools of all entries except this one. */
   std::vector<entry_pool*> OtherEntries();
   bool IsStopping();
 
@@ -82,11 +83,13 @@
   usage::usage_account& mOwnAccount;
   window_store mStore;
   std::int64_t mFencing = 0;
-  std::optional<time_point> mUnansweredAt;
-  /** Last words of agents that left, until they are fixed. */
-  std::map<std::string, usage::agent_usage> mDrained;
-  /** Since when an agent that an entry counted for didn't answer. */
-  std::map<std::string, time_point> mMissingSince;
+  std::optional<time_point> mLastUnansweredAt;
+  /** Last response of each draining agent, until a stored report includes it.
+   */
+  std::map<std::string, usage::agent_usage> mDrainingAgents;
+  /** When an agent, named by an entry's counts, was first found unresponsive.
+   */
+  std::map<std::string, time_point> mUnansweredSince;
   std::map<std::string, std::unique_ptr<entry_pool>> mPools;
   std::mutex mMutex;
   std::condition_variable mStopped;
--- a/Duties/Reports/WindowStore.cpp
+++ b/Duties/Reports/WindowStore.cpp
@@ -7,8 +7,8 @@
 constexpr char kCursorKind[] = "UsageCursor";
 constexpr char kCursorName[] = "usage";
 constexpr std::size_t kNameDigits = 12;
-/** Windows that stay readable for operators. */
-constexpr std::int64_t kKeptObjects = 1440;
+/** Number of windows that are kept for operators to read. */
+constexpr std::int64_t kRetainedWindows = 1440;
 
 } // namespace
 
@@ -36,14 +36,14 @@
   mNewest.mWindow = aFirst;
   mNewest.mIsReported = true;
   if (cursor.mState == platform::read_state::Found) {
-    // The window that the very first cursor names was never fixed.
+    // No report exists for the window in the initial cursor.
     mNewest.mWindow = json::IntegerAt(cursor.mObject.mValue, "window", 0);
-    if (!Take(mNewest.mWindow)) {
+    if (!LoadWindow(mNewest.mWindow)) {
       return false;
     }
   } else {
-    // A conditional create, so that reporters with other clocks agree on
-    // where the windows begin.
+    // A conditional create, so that reporters with different clocks agree on
+    // the first window.
     json::value start;
     start.Set("window", aFirst);
     const auto made =
@@ -52,10 +52,10 @@
       return false;
     }
   }
-  // The cursor may lag behind the last create.
+  // The cursor may lag behind the newest stored window.
   for (;;) {
     const auto before = mNewest.mWindow;
-    if (!Take(before + 1)) {
+    if (!LoadWindow(before + 1)) {
       return false;
     }
     if (mNewest.mWindow == before) {
@@ -65,7 +65,7 @@
 }
 
 bool
-window_store::Take(std::int64_t aWindow)
+window_store::LoadWindow(std::int64_t aWindow)
 {
   const auto read = platform::Read(mPlatform, kKind, WindowName(aWindow));
   if (read.mState == platform::read_state::Failed) {
@@ -79,22 +79,23 @@
 }
 
 bool
-window_store::Fix(const usage::window_report& aReport)
+window_store::Store(const usage::window_report& aReport)
 {
   const auto written = platform::Write(
     mPlatform, kKind, WindowName(aReport.mWindow), 0, usage::Describe(aReport));
   if (written.mState == platform::write_state::Done) {
     mNewest = aReport;
     mRevision = written.mRevision;
-  } else if (!Take(aReport.mWindow) || mNewest.mWindow != aReport.mWindow) {
+  } else if (!LoadWindow(aReport.mWindow) ||
+             mNewest.mWindow != aReport.mWindow) {
     return false;
   }
-  MoveCursor();
+  AdvanceCursor();
   return true;
 }
 
 void
-window_store::MoveCursor()
+window_store::AdvanceCursor()
 {
   const auto cursor = platform::Read(mPlatform, kCursorKind, kCursorName);
   if (cursor.mState != platform::read_state::Found ||
@@ -106,7 +107,7 @@
   platform::Write(
     mPlatform, kCursorKind, kCursorName, cursor.mObject.mRevision, moved);
   const auto old = platform::Read(
-    mPlatform, kKind, WindowName(mNewest.mWindow - kKeptObjects));
+    mPlatform, kKind, WindowName(mNewest.mWindow - kRetainedWindows));
   if (old.mState == platform::read_state::Found) {
     platform::Delete(
       mPlatform, kKind, old.mObject.mName, old.mObject.mRevision);
@@ -114,7 +115,7 @@
 }
 
 bool
-window_store::NoteReported()
+window_store::MarkReported()
 {
   auto report = mNewest;
   report.mIsReported = true;
@@ -128,9 +129,9 @@
     mRevision = written.mRevision;
     return true;
   }
-  // Read back: a lost answer shows as reported now; otherwise it is reported
-  // once more, with the same figures.
-  return Take(report.mWindow) && mNewest.mIsReported;
+  // Reads the window again: if only the response was lost, it is marked as
+  // reported. Otherwise the same report is sent once more.
+  return LoadWindow(report.mWindow) && mNewest.mIsReported;
 }
 
 } // namespace lavender::reports
--- a/Duties/Reports/WindowStore.h
+++ b/Duties/Reports/WindowStore.h
@@ -7,33 +7,38 @@
 
 namespace lavender::reports {
 
-/** The fixed windows in the Object API, kind "UsageWindow". */
+/** Access to the stored window reports in the Object API, objects of kind
+ * "UsageWindow". */
 class window_store
 {
 public:
   explicit window_store(platform::client aPlatform);
 
-  /** Finds the newest fixed window. False while the store doesn't answer.
-   * @param aFirst window before the first one, when none was ever fixed */
+  /** Loads the newest stored window. Returns false while the store doesn't
+   * answer.
+   * @param aFirst window before the first one to report, when none is stored */
   bool Load(std::int64_t aFirst);
-  /** Newest fixed window; its figures never change. */
+  /** Newest stored window. Its counts never change. */
   const usage::window_report& Newest() const { return mNewest; }
-  /** Fixes the next window by a conditional create. When another reporter was
-   * first, what it wrote is the newest. False when that isn't known. */
-  bool Fix(const usage::window_report& aReport);
-  /** Notes that the intake has the newest window. */
-  bool NoteReported();
+  /** Stores the next window by a conditional create. When another reporter has
+   * already created it, that report becomes the newest. Returns false when the
+   * outcome is unknown. */
+  bool Store(const usage::window_report& aReport);
+  /** Records that the platform's usage intake has accepted the newest window.
+   * Returns false when this isn't known to be stored. */
+  bool MarkReported();
 
 private:
-  bool Take(std::int64_t aWindow);
-  void MoveCursor();
+  bool LoadWindow(std::int64_t aWindow);
+  void AdvanceCursor();
 
   const platform::client mPlatform;
   usage::window_report mNewest;
   std::int64_t mRevision = 0;
 };
 
-/** Object name of a window: sorts as the windows do. */
+/** Returns the object name of a window, padded so that names sort like window
+ * numbers. */
 std::string
 WindowName(std::int64_t aWindow);
 
