--- a/Duties/Retirement/RetirementDuty.cpp
+++ b/Duties/Retirement/RetirementDuty.cpp
@@ -8,8 +8,9 @@
 using objects::store_outcome;
 
 namespace {
-/** A stale read costs a tenth of a call; retirements last many seconds. */
-constexpr milliseconds kLookEach = 2000ms;
+/** A stale read costs a tenth of a full call, and a retirement takes many
+ * seconds, so the object is polled at this interval. */
+constexpr milliseconds kCheckInterval = 2000ms;
 } // namespace
 
 retirement_duty::retirement_duty(retirement_parts aParts)
@@ -21,22 +22,22 @@
 void
 retirement_duty::Start()
 {
-  LookAgain();
+  ScheduleCheck();
 }
 
 void
-retirement_duty::LookAgain()
+retirement_duty::ScheduleCheck()
 {
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (!aError) {
-      Look();
+      Check();
     }
   });
 }
 
 void
-retirement_duty::Look()
+retirement_duty::Check()
 {
   mParts.mStore.mGet(
     mParts.mKind,
@@ -47,7 +48,7 @@
           json::StringAt(aReply.mObject.mStatus, "state", "") != "completed") {
         Complete();
       } else {
-        LookAgain();
+        ScheduleCheck();
       }
     });
 }
@@ -63,7 +64,7 @@
                                  events::line("retirement_completed")
                                    .With("outcome",
                                          objects::WordFor(aReply.mOutcome));
-                                 LookAgain();
+                                 ScheduleCheck();
                                });
 }
 
--- a/Duties/Retirement/RetirementDuty.h
+++ b/Duties/Retirement/RetirementDuty.h
@@ -5,21 +5,22 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-/** Answers an operator's wish to take an instance with a disk away. */
+/** Handles an operator's request to retire an instance that has a disk. */
 namespace lavender::retirement {
 
 struct retirement_parts
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
-  /** Kind of the objects that ask for it. */
+  /** Kind of the objects that request a retirement. */
   std::string mKind;
-  /** Name of this instance, which is the object's name. */
+  /** Name of this instance, which is also the name of its retirement object. */
   std::string mName;
 };
 
-/** Looks for the object that asks this instance to be emptied, and reports it
- * empty: nothing that must last lies on its disk. */
+/** Polls for the object that requests this instance's retirement, and marks it
+ * as completed. There is no data to move, because the instance keeps nothing
+ * durable on its disk. */
 class retirement_duty
 {
 public:
@@ -28,8 +29,8 @@
   void Start();
 
 private:
-  void LookAgain();
-  void Look();
+  void ScheduleCheck();
+  void Check();
   void Complete();
 
   retirement_parts mParts;
--- a/Duties/Upkeep/UpkeepDuty.cpp
+++ b/Duties/Upkeep/UpkeepDuty.cpp
@@ -11,37 +11,37 @@
 
 namespace {
 
-constexpr milliseconds kLookEach = 5000ms;
+constexpr milliseconds kCheckInterval = 5000ms;
 constexpr milliseconds kPingTimeout = 1000ms;
-/** A batch whose trainer never ended it is over after this. */
-constexpr milliseconds kForgottenAfter = std::chrono::hours(1);
+/** Minimum age at which a batch that its trainer never ended is deleted. */
+constexpr milliseconds kAbandonedAfter = std::chrono::hours(1);
 
 } // namespace
 
 bool
-IsDisposable(const batches::batch_head& aHead,
-             milliseconds aKeep,
-             std::chrono::system_clock::time_point aNow)
+IsDeletable(const batches::batch_head& aHead,
+            milliseconds aKeep,
+            std::chrono::system_clock::time_point aNow)
 {
   const auto age = aNow - aHead.mSubmittedAt;
-  return age > (aHead.mIsEnded ? aKeep : std::max(aKeep, kForgottenAfter));
+  return age > (aHead.mIsEnded ? aKeep : std::max(aKeep, kAbandonedAfter));
 }
 
 bool
-TakePing(silent_entries& aSilent,
-         const std::string& aName,
-         bool aHasAnswered,
-         time_point aNow)
+RecordPing(unresponsive_entries& aUnresponsive,
+           const std::string& aName,
+           bool aHasAnswered,
+           time_point aNow)
 {
   if (aHasAnswered) {
-    aSilent.erase(aName);
+    aUnresponsive.erase(aName);
     return false;
   }
-  const auto since = aSilent.emplace(aName, aNow).first->second;
-  if (aNow - since < kGoneAfter) {
+  const auto since = aUnresponsive.emplace(aName, aNow).first->second;
+  if (aNow - since < kRemoveAfter) {
     return false;
   }
-  aSilent.erase(aName);
+  aUnresponsive.erase(aName);
   return true;
 }
 
@@ -54,24 +54,24 @@
 void
 upkeep_duty::Start()
 {
-  LookAgain();
+  ScheduleCheck();
 }
 
 void
-upkeep_duty::LookAgain()
+upkeep_duty::ScheduleCheck()
 {
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (aError) {
       return;
     }
-    if (mParts.mIsMyTurn()) {
+    if (mParts.mIsResponsible()) {
       PingEntries();
-      DisposeOne();
+      DeleteNextBatch();
     } else {
-      mSilent.clear();
+      mUnresponsive.clear();
     }
-    LookAgain();
+    ScheduleCheck();
   });
 }
 
@@ -94,7 +94,7 @@
       64 << 10,
       [this, name = name](edge::call_end aEnd, const edge::response&) {
         const bool answered = aEnd == edge::call_end::Complete;
-        if (!TakePing(mSilent, name, answered, boot_clock::now())) {
+        if (!RecordPing(mUnresponsive, name, answered, boot_clock::now())) {
           return;
         }
         events::line("entry_removed").With("entry", name);
@@ -105,15 +105,15 @@
 }
 
 void
-upkeep_duty::DisposeOne()
+upkeep_duty::DeleteNextBatch()
 {
-  if (mIsDisposing) {
+  if (mIsDeleting) {
     return;
   }
   const auto now = std::chrono::system_clock::now();
   for (const auto& head : mParts.mHeads()) {
-    if (IsDisposable(head, mParts.mKeepResults, now)) {
-      mIsDisposing = true;
+    if (IsDeletable(head, mParts.mKeepResults, now)) {
+      mIsDeleting = true;
       DeleteBlocks(head, 0);
       return;
     }
@@ -132,7 +132,7 @@
                                      store_outcome::NotFound) {
                             DeleteItems(aHead, 0);
                           } else {
-                            mIsDisposing = false;
+                            mIsDeleting = false;
                           }
                         });
 }
@@ -140,8 +140,8 @@
 void
 upkeep_duty::DeleteItems(const batches::batch_head& aHead, int aPart)
 {
-  // The head goes last: while it is there, the rest is found again after a
-  // failure.
+  // The batch's metadata object is deleted last, so that the remaining objects
+  // are found again after a failure.
   const bool isHead = aPart == aHead.mParts;
   mParts.mStore.mDelete(
     isHead ? batches::kHeadKind : batches::kItemsKind,
@@ -153,10 +153,10 @@
         DeleteItems(aHead, aPart + 1);
         return;
       }
-      mIsDisposing = false;
+      mIsDeleting = false;
       if (isGone) {
         events::line("batch_removed").With("batch", aHead.mId);
-        DisposeOne();
+        DeleteNextBatch();
       }
     });
 }
--- a/Duties/Upkeep/UpkeepDuty.h
+++ b/Duties/Upkeep/UpkeepDuty.h
@@ -9,32 +9,33 @@
 #include <map>
 #include <optional>
 
-/** Removes from the store what nobody needs any more; nothing there expires by
- * itself. */
+/** Garbage collection in the platform's store, where no object expires by
+ * itself: removes the objects of old batches and of terminated entries. */
 namespace lavender::upkeep {
 
-/** When a batch's objects may go: its results have been kept for as long as
- * trainers may read them, and it is over. One that its trainer has forgotten
- * counts as over in the end. */
+/** True when a batch's objects may be deleted: the batch has ended and its
+ * results were kept for aKeep. A batch that its trainer never ended may be
+ * deleted after an hour, or after aKeep if that is longer. */
 bool
-IsDisposable(const batches::batch_head& aHead,
-             milliseconds aKeep,
-             std::chrono::system_clock::time_point aNow);
+IsDeletable(const batches::batch_head& aHead,
+            milliseconds aKeep,
+            std::chrono::system_clock::time_point aNow);
 
-/** Since when each entry hasn't answered. */
-using silent_entries = std::map<std::string, time_point>;
+/** Time of the first failed ping of each unresponsive entry, by name. */
+using unresponsive_entries = std::map<std::string, time_point>;
 
-/** Longer than any outage that an entry comes back from under its address. One
- * that is removed by mistake announces itself again. */
-constexpr milliseconds kGoneAfter{ 20000 };
+/** Time without an answer after which an entry is removed from the list. Longer
+ * than any outage after which an entry continues at the same address. An entry
+ * that is removed by mistake registers itself again. */
+constexpr milliseconds kRemoveAfter{ 20000 };
 
-/** Takes the answer, or its absence, of an entry that was asked.
- * @return whether the entry is to be taken off the list */
+/** Records the result of pinging an entry.
+ * @return true when the entry must be removed from the list */
 bool
-TakePing(silent_entries& aSilent,
-         const std::string& aName,
-         bool aHasAnswered,
-         time_point aNow);
+RecordPing(unresponsive_entries& aUnresponsive,
+           const std::string& aName,
+           bool aHasAnswered,
+           time_point aNow);
 
 struct upkeep_parts
 {
@@ -44,15 +45,16 @@
   std::string mName;
   /** How long results are kept after their batch was submitted. */
   milliseconds mKeepResults{ 120000 };
-  /** Whether this entry is the one that looks after the store. */
-  std::function<bool()> mIsMyTurn;
+  /** Returns whether this entry is responsible for the store's upkeep. */
+  std::function<bool()> mIsResponsible;
   std::function<std::map<std::string, edge::endpoint>()> mEntries;
   std::function<std::vector<batches::batch_head>()> mHeads;
-  /** A request that any entry answers. */
+  /** Creates a request that every entry answers. */
   std::function<edge::request()> mPing;
 };
 
-/** Runs on the entry that watches the store for the others. */
+/** Pings the other entries and deletes objects that aren't needed any more.
+ * Runs on every entry, but acts only on the one that is responsible. */
 class upkeep_duty
 {
 public:
@@ -61,16 +63,16 @@
   void Start();
 
 private:
-  void LookAgain();
+  void ScheduleCheck();
   void PingEntries();
-  void DisposeOne();
+  void DeleteNextBatch();
   void DeleteBlocks(const batches::batch_head& aHead, int aNumber);
   void DeleteItems(const batches::batch_head& aHead, int aPart);
 
   upkeep_parts mParts;
   boost::asio::steady_timer mTimer;
-  silent_entries mSilent;
-  bool mIsDisposing = false;
+  unresponsive_entries mUnresponsive;
+  bool mIsDeleting = false;
 };
 
 } // namespace lavender::upkeep
--- a/Tests/Site/TestUpkeep.cpp
+++ b/Tests/Site/TestUpkeep.cpp
@@ -15,33 +15,34 @@
   batches::batch_head head;
   head.mIsEnded = true;
   head.mSubmittedAt = now - 119s;
-  BOOST_TEST(!upkeep::IsDisposable(head, 120s, now));
+  BOOST_TEST(!upkeep::IsDeletable(head, 120s, now));
   head.mSubmittedAt = now - 121s;
-  BOOST_TEST(upkeep::IsDisposable(head, 120s, now));
+  BOOST_TEST(upkeep::IsDeletable(head, 120s, now));
   head.mIsEnded = false;
-  BOOST_TEST(!upkeep::IsDisposable(head, 120s, now));
+  BOOST_TEST(!upkeep::IsDeletable(head, 120s, now));
   head.mSubmittedAt = now - 2h;
-  BOOST_TEST(upkeep::IsDisposable(head, 120s, now));
+  BOOST_TEST(upkeep::IsDeletable(head, 120s, now));
 }
 
-// Usage reports come late after some instances were replaced: their names stay
-// in the list, and the entries after them wait for their turn. One that is
-// only cut off for a while must stay.
-BOOST_AUTO_TEST_CASE(OnlyALongSilenceRemovesAnEntry)
+// Guards against late usage reports after instances were replaced: while their
+// names stay in the list of entries, the entries after them wait until those
+// have had time to report. An entry that is only cut off temporarily must stay
+// listed.
+BOOST_AUTO_TEST_CASE(OnlyALongOutageRemovesAnEntry)
 {
-  upkeep::silent_entries silent;
+  upkeep::unresponsive_entries unresponsive;
   const auto start = boot_clock::now();
-  BOOST_TEST(!upkeep::TakePing(silent, "a", false, start));
-  BOOST_TEST(!upkeep::TakePing(silent, "a", false, start + 19s));
-  BOOST_TEST(!upkeep::TakePing(silent, "a", true, start + 19500ms));
-  BOOST_TEST(!upkeep::TakePing(silent, "a", false, start + 21s));
-  BOOST_TEST(!upkeep::TakePing(silent, "a", false, start + 40s));
-  BOOST_TEST(upkeep::TakePing(silent, "a", false, start + 41s));
+  BOOST_TEST(!upkeep::RecordPing(unresponsive, "a", false, start));
+  BOOST_TEST(!upkeep::RecordPing(unresponsive, "a", false, start + 19s));
+  BOOST_TEST(!upkeep::RecordPing(unresponsive, "a", true, start + 19500ms));
+  BOOST_TEST(!upkeep::RecordPing(unresponsive, "a", false, start + 21s));
+  BOOST_TEST(!upkeep::RecordPing(unresponsive, "a", false, start + 40s));
+  BOOST_TEST(upkeep::RecordPing(unresponsive, "a", false, start + 41s));
 }
 
-// A site that runs for weeks fills the store and the entries' memory with
-// batches that nobody reads any more.
-BOOST_AUTO_TEST_CASE(OldBatchesLeaveTheStoreWhole)
+// Guards against filling the store and the entries' memory with old batches
+// that are no longer read, at a site that runs for weeks.
+BOOST_AUTO_TEST_CASE(OldBatchesAreDeletedCompletely)
 {
   batch_site site;
   model_server server(site.mLoop.mLoop, "s1");
