--- a/Duties/Configuration/ConfigurationState.cpp
+++ b/Duties/Configuration/ConfigurationState.cpp
@@ -69,14 +69,14 @@
 take_outcome
 TakeList(configuration_state& aState,
          const platform::object_list& aList,
-         time_point aAskedAt)
+         time_point aRequestedAt)
 {
   if (aList.mRevision < aState.mKnownUpTo) {
     // The list comes from a stale replica of the store. Applying it would make
     // withdrawn keys valid again.
     return take_outcome::Older;
   }
-  RecordVerification(aState, aAskedAt);
+  RecordVerification(aState, aRequestedAt);
   if (aList.mRevision == aState.mKnownUpTo) {
     return take_outcome::Confirmed;
   }
@@ -98,12 +98,12 @@
 take_outcome
 TakeBatch(configuration_state& aState,
           const platform::watch_batch& aBatch,
-          time_point aAskedAt)
+          time_point aRequestedAt)
 {
   if (aBatch.mRevision < aState.mKnownUpTo) {
     return take_outcome::Older;
   }
-  RecordVerification(aState, aAskedAt);
+  RecordVerification(aState, aRequestedAt);
   if (aBatch.mRevision == aState.mKnownUpTo) {
     return take_outcome::Confirmed;
   }
--- a/Duties/Configuration/ConfigurationState.h
+++ b/Duties/Configuration/ConfigurationState.h
@@ -72,18 +72,19 @@
 };
 
 /** Applies a list of all objects in the store.
- * @param aAskedAt when the request was sent: the list is at least as recent */
+ * @param aRequestedAt when the request was sent: the list is at least as recent
+ */
 take_outcome
 TakeList(configuration_state& aState,
          const platform::object_list& aList,
-         time_point aAskedAt);
+         time_point aRequestedAt);
 
 /** Applies the response to a watch.
- * @param aAskedAt when the request was sent */
+ * @param aRequestedAt when the request was sent */
 take_outcome
 TakeBatch(configuration_state& aState,
           const platform::watch_batch& aBatch,
-          time_point aAskedAt);
+          time_point aRequestedAt);
 
 /** Applies a full copy from a peer or from the disk. */
 take_outcome
--- a/Duties/Configuration/ConfigurationStore.cpp
+++ b/Duties/Configuration/ConfigurationStore.cpp
@@ -34,10 +34,11 @@
 } // namespace
 
 milliseconds
-AgeOf(const std::optional<time_point>& aProvenAt, time_point aNow)
+AgeOf(const std::optional<time_point>& aVerifiedAt, time_point aNow)
 {
-  return aProvenAt ? std::chrono::duration_cast<milliseconds>(aNow - *aProvenAt)
-                   : kNeverVerified;
+  return aVerifiedAt
+           ? std::chrono::duration_cast<milliseconds>(aNow - *aVerifiedAt)
+           : kNeverVerified;
 }
 
 std::optional<time_point>
@@ -66,13 +67,13 @@
 }
 
 full_copy
-FromMessage(const wire::configuration_copy& aMessage, time_point aAskedAt)
+FromMessage(const wire::configuration_copy& aMessage, time_point aRequestedAt)
 {
   full_copy copy;
   copy.mRevision = aMessage.revision;
   copy.mChanged = aMessage.changed_revision;
   copy.mProvenAt =
-    VerificationTime(milliseconds(aMessage.fresh_age_ms), aAskedAt);
+    VerificationTime(milliseconds(aMessage.fresh_age_ms), aRequestedAt);
   for (const auto& record : aMessage.objects) {
     copy.mObjects[{ record.kind, record.name }] = { record.revision,
                                                     record.value };
@@ -290,7 +291,7 @@
 bool
 configuration_store::LoadFromPlatform()
 {
-  const auto askedAt = boot_clock::now();
+  const auto requestedAt = boot_clock::now();
   const auto list = platform::List(mOptions.mPlatform, "");
   if (!list) {
     LogNewFailure("Configuration not listed from the platform, retrying: " +
@@ -298,7 +299,7 @@
     return false;
   }
   std::lock_guard lock(mMutex);
-  const auto outcome = TakeList(mState, *list, askedAt);
+  const auto outcome = TakeList(mState, *list, requestedAt);
   CountOutcome("list", outcome);
   mStateChanged.notify_all();
   return outcome != take_outcome::Older;
@@ -307,7 +308,7 @@
 bool
 configuration_store::PollWatch()
 {
-  const auto askedAt = boot_clock::now();
+  const auto requestedAt = boot_clock::now();
   const auto batch =
     platform::Watch(mOptions.mPlatform, Digest().mKnownUpTo, kWatchWait);
   if (!batch) {
@@ -325,7 +326,7 @@
   take_outcome outcome = take_outcome::Older;
   {
     std::lock_guard lock(mMutex);
-    outcome = TakeBatch(mState, *batch, askedAt);
+    outcome = TakeBatch(mState, *batch, requestedAt);
   }
   CountOutcome("watch", outcome);
   mStateChanged.notify_all();
--- a/Duties/Configuration/ConfigurationStore.h
+++ b/Duties/Configuration/ConfigurationStore.h
@@ -88,14 +88,14 @@
 /** Converts a copy to the message that is sent or saved to disk. */
 wire::configuration_copy
 ToMessage(const full_copy& aCopy, time_point aNow);
-/** @param aAskedAt when the copy was requested; the age of its verification is
- *   subtracted from this time */
+/** @param aRequestedAt when the copy was requested; the age of its verification
+ * is subtracted from this time */
 full_copy
-FromMessage(const wire::configuration_copy& aMessage, time_point aAskedAt);
+FromMessage(const wire::configuration_copy& aMessage, time_point aRequestedAt);
 
-/** Returns the time since aProvenAt, or kNeverVerified when there is none. */
+/** Returns the time since aVerifiedAt, or kNeverVerified when there is none. */
 milliseconds
-AgeOf(const std::optional<time_point>& aProvenAt, time_point aNow);
+AgeOf(const std::optional<time_point>& aVerifiedAt, time_point aNow);
 /** Returns the verification time that had the given age at aAt; none for
  * kNeverVerified. */
 std::optional<time_point>
--- a/Duties/Configuration/PeerExchange.cpp
+++ b/Duties/Configuration/PeerExchange.cpp
@@ -96,7 +96,7 @@
     }
     connections = found->second.mConnections;
   }
-  const auto askedAt = boot_clock::now();
+  const auto requestedAt = boot_clock::now();
   const auto own = mStore.Digest();
   wire::peer_digest message;
   message.echo = aName;
@@ -104,7 +104,7 @@
   message.name = mOptions.mOwnName;
   message.configuration_revision = own.mKnownUpTo;
   message.changed_revision = own.mChanged;
-  message.fresh_age_ms = AgeOf(own.mProvenAt, askedAt).count();
+  message.fresh_age_ms = AgeOf(own.mProvenAt, requestedAt).count();
   const auto outcome = connections->Run<wire::peer_digest>(
     mOptions.mTimeout, aName, [&](auto& aClient, auto& aReply) {
       aClient.Exchange(aReply, message);
@@ -119,13 +119,14 @@
     // is never dated too late.
     digest = { reply.configuration_revision,
                reply.changed_revision,
-               VerificationTime(milliseconds(reply.fresh_age_ms), askedAt) };
+               VerificationTime(milliseconds(reply.fresh_age_ms),
+                                requestedAt) };
   }
   {
     std::lock_guard lock(mMutex);
     if (const auto found = mPeers.find(aName);
         found != mPeers.end() && found->second.mConnections == connections) {
-      found->second.mAskedAt = askedAt;
+      found->second.mRequestedAt = requestedAt;
       if (isPeer) {
         found->second.mHeardAt = boot_clock::now();
         found->second.mDigest = digest;
@@ -148,7 +149,7 @@
 peer_exchange::FetchFrom(const std::string& aName,
                          const std::shared_ptr<peer_pool>& aConnections)
 {
-  const auto askedAt = boot_clock::now();
+  const auto requestedAt = boot_clock::now();
   const auto outcome = aConnections->Run<wire::configuration_copy>(
     mOptions.mTimeout, aName, [&](auto& aClient, auto& aReply) {
       aClient.FetchConfiguration(aReply, aName);
@@ -158,7 +159,7 @@
     Count("fetch_failed");
     return;
   }
-  const auto taken = mStore.ApplyCopy(FromMessage(outcome.mReply, askedAt));
+  const auto taken = mStore.ApplyCopy(FromMessage(outcome.mReply, requestedAt));
   if (taken == take_outcome::Advanced) {
     Log(log_level::Info,
         "configuration",
@@ -193,7 +194,7 @@
   }
   auto lowest = mStore.Digest().mKnownUpTo;
   for (const auto& [name, peer] : mPeers) {
-    report.mAsked += peer.mAskedAt ? 1 : 0;
+    report.mAsked += peer.mRequestedAt ? 1 : 0;
     if (!peer.mHeardAt) {
       continue;
     }
@@ -204,9 +205,9 @@
     }
     report.mHighestChanged =
       std::max(report.mHighestChanged, peer.mDigest.mChanged);
-    if (const auto proof = peer.mDigest.mProvenAt) {
+    if (const auto verifiedAt = peer.mDigest.mProvenAt) {
       report.mLatestProof =
-        std::max(report.mLatestProof.value_or(*proof), *proof);
+        std::max(report.mLatestProof.value_or(*verifiedAt), *verifiedAt);
     }
   }
   // A list that lacks this entry may be outdated and lack other entries too.
--- a/Duties/Configuration/PeerExchange.h
+++ b/Duties/Configuration/PeerExchange.h
@@ -67,7 +67,7 @@
     std::string mAddress;
     std::shared_ptr<peer_pool> mConnections;
     std::optional<time_point> mHeardAt;
-    std::optional<time_point> mAskedAt;
+    std::optional<time_point> mRequestedAt;
     state_digest mDigest;
   };
 
--- a/Duties/Keys/FreshnessGate.cpp
+++ b/Duties/Keys/FreshnessGate.cpp
@@ -18,23 +18,23 @@
  * process that still answers is as stale as this one. Only the missing answers
  * of the other zones distinguish this case from an outage of the store. */
 bool
-ReachesAtLeastHalf(const witness_summary& aWitnesses)
+ReachesAtLeastHalf(const witness_summary& aRemote)
 {
-  return aWitnesses.mAudible * 2 >= aWitnesses.mKnown.value_or(0);
+  return aRemote.mAudible * 2 >= aRemote.mKnown.value_or(0);
 }
 
 /** True when the store recently answered another entry, at least mMinimumLead
  * after it last answered this one. */
 bool
 IsStoreReachableByOthers(const own_freshness& aOwn,
-                         const witness_summary& aWitnesses,
+                         const witness_summary& aRemote,
                          const freshness_limits& aLimits,
                          time_point aNow)
 {
   return IsRecent(
-           aWitnesses.mLatestProof, aLimits.mMaximumVerificationAge, aNow) &&
+           aRemote.mLatestProof, aLimits.mMaximumVerificationAge, aNow) &&
          (!aOwn.mProvenAt ||
-          *aWitnesses.mLatestProof - *aOwn.mProvenAt >= aLimits.mMinimumLead);
+          *aRemote.mLatestProof - *aOwn.mProvenAt >= aLimits.mMinimumLead);
 }
 
 /** A newly started entry accepts keys only after it has polled every known
@@ -43,16 +43,16 @@
  * would accept withdrawn keys. */
 bool
 MayJoin(const own_freshness& aOwn,
-        const witness_summary& aWitnesses,
+        const witness_summary& aRemote,
         const freshness_limits& aLimits,
         time_point aNow)
 {
-  if (aOwn.mKnownUpTo == 0 || aOwn.mKnownUpTo < aWitnesses.mHighestChanged ||
-      !aWitnesses.mKnown || aWitnesses.mAsked < *aWitnesses.mKnown) {
+  if (aOwn.mKnownUpTo == 0 || aOwn.mKnownUpTo < aRemote.mHighestChanged ||
+      !aRemote.mKnown || aRemote.mAsked < *aRemote.mKnown) {
     return false;
   }
   return IsRecent(aOwn.mProvenAt, aLimits.mMaximumVerificationAge, aNow) ||
-         (*aWitnesses.mKnown > 0 && ReachesAtLeastHalf(aWitnesses));
+         (*aRemote.mKnown > 0 && ReachesAtLeastHalf(aRemote));
 }
 
 } // namespace
@@ -60,21 +60,21 @@
 freshness
 EvaluateFreshness(freshness_state& aState,
                   const own_freshness& aOwn,
-                  const witness_summary& aWitnesses,
+                  const witness_summary& aRemote,
                   const freshness_limits& aLimits,
                   time_point aNow)
 {
   const bool isBehind = HasLasted(aState.mBehindSince,
-                                  aOwn.mKnownUpTo < aWitnesses.mHighestChanged,
+                                  aOwn.mKnownUpTo < aRemote.mHighestChanged,
                                   aLimits.mCatchUpTime,
                                   aNow);
   const bool isCutOff =
     HasLasted(aState.mCutOffSince,
-              IsStoreReachableByOthers(aOwn, aWitnesses, aLimits, aNow),
+              IsStoreReachableByOthers(aOwn, aRemote, aLimits, aNow),
               aLimits.mCatchUpTime,
               aNow);
   if (!aState.mHasJoined) {
-    if (!MayJoin(aOwn, aWitnesses, aLimits, aNow)) {
+    if (!MayJoin(aOwn, aRemote, aLimits, aNow)) {
       return freshness::Joining;
     }
     aState.mHasJoined = true;
@@ -88,8 +88,8 @@
   if (isCutOff) {
     return freshness::CutOff;
   }
-  return ReachesAtLeastHalf(aWitnesses) ? freshness::PlatformDown
-                                        : freshness::Isolated;
+  return ReachesAtLeastHalf(aRemote) ? freshness::PlatformDown
+                                     : freshness::Isolated;
 }
 
 bool
--- a/Duties/Keys/FreshnessGate.h
+++ b/Duties/Keys/FreshnessGate.h
@@ -90,7 +90,7 @@
 freshness
 EvaluateFreshness(freshness_state& aState,
                   const own_freshness& aOwn,
-                  const witness_summary& aWitnesses,
+                  const witness_summary& aRemote,
                   const freshness_limits& aLimits,
                   time_point aNow);
 
--- a/Duties/Keys/TestFreshnessGate.cpp
+++ b/Duties/Keys/TestFreshnessGate.cpp
@@ -32,7 +32,7 @@
 // Guards against 503 responses to valid keys at the start of a store outage.
 // The entry whose last verification is older must not conclude from the other
 // entry's slightly later one that the store still answers other entries.
-BOOST_AUTO_TEST_CASE(EntriesThatLoseTheStoreTogetherGoOn)
+BOOST_AUTO_TEST_CASE(EntriesAcceptKeysWhileTheStoreIsDown)
 {
   BOOST_TEST(rc::check("keys are accepted throughout the outage", [] {
     const auto skew = milliseconds(*rc::gen::inRange(0, 2500));
@@ -50,7 +50,7 @@
 // Guards against 503 responses to valid keys at the end of a store outage. The
 // store answers one entry first; another entry learns of this through an agent
 // before its own watch has resumed.
-BOOST_AUTO_TEST_CASE(TheEndOfAnOutageIsNoReasonToRefuse)
+BOOST_AUTO_TEST_CASE(EntriesAcceptKeysWhenAnOutageEnds)
 {
   auto state = Joined();
   const freshness_limits limits;
@@ -69,7 +69,7 @@
 
 // The platform is so slow that it answers only occasionally. An entry that is
 // cut off must not accept keys between two verifications of other entries.
-BOOST_AUTO_TEST_CASE(ProofsFarApartStillShowACut)
+BOOST_AUTO_TEST_CASE(CutOffEntryRefusesKeysOnASlowPlatform)
 {
   auto state = Joined();
   for (auto now = kStart + 9s; now < kStart + 60s; now += 100ms) {
@@ -85,7 +85,7 @@
 // An entry learns from agents that a later change exists, and its own watch
 // delivers the change shortly after. Refusing keys immediately would cause a
 // burst of refusals at each configuration change.
-BOOST_AUTO_TEST_CASE(AChangeOnItsWayIsNoReasonToRefuse)
+BOOST_AUTO_TEST_CASE(EntryAcceptsKeysWhileAChangeIsFetched)
 {
   auto state = Joined();
   const freshness_limits limits;
@@ -105,7 +105,7 @@
 // An entry starts from its disk while the platform is down. It can't know
 // whether a key was withdrawn in the meantime until it has polled every known
 // process.
-BOOST_AUTO_TEST_CASE(JoinsOnlyAfterEverybodyWasAsked)
+BOOST_AUTO_TEST_CASE(JoinsOnlyAfterAllProcessesWerePolled)
 {
   freshness_state state;
   witness_summary summary;
--- a/Duties/Membership/DirectoryState.cpp
+++ b/Duties/Membership/DirectoryState.cpp
@@ -131,13 +131,13 @@
            const std::string& aName,
            const wire::agent_report& aReport,
            const std::shared_ptr<agent_pool>& aConnections,
-           time_point aAskedAt,
+           time_point aRequestedAt,
            time_point aNow)
 {
   const auto found = aState.mServers.find(aName);
   if (found == aState.mServers.end() ||
       found->second.mConnections != aConnections ||
-      aAskedAt < found->second.mReportedAt) {
+      aRequestedAt < found->second.mReportedAt) {
     // A report that arrives out of order may come from a previous process at
     // this address.
     return apply_report_outcome::Outdated;
@@ -146,7 +146,7 @@
   if (aReport.server_name != aName) {
     // Requests for this instance's pool must not be sent to the other instance
     // that now uses its address.
-    view.mLastFailedPollAt = aAskedAt;
+    view.mLastFailedPollAt = aRequestedAt;
     view.mHeardAt.reset();
     return apply_report_outcome::OtherInstance;
   }
@@ -161,7 +161,7 @@
   view.mReportedRevision = aReport.witnessed_revision;
   view.mReportedFreshAge = milliseconds(aReport.witnessed_fresh_age_ms);
   view.mAgentClock = milliseconds(aReport.clock_ms);
-  view.mReportedAt = aAskedAt;
+  view.mReportedAt = aRequestedAt;
   view.mHeardAt = aNow;
   return apply_report_outcome::Applied;
 }
@@ -169,11 +169,11 @@
 void
 ApplyPollFailure(directory_state& aState,
                  const std::string& aName,
-                 time_point aAskedAt)
+                 time_point aRequestedAt)
 {
   if (const auto found = aState.mServers.find(aName);
       found != aState.mServers.end()) {
-    found->second.mLastFailedPollAt = aAskedAt;
+    found->second.mLastFailedPollAt = aRequestedAt;
   }
 }
 
--- a/Duties/Membership/DirectoryState.h
+++ b/Duties/Membership/DirectoryState.h
@@ -118,21 +118,21 @@
 
 /** Applies an agent's report.
  * @param aConnections pool that the report was received on
- * @param aAskedAt when the poll was sent */
+ * @param aRequestedAt when the poll was sent */
 apply_report_outcome
 TakeReport(directory_state& aState,
            const std::string& aName,
            const wire::agent_report& aReport,
            const std::shared_ptr<agent_pool>& aConnections,
-           time_point aAskedAt,
+           time_point aRequestedAt,
            time_point aNow);
 
 /** Records that a poll got no answer.
- * @param aAskedAt when the poll was sent */
+ * @param aRequestedAt when the poll was sent */
 void
 ApplyPollFailure(directory_state& aState,
                  const std::string& aName,
-                 time_point aAskedAt);
+                 time_point aRequestedAt);
 
 /** Updates the server's state from the agent's incarnation and draining flag in
  * the response to a request. */
--- a/Duties/Membership/Heartbeat.cpp
+++ b/Duties/Membership/Heartbeat.cpp
@@ -10,12 +10,12 @@
   if (!aHeartbeat.mHeardAt) {
     return liveness::Unknown;
   }
-  const auto silence = aNow - *aHeartbeat.mHeardAt;
+  const auto sinceLastAnswer = aNow - *aHeartbeat.mHeardAt;
   const bool hasFailed = aHeartbeat.mLastFailedPollAt &&
                          *aHeartbeat.mLastFailedPollAt >= *aHeartbeat.mHeardAt;
   const auto limit =
     hasFailed ? aLimits.mTimeoutAfterFailedPoll : aLimits.mTimeout;
-  return silence <= limit ? liveness::Live : liveness::Unresponsive;
+  return sinceLastAnswer <= limit ? liveness::Live : liveness::Unresponsive;
 }
 
 } // namespace lavender::membership
--- a/Duties/Membership/ServerDirectory.cpp
+++ b/Duties/Membership/ServerDirectory.cpp
@@ -197,7 +197,7 @@
   message.entry_incarnation = mOptions.mEntryIncarnation;
   message.configuration_revision = digest.mRevision;
   message.fresh_age_ms = digest.mFreshAge.count();
-  const auto askedAt = boot_clock::now();
+  const auto requestedAt = boot_clock::now();
   const auto outcome = connections->Run<wire::agent_report>(
     mOptions.mPollTimeout, aName, [&](auto& aClient, auto& aReply) {
       aClient.Report(aReply, message);
@@ -207,12 +207,12 @@
     connections->DropIdle();
     CountPoll("silent");
     std::lock_guard lock(mMutex);
-    ApplyPollFailure(mState, aName, askedAt);
+    ApplyPollFailure(mState, aName, requestedAt);
     return poll_outcome::Unresponsive;
   }
   std::unique_lock lock(mMutex);
   const auto taken = TakeReport(
-    mState, aName, outcome.mReply, connections, askedAt, boot_clock::now());
+    mState, aName, outcome.mReply, connections, requestedAt, boot_clock::now());
   CountPoll(taken == apply_report_outcome::OtherInstance ? "other_instance"
                                                          : "answered");
   if (taken == apply_report_outcome::Applied && mObserver) {
@@ -248,8 +248,9 @@
       std::max(report.mHighestChanged, view.mReportedRevision);
     // Computed from the time at which the request was sent, so the verification
     // is never dated too late.
-    const auto proof = view.mReportedAt - view.mReportedFreshAge;
-    report.mLatestProof = std::max(report.mLatestProof.value_or(proof), proof);
+    const auto verifiedAt = view.mReportedAt - view.mReportedFreshAge;
+    report.mLatestProof =
+      std::max(report.mLatestProof.value_or(verifiedAt), verifiedAt);
   }
   return report;
 }
--- a/Duties/Membership/TestDirectoryState.cpp
+++ b/Duties/Membership/TestDirectoryState.cpp
@@ -28,7 +28,7 @@
   std::string mName;
   wire::agent_report mReport;
   std::shared_ptr<agent_pool> mConnections;
-  time_point mAskedAt;
+  time_point mRequestedAt;
 };
 
 struct simulation
@@ -102,7 +102,7 @@
   report_in_transit report;
   report.mName = NameOf(aIndex);
   report.mConnections = found->second.mConnections;
-  report.mAskedAt = aSimulation.mNow;
+  report.mRequestedAt = aSimulation.mNow;
   if (aSimulation.mReusedPorts.count(port) > 0) {
     report.mReport.server_name = "somebody-else";
     report.mReport.agent_incarnation = "elsewhere";
@@ -132,7 +132,7 @@
                                 report.mName,
                                 report.mReport,
                                 report.mConnections,
-                                report.mAskedAt,
+                                report.mRequestedAt,
                                 aSimulation.mNow);
   if (taken == apply_report_outcome::Applied && report.mReport.draining) {
     aSimulation.mReportedDraining.insert(report.mReport.agent_incarnation);
@@ -318,20 +318,21 @@
 
 // Guards against treating live servers as dead because this entry didn't poll
 // them in time: polling a whole unresponsive zone occupies its threads.
-BOOST_AUTO_TEST_CASE(SilenceNeedsEvidence)
+BOOST_AUTO_TEST_CASE(UnpolledServersStayLive)
 {
-  const time_point heard{ 1000s };
+  const time_point lastAnswer{ 1000s };
   const heartbeat_limits limits;
   const auto evaluate = [&](std::optional<time_point> aFailed,
                             milliseconds aLater) {
-    return EvaluateHeartbeat({ heard, aFailed }, limits, heard + aLater);
+    return EvaluateHeartbeat(
+      { lastAnswer, aFailed }, limits, lastAnswer + aLater);
   };
   BOOST_TEST((evaluate(std::nullopt, 9s) == liveness::Live));
   BOOST_TEST((evaluate(std::nullopt, 11s) == liveness::Unresponsive));
-  BOOST_TEST((evaluate(heard + 500ms, 2s) == liveness::Live));
-  BOOST_TEST((evaluate(heard + 500ms, 3s) == liveness::Unresponsive));
-  BOOST_TEST((evaluate(heard - 500ms, 3s) == liveness::Live));
-  BOOST_TEST((EvaluateHeartbeat({}, limits, heard) == liveness::Unknown));
+  BOOST_TEST((evaluate(lastAnswer + 500ms, 2s) == liveness::Live));
+  BOOST_TEST((evaluate(lastAnswer + 500ms, 3s) == liveness::Unresponsive));
+  BOOST_TEST((evaluate(lastAnswer - 500ms, 3s) == liveness::Live));
+  BOOST_TEST((EvaluateHeartbeat({}, limits, lastAnswer) == liveness::Unknown));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/Usage/TestWindowReport.cpp
+++ b/Duties/Usage/TestWindowReport.cpp
@@ -497,7 +497,7 @@
 // The reporter closes a window while the agent's threads still end runs. Such a
 // run must be counted in the next window, because the bucket of the closed
 // window was already collected.
-BOOST_AUTO_TEST_CASE(ClosedWindowTakesNoMoreRuns)
+BOOST_AUTO_TEST_CASE(ClosedWindowCountsNoMoreRuns)
 {
   usage_account account;
   BOOST_TEST(account.CountRun("a", "e", 7, { "r1", "brf", 1, 1 }) == 7);
