--- a/Duties/Billing/UsageCounts.cpp
+++ b/Duties/Billing/UsageCounts.cpp
@@ -53,7 +53,7 @@
 }
 
 milliseconds
-ActAfter(std::size_t aRank)
+ReportDelay(std::size_t aRank)
 {
   return kFirstReportDelay + kDelayPerRank * static_cast<int>(aRank);
 }
--- a/Duties/Billing/UsageCounts.h
+++ b/Duties/Billing/UsageCounts.h
@@ -45,7 +45,7 @@
  * entries are complete. Each further one starts late enough that the previous
  * one has finished if it works, and early enough for the report's deadline. */
 milliseconds
-ActAfter(std::size_t aRank);
+ReportDelay(std::size_t aRank);
 
 /** Returns how long an entry must wait before it takes over a record that
  * another entry holds; zero when it may take over now. Without the wait two
--- a/Duties/Billing/UsageDuty.cpp
+++ b/Duties/Billing/UsageDuty.cpp
@@ -19,7 +19,7 @@
 /** A report is sent within this time after its record was written, or not at
  * all: if the process was paused, another entry may have taken over. */
 constexpr milliseconds kMaximumSendDelay = 700ms;
-constexpr milliseconds kRetryPause = 500ms;
+constexpr milliseconds kRetryDelay = 500ms;
 /** Number of attempts for a window; after them it is reported together with the
  * next one. The number is limited because each attempt during an outage is a
  * billed call to the store. */
@@ -72,9 +72,9 @@
   int mAttemptsLeft = kMaximumAttempts;
 };
 
-usage_duty::usage_duty(usage_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+usage_duty::usage_duty(usage_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
@@ -84,11 +84,11 @@
   billing::CountStart(
     mCounts,
     aCustomer,
-    WindowAt(std::chrono::system_clock::now(), mParts.mWindowLength));
+    WindowAt(std::chrono::system_clock::now(), mDependencies.mWindowLength));
 }
 
 std::string
-usage_duty::Share(window_number aWindow) const
+usage_duty::CountsAsJson(window_number aWindow) const
 {
   const auto found = mCounts.mWindows.find(aWindow);
   return EncodeCounts(found == mCounts.mWindows.end() ? customer_counts{}
@@ -99,24 +99,24 @@
 usage_duty::Start()
 {
   mLastAttemptedWindow =
-    WindowAt(std::chrono::system_clock::now(), mParts.mWindowLength) - 1;
+    WindowAt(std::chrono::system_clock::now(), mDependencies.mWindowLength) - 1;
   ScheduleNext();
 }
 
 std::size_t
 usage_duty::Rank() const
 {
-  const auto names = mParts.mEntryNames();
+  const auto names = mDependencies.mEntryNames();
   return static_cast<std::size_t>(
     std::count_if(names.begin(), names.end(), [&](const auto& aName) {
-      return aName < mParts.mName;
+      return aName < mDependencies.mName;
     }));
 }
 
 std::chrono::system_clock::time_point
 usage_duty::DueAt(window_number aWindow) const
 {
-  return EndOf(aWindow, mParts.mWindowLength) + ActAfter(Rank());
+  return EndOf(aWindow, mDependencies.mWindowLength) + ReportDelay(Rank());
 }
 
 void
@@ -153,7 +153,7 @@
   // the record never returns to an earlier window. Together with the ranks
   // computed from the known entries, it reduces the billed calls of 26 entries
   // on a day with little load from 916 to 742.
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kRecordKind,
     kRecordName,
     objects::freshness::MayBeStale,
@@ -168,7 +168,7 @@
 void
 usage_duty::ReadRecord(window_number aWindow, int aAttemptsLeft)
 {
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kRecordKind,
     kRecordName,
     objects::freshness::Linearizable,
@@ -198,15 +198,16 @@
   if (IsReported(spec, aWindow)) {
     return;
   }
-  const bool isOwn = json::StringAt(spec, "holder", "") == mParts.mName;
+  const bool isOwn = json::StringAt(spec, "holder", "") == mDependencies.mName;
   const auto wait =
-    isOwn ? 0ms
-          : TakeoverDelay(mLastReportAt, boot_clock::now(), mParts.mLease);
+    isOwn
+      ? 0ms
+      : TakeoverDelay(mLastReportAt, boot_clock::now(), mDependencies.mLease);
   if (wait > 0ms) {
     events::line("usage_turn_awaited")
       .With("window", aWindow)
       .With("wait_ms", wait);
-    edge::RunAfter(mParts.mLoop, wait, [this, aWindow, aAttemptsLeft] {
+    edge::RunAfter(mDependencies.mLoop, wait, [this, aWindow, aAttemptsLeft] {
       ReadRecord(aWindow, aAttemptsLeft);
     });
     return;
@@ -246,9 +247,9 @@
   // All requests are sent concurrently: sequentially, the timeouts of
   // unreachable entries would add up and delay the report.
   aAttempt->mPendingRequests = 1;
-  for (const auto& name : mParts.mEntryNames()) {
-    if (const auto peer = mParts.mFindPeer(name);
-        peer && name != mParts.mName) {
+  for (const auto& name : mDependencies.mEntryNames()) {
+    if (const auto peer = mDependencies.mFindPeer(name);
+        peer && name != mDependencies.mName) {
       ++aAttempt->mPendingRequests;
       RequestCounts(aAttempt, name, *peer);
     }
@@ -266,8 +267,8 @@
   request.mTarget = kUsagePath + std::to_string(aAttempt->mWindow);
   edge::call_options options;
   options.mConnectTimeout = kPeerTimeout;
-  edge::FetchWhole(mParts.mClients,
-                   mParts.mLoop,
+  edge::FetchWhole(mDependencies.mClients,
+                   mDependencies.mLoop,
                    aPeer,
                    request,
                    options,
@@ -283,7 +284,7 @@
                        events::line("usage_share_missing")
                          .With("window", aAttempt->mWindow)
                          .With("entry", aName)
-                         .With("end", edge::WordFor(aEnd));
+                         .With("end", edge::ToString(aEnd));
                      }
                      FinishRequest(aAttempt);
                    });
@@ -310,7 +311,7 @@
 {
   const std::string record =
     "{\"window\":" + std::to_string(aAttempt->mWindow) + ",\"holder\":\"" +
-    mParts.mName +
+    mDependencies.mName +
     "\",\"sent\":false,\"try\":" + std::to_string(aAttempt->mAttemptsLeft) +
     ",\"counts\":" + EncodeCounts(aAttempt->mCounts) + "}";
   aAttempt->mRecordWrittenAt = boot_clock::now();
@@ -323,9 +324,9 @@
     }
   };
   if (aAttempt->mRevision == 0) {
-    mParts.mStore.mCreate(kRecordKind, kRecordName, record, done);
+    mDependencies.mStore.mCreate(kRecordKind, kRecordName, record, done);
   } else {
-    mParts.mStore.mReplace(
+    mDependencies.mStore.mReplace(
       kRecordKind, kRecordName, aAttempt->mRevision, record, done);
   }
 }
@@ -341,15 +342,16 @@
   usage_report report;
   report.mWindow = aAttempt->mWindow;
   report.mCounts = aAttempt->mCounts;
-  report.mHolder = mParts.mName;
+  report.mHolder = mDependencies.mName;
   report.mEpoch = aAttempt->mRevision;
-  mParts.mSend(report, [this, aAttempt](report_outcome aOutcome) {
+  mDependencies.mSend(report, [this, aAttempt](report_outcome aOutcome) {
     mLastReportAt = boot_clock::now();
     events::line("usage_reported")
       .With("window", aAttempt->mWindow)
       .With("epoch", aAttempt->mRevision)
-      .With("outcome", aOutcome == report_outcome::Taken ? "taken" : "failed");
-    if (aOutcome == report_outcome::Taken) {
+      .With("outcome",
+            aOutcome == report_outcome::Accepted ? "taken" : "failed");
+    if (aOutcome == report_outcome::Accepted) {
       MarkSent(aAttempt);
     } else {
       ScheduleRetry(aAttempt);
@@ -362,23 +364,24 @@
 {
   const std::string record =
     "{\"window\":" + std::to_string(aAttempt->mWindow) + ",\"holder\":\"" +
-    mParts.mName + "\",\"sent\":true}";
+    mDependencies.mName + "\",\"sent\":true}";
   // If this write is lost, the next entry sends the same counts again.
-  mParts.mStore.mReplace(kRecordKind,
-                         kRecordName,
-                         aAttempt->mRevision,
-                         record,
-                         [this, aAttempt](const objects::object_reply& aReply) {
-                           if (aAttempt->mWindow >= aAttempt->mNewestWindow) {
-                             return;
-                           }
-                           if (aReply.mOutcome == store_outcome::Done) {
-                             aAttempt->mRevision = aReply.mObject.mRevision;
-                             AdvanceWindow(aAttempt);
-                           } else {
-                             ScheduleRetry(aAttempt);
-                           }
-                         });
+  mDependencies.mStore.mReplace(
+    kRecordKind,
+    kRecordName,
+    aAttempt->mRevision,
+    record,
+    [this, aAttempt](const objects::object_reply& aReply) {
+      if (aAttempt->mWindow >= aAttempt->mNewestWindow) {
+        return;
+      }
+      if (aReply.mOutcome == store_outcome::Done) {
+        aAttempt->mRevision = aReply.mObject.mRevision;
+        AdvanceWindow(aAttempt);
+      } else {
+        ScheduleRetry(aAttempt);
+      }
+    });
 }
 
 void
@@ -390,7 +393,7 @@
   }
   // Starts again with a read of the record, because a write whose response was
   // lost may have succeeded.
-  edge::RunAfter(mParts.mLoop, kRetryPause, [this, aAttempt] {
+  edge::RunAfter(mDependencies.mLoop, kRetryDelay, [this, aAttempt] {
     ReportWindow(aAttempt->mNewestWindow, aAttempt->mAttemptsLeft);
   });
 }
--- a/Duties/Billing/UsageDuty.h
+++ b/Duties/Billing/UsageDuty.h
@@ -24,13 +24,13 @@
 /** Result of sending one report. */
 enum class report_outcome
 {
-  Taken,
+  Accepted,
   /** The platform answered that it rejected the report. */
   Refused,
   Unknown
 };
 
-struct usage_parts
+struct usage_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
@@ -60,12 +60,12 @@
 class usage_duty
 {
 public:
-  explicit usage_duty(usage_parts aParts);
+  explicit usage_duty(usage_dependencies aParts);
 
   void Start();
   void CountStart(const std::string& aCustomer);
   /** Returns this entry's counts of a window as JSON, for the holder. */
-  std::string Share(window_number aWindow) const;
+  std::string CountsAsJson(window_number aWindow) const;
 
 private:
   struct report_attempt;
@@ -91,7 +91,7 @@
   void MarkSent(const std::shared_ptr<report_attempt>& aAttempt);
   void ScheduleRetry(const std::shared_ptr<report_attempt>& aAttempt);
 
-  usage_parts mParts;
+  usage_dependencies mDependencies;
   usage_counts mCounts;
   boost::asio::steady_timer mTimer;
   /** Last window that this entry tried to report. */
--- a/Duties/Configuration/ConfigurationState.cpp
+++ b/Duties/Configuration/ConfigurationState.cpp
@@ -12,8 +12,8 @@
 void
 RecordVerification(configuration_state& aState, std::optional<time_point> aAt)
 {
-  if (aAt && (!aState.mProvenAt || *aState.mProvenAt < *aAt)) {
-    aState.mProvenAt = aAt;
+  if (aAt && (!aState.mVerifiedAt || *aState.mVerifiedAt < *aAt)) {
+    aState.mVerifiedAt = aAt;
   }
 }
 
@@ -26,8 +26,8 @@
              std::int64_t aChanged)
 {
   aState.mObjects = std::move(aObjects);
-  aState.mKnownUpTo = aRevision;
-  aState.mChanged = aChanged;
+  aState.mKnownRevision = aRevision;
+  aState.mChangedRevision = aChanged;
   aState.mRecentChanges.clear();
   aState.mOldestResumableRevision = aRevision;
   aState.mSnapshot =
@@ -46,7 +46,7 @@
       old != aState.mObjects.end()) {
     change.mBefore = old->second.mText;
   }
-  kept_object kept{ object.mRevision, json::Write(object.mValue) };
+  stored_json kept{ object.mRevision, json::Write(object.mValue) };
   if (aEvent.mIsDeletion) {
     aState.mObjects.erase(identity);
   } else {
@@ -54,7 +54,7 @@
     aState.mObjects[identity] = kept;
   }
   ApplyChange(aNext, change);
-  aState.mChanged = std::max(aState.mChanged, object.mRevision);
+  aState.mChangedRevision = std::max(aState.mChangedRevision, object.mRevision);
   aState.mRecentChanges.push_back(
     { aEvent.mIsDeletion, object.mKind, object.mName, std::move(kept) });
   if (aState.mRecentChanges.size() > kMaximumRecentChanges) {
@@ -66,19 +66,19 @@
 
 } // namespace
 
-take_outcome
-TakeList(configuration_state& aState,
-         const platform::object_list& aList,
-         time_point aRequestedAt)
+apply_outcome
+ApplyList(configuration_state& aState,
+          const platform::object_list& aList,
+          time_point aRequestedAt)
 {
-  if (aList.mRevision < aState.mKnownUpTo) {
+  if (aList.mRevision < aState.mKnownRevision) {
     // The list comes from a stale replica of the store. Applying it would make
     // withdrawn keys valid again.
-    return take_outcome::Older;
+    return apply_outcome::Older;
   }
   RecordVerification(aState, aRequestedAt);
-  if (aList.mRevision == aState.mKnownUpTo) {
-    return take_outcome::Confirmed;
+  if (aList.mRevision == aState.mKnownRevision) {
+    return apply_outcome::Confirmed;
   }
   object_map objects;
   for (const auto& object : aList.mObjects) {
@@ -92,26 +92,26 @@
   // the last change: with a lower one, a peer that still holds a deleted key
   // would conclude from this state's digest that nothing has changed.
   ReplaceState(aState, std::move(objects), aList.mRevision, aList.mRevision);
-  return take_outcome::Advanced;
+  return apply_outcome::Advanced;
 }
 
-take_outcome
-TakeBatch(configuration_state& aState,
-          const platform::watch_batch& aBatch,
-          time_point aRequestedAt)
+apply_outcome
+ApplyWatchBatch(configuration_state& aState,
+                const platform::watch_batch& aBatch,
+                time_point aRequestedAt)
 {
-  if (aBatch.mRevision < aState.mKnownUpTo) {
-    return take_outcome::Older;
+  if (aBatch.mRevision < aState.mKnownRevision) {
+    return apply_outcome::Older;
   }
   RecordVerification(aState, aRequestedAt);
-  if (aBatch.mRevision == aState.mKnownUpTo) {
-    return take_outcome::Confirmed;
+  if (aBatch.mRevision == aState.mKnownRevision) {
+    return apply_outcome::Confirmed;
   }
   std::shared_ptr<snapshot> next;
   bool hasNewVersions = false;
   for (const auto& event : aBatch.mEvents) {
     // A peer's copy may have been applied while the watch was waiting.
-    const bool isKnown = event.mObject.mRevision <= aState.mKnownUpTo;
+    const bool isKnown = event.mObject.mRevision <= aState.mKnownRevision;
     if (isKnown || !IsConfigurationKind(event.mObject.mKind)) {
       continue;
     }
@@ -122,7 +122,7 @@
     hasNewVersions = hasNewVersions || event.mObject.mKind == kModelVersion ||
                      event.mObject.mKind == kTrainingRun;
   }
-  aState.mKnownUpTo = aBatch.mRevision;
+  aState.mKnownRevision = aBatch.mRevision;
   if (next) {
     if (hasNewVersions) {
       RefreshAcceptedVersions(*next, aState.mObjects);
@@ -130,60 +130,62 @@
     next->mRevision = aBatch.mRevision;
     aState.mSnapshot = std::move(next);
   }
-  return take_outcome::Advanced;
+  return apply_outcome::Advanced;
 }
 
-take_outcome
+apply_outcome
 ApplyCopy(configuration_state& aState, full_copy aCopy)
 {
-  if (aCopy.mRevision < aState.mKnownUpTo) {
-    return take_outcome::Older;
+  if (aCopy.mRevision < aState.mKnownRevision) {
+    return apply_outcome::Older;
   }
-  RecordVerification(aState, aCopy.mProvenAt);
-  if (aCopy.mRevision == aState.mKnownUpTo) {
-    return take_outcome::Confirmed;
+  RecordVerification(aState, aCopy.mVerifiedAt);
+  if (aCopy.mRevision == aState.mKnownRevision) {
+    return apply_outcome::Confirmed;
   }
   ReplaceState(aState,
                std::move(aCopy.mObjects),
                aCopy.mRevision,
-               std::max(aCopy.mChanged, aState.mChanged));
-  return take_outcome::Advanced;
+               std::max(aCopy.mChangedRevision, aState.mChangedRevision));
+  return apply_outcome::Advanced;
 }
 
-take_outcome
+apply_outcome
 ApplyDigest(configuration_state& aState, const state_digest& aDigest)
 {
-  if (aDigest.mKnownUpTo < aState.mKnownUpTo) {
-    return take_outcome::Older;
+  if (aDigest.mKnownRevision < aState.mKnownRevision) {
+    return apply_outcome::Older;
   }
-  if (aState.mKnownUpTo == 0 || aDigest.mChanged > aState.mKnownUpTo) {
-    return take_outcome::NeedsFullCopy;
+  if (aState.mKnownRevision == 0 ||
+      aDigest.mChangedRevision > aState.mKnownRevision) {
+    return apply_outcome::NeedsFullCopy;
   }
   // The configuration didn't change between the two revisions.
-  RecordVerification(aState, aDigest.mProvenAt);
-  aState.mKnownUpTo = aDigest.mKnownUpTo;
-  return take_outcome::Confirmed;
+  RecordVerification(aState, aDigest.mVerifiedAt);
+  aState.mKnownRevision = aDigest.mKnownRevision;
+  return apply_outcome::Confirmed;
 }
 
 state_digest
 DigestOf(const configuration_state& aState)
 {
-  return { aState.mKnownUpTo, aState.mChanged, aState.mProvenAt };
+  return { aState.mKnownRevision, aState.mChangedRevision, aState.mVerifiedAt };
 }
 
 full_copy
 CopyOf(const configuration_state& aState)
 {
-  return {
-    aState.mKnownUpTo, aState.mChanged, aState.mProvenAt, aState.mObjects
-  };
+  return { aState.mKnownRevision,
+           aState.mChangedRevision,
+           aState.mVerifiedAt,
+           aState.mObjects };
 }
 
 change_batch
 ChangesAfter(const configuration_state& aState, std::int64_t aFrom)
 {
   change_batch batch;
-  batch.mRevision = std::max(aFrom, aState.mKnownUpTo);
+  batch.mRevision = std::max(aFrom, aState.mKnownRevision);
   batch.mIsTooOld = aFrom < aState.mOldestResumableRevision;
   for (const auto& event : aState.mRecentChanges) {
     if (!batch.mIsTooOld && event.mObject.mRevision > aFrom) {
--- a/Duties/Configuration/ConfigurationState.h
+++ b/Duties/Configuration/ConfigurationState.h
@@ -14,12 +14,12 @@
 namespace lavender::configuration {
 
 /** One recent change, kept so that operators' watches can resume. */
-struct kept_event
+struct recent_change
 {
   bool mIsDeletion = false;
   std::string mKind;
   std::string mName;
-  kept_object mObject;
+  stored_json mObject;
 };
 
 struct configuration_state
@@ -27,14 +27,14 @@
   object_map mObjects;
   /** Every change of the store up to this revision is known; 0 before the
    * first state arrived. */
-  std::int64_t mKnownUpTo = 0;
+  std::int64_t mKnownRevision = 0;
   /** Last revision that changed the configuration. Changes to other kinds of
    * objects, such as leases, increase the store's revision but not this one. */
-  std::int64_t mChanged = 0;
-  /** Last time at which mKnownUpTo was verified as the store's newest revision;
-   * none for a state that was read from the disk. */
-  std::optional<time_point> mProvenAt;
-  std::deque<kept_event> mRecentChanges;
+  std::int64_t mChangedRevision = 0;
+  /** Last time at which mKnownRevision was verified as the store's newest
+   * revision; none for a state that was read from the disk. */
+  std::optional<time_point> mVerifiedAt;
+  std::deque<recent_change> mRecentChanges;
   /** Watches can't resume from a revision below this one. */
   std::int64_t mOldestResumableRevision = 0;
   std::shared_ptr<const snapshot> mSnapshot = std::make_shared<snapshot>();
@@ -45,20 +45,20 @@
 struct full_copy
 {
   std::int64_t mRevision = 0;
-  std::int64_t mChanged = 0;
-  std::optional<time_point> mProvenAt;
+  std::int64_t mChangedRevision = 0;
+  std::optional<time_point> mVerifiedAt;
   object_map mObjects;
 };
 
 /** Summary of a peer's state, exchanged instead of a full copy. */
 struct state_digest
 {
-  std::int64_t mKnownUpTo = 0;
-  std::int64_t mChanged = 0;
-  std::optional<time_point> mProvenAt;
+  std::int64_t mKnownRevision = 0;
+  std::int64_t mChangedRevision = 0;
+  std::optional<time_point> mVerifiedAt;
 };
 
-enum class take_outcome
+enum class apply_outcome
 {
   /** The known revision has increased. */
   Advanced,
@@ -74,26 +74,26 @@
 /** Applies a list of all objects in the store.
  * @param aRequestedAt when the request was sent: the list is at least as recent
  */
-take_outcome
-TakeList(configuration_state& aState,
-         const platform::object_list& aList,
-         time_point aRequestedAt);
+apply_outcome
+ApplyList(configuration_state& aState,
+          const platform::object_list& aList,
+          time_point aRequestedAt);
 
 /** Applies the response to a watch.
  * @param aRequestedAt when the request was sent */
-take_outcome
-TakeBatch(configuration_state& aState,
-          const platform::watch_batch& aBatch,
-          time_point aRequestedAt);
+apply_outcome
+ApplyWatchBatch(configuration_state& aState,
+                const platform::watch_batch& aBatch,
+                time_point aRequestedAt);
 
 /** Applies a full copy from a peer or from the disk. */
-take_outcome
+apply_outcome
 ApplyCopy(configuration_state& aState, full_copy aCopy);
 
 /** Applies a peer's verification time and revision when both sides know the
  * same configuration changes, so that the verification is valid for this state
  * too. */
-take_outcome
+apply_outcome
 ApplyDigest(configuration_state& aState, const state_digest& aDigest);
 
 state_digest
@@ -105,7 +105,7 @@
 struct change_batch
 {
   std::int64_t mRevision = 0;
-  std::vector<kept_event> mEvents;
+  std::vector<recent_change> mEvents;
   bool mIsTooOld = false;
 };
 
--- a/Duties/Configuration/ConfigurationStore.cpp
+++ b/Duties/Configuration/ConfigurationStore.cpp
@@ -16,16 +16,16 @@
 constexpr const char* kCopyFile = "/configuration";
 
 const char*
-WordFor(take_outcome aOutcome)
+ToString(apply_outcome aOutcome)
 {
   switch (aOutcome) {
-    case take_outcome::Advanced:
+    case apply_outcome::Advanced:
       return "advanced";
-    case take_outcome::Confirmed:
+    case apply_outcome::Confirmed:
       return "confirmed";
-    case take_outcome::Older:
+    case apply_outcome::Older:
       return "older";
-    case take_outcome::NeedsFullCopy:
+    case apply_outcome::NeedsFullCopy:
       break;
   }
   return "needs_copy";
@@ -53,7 +53,7 @@
   wire::configuration_copy message;
   message.revision = aCopy.mRevision;
   message.changed_revision = aCopy.mChanged;
-  message.fresh_age_ms = AgeOf(aCopy.mProvenAt, aNow).count();
+  message.fresh_age_ms = AgeOf(aCopy.mVerifiedAt, aNow).count();
   message.objects.reserve(aCopy.mObjects.size());
   for (const auto& [identity, object] : aCopy.mObjects) {
     wire::object_record record;
@@ -72,7 +72,7 @@
   full_copy copy;
   copy.mRevision = aMessage.revision;
   copy.mChanged = aMessage.changed_revision;
-  copy.mProvenAt =
+  copy.mVerifiedAt =
     VerificationTime(milliseconds(aMessage.fresh_age_ms), aRequestedAt);
   for (const auto& record : aMessage.objects) {
     copy.mObjects[{ record.kind, record.name }] = { record.revision,
@@ -129,7 +129,7 @@
   }
   // A verification from before the restart doesn't cover changes since then.
   auto copy = FromMessage(*message, boot_clock::now());
-  copy.mProvenAt.reset();
+  copy.mVerifiedAt.reset();
   mSavedChangedRevision = copy.mChanged;
   CountOutcome("disk", ApplyCopy(std::move(copy)));
 }
@@ -170,25 +170,25 @@
 }
 
 milliseconds
-configuration_store::FreshAge() const
+configuration_store::VerificationAge() const
 {
-  return AgeOf(Digest().mProvenAt, boot_clock::now());
+  return AgeOf(Digest().mVerifiedAt, boot_clock::now());
 }
 
 bool
 configuration_store::IsReady() const
 {
-  return Digest().mKnownUpTo > 0;
+  return Digest().mKnownRevision > 0;
 }
 
-take_outcome
+apply_outcome
 configuration_store::ApplyDigest(const state_digest& aDigest)
 {
   std::lock_guard lock(mMutex);
   return configuration::ApplyDigest(mState, aDigest);
 }
 
-take_outcome
+apply_outcome
 configuration_store::ApplyCopy(full_copy aCopy)
 {
   std::lock_guard lock(mMutex);
@@ -248,11 +248,11 @@
 }
 
 void
-configuration_store::CountOutcome(const char* aSource, take_outcome aOutcome)
+configuration_store::CountOutcome(const char* aSource, apply_outcome aOutcome)
 {
   if (auto* metrics = mOptions.mPlatform.mMetrics) {
     metrics->Count("lavender_configuration_taken_total",
-                   { { "from", aSource }, { "outcome", WordFor(aOutcome) } });
+                   { { "from", aSource }, { "outcome", ToString(aOutcome) } });
   }
 }
 
@@ -299,10 +299,10 @@
     return false;
   }
   std::lock_guard lock(mMutex);
-  const auto outcome = TakeList(mState, *list, requestedAt);
+  const auto outcome = ApplyList(mState, *list, requestedAt);
   CountOutcome("list", outcome);
   mStateChanged.notify_all();
-  return outcome != take_outcome::Older;
+  return outcome != apply_outcome::Older;
 }
 
 bool
@@ -310,7 +310,7 @@
 {
   const auto requestedAt = boot_clock::now();
   const auto batch =
-    platform::Watch(mOptions.mPlatform, Digest().mKnownUpTo, kWatchWait);
+    platform::Watch(mOptions.mPlatform, Digest().mKnownRevision, kWatchWait);
   if (!batch) {
     // The current state stays in use, and the watch resumes from its revision.
     LogNewFailure("Watch on the platform's objects failed, retrying: " +
@@ -323,14 +323,14 @@
   if (batch->mIsTooOld) {
     return false;
   }
-  take_outcome outcome = take_outcome::Older;
+  apply_outcome outcome = apply_outcome::Older;
   {
     std::lock_guard lock(mMutex);
-    outcome = TakeBatch(mState, *batch, requestedAt);
+    outcome = ApplyWatchBatch(mState, *batch, requestedAt);
   }
   CountOutcome("watch", outcome);
   mStateChanged.notify_all();
-  if (outcome == take_outcome::Older) {
+  if (outcome == apply_outcome::Older) {
     WaitOrStop(kRetryInterval);
   }
   return true;
--- a/Duties/Configuration/ConfigurationStore.h
+++ b/Duties/Configuration/ConfigurationStore.h
@@ -46,14 +46,14 @@
   /** Returns the summary of the state that other processes receive. */
   state_digest Digest() const;
   /** Returns the time since the state was last verified as the newest. */
-  milliseconds FreshAge() const;
+  milliseconds VerificationAge() const;
   /** True once a first state has been loaded or received. */
   bool IsReady() const;
 
   /** Applies a peer's digest. On NeedsFullCopy the caller should fetch the
    * peer's full copy and pass it to ApplyCopy. */
-  take_outcome ApplyDigest(const state_digest& aDigest);
-  take_outcome ApplyCopy(full_copy aCopy);
+  apply_outcome ApplyDigest(const state_digest& aDigest);
+  apply_outcome ApplyCopy(full_copy aCopy);
   full_copy Copy() const;
 
   /** Returns all objects of a kind with their revisions. */
@@ -68,7 +68,7 @@
   void WatchLoop();
   bool LoadFromPlatform();
   bool PollWatch();
-  void CountOutcome(const char* aSource, take_outcome aOutcome);
+  void CountOutcome(const char* aSource, apply_outcome aOutcome);
   void LogNewFailure(const std::string& aText);
   void CountWatchFailure();
   bool WaitOrStop(milliseconds aWait);
--- a/Duties/Configuration/PeerExchange.cpp
+++ b/Duties/Configuration/PeerExchange.cpp
@@ -102,9 +102,9 @@
   message.echo = aName;
   message.entry_incarnation = mOptions.mOwnIncarnation;
   message.name = mOptions.mOwnName;
-  message.configuration_revision = own.mKnownUpTo;
-  message.changed_revision = own.mChanged;
-  message.fresh_age_ms = AgeOf(own.mProvenAt, requestedAt).count();
+  message.configuration_revision = own.mKnownRevision;
+  message.changed_revision = own.mChangedRevision;
+  message.fresh_age_ms = AgeOf(own.mVerifiedAt, requestedAt).count();
   const auto outcome = connections->Run<wire::peer_digest>(
     mOptions.mTimeout, aName, [&](auto& aClient, auto& aReply) {
       aClient.Exchange(aReply, message);
@@ -128,7 +128,7 @@
         found != mPeers.end() && found->second.mConnections == connections) {
       found->second.mRequestedAt = requestedAt;
       if (isPeer) {
-        found->second.mHeardAt = boot_clock::now();
+        found->second.mLastResponseAt = boot_clock::now();
         found->second.mDigest = digest;
       }
     }
@@ -139,7 +139,7 @@
     return poll_outcome::Unresponsive;
   }
   Count("answered");
-  if (mStore.ApplyDigest(digest) == take_outcome::NeedsFullCopy) {
+  if (mStore.ApplyDigest(digest) == apply_outcome::NeedsFullCopy) {
     FetchFrom(aName, connections);
   }
   return poll_outcome::Answered;
@@ -160,7 +160,7 @@
     return;
   }
   const auto taken = mStore.ApplyCopy(FromMessage(outcome.mReply, requestedAt));
-  if (taken == take_outcome::Advanced) {
+  if (taken == apply_outcome::Advanced) {
     Log(log_level::Info,
         "configuration",
         "Fetched a newer configuration from entry " + aName +
@@ -192,27 +192,27 @@
     isListed = isListed || isOwn;
     report.mKnown += isOwn ? 0 : 1;
   }
-  auto lowest = mStore.Digest().mKnownUpTo;
+  auto lowest = mStore.Digest().mKnownRevision;
   for (const auto& [name, peer] : mPeers) {
-    report.mAsked += peer.mRequestedAt ? 1 : 0;
-    if (!peer.mHeardAt) {
+    report.mPolled += peer.mRequestedAt ? 1 : 0;
+    if (!peer.mLastResponseAt) {
       continue;
     }
-    if (now - *peer.mHeardAt <= kReachableWithin) {
-      ++report.mAudible;
+    if (now - *peer.mLastResponseAt <= kReachableWithin) {
+      ++report.mReachable;
       report.mNames.push_back(name);
-      lowest = std::min(lowest, peer.mDigest.mKnownUpTo);
+      lowest = std::min(lowest, peer.mDigest.mKnownRevision);
     }
-    report.mHighestChanged =
-      std::max(report.mHighestChanged, peer.mDigest.mChanged);
-    if (const auto verifiedAt = peer.mDigest.mProvenAt) {
-      report.mLatestProof =
-        std::max(report.mLatestProof.value_or(*verifiedAt), *verifiedAt);
+    report.mHighestChangedRevision =
+      std::max(report.mHighestChangedRevision, peer.mDigest.mChangedRevision);
+    if (const auto verifiedAt = peer.mDigest.mVerifiedAt) {
+      report.mLatestVerifiedAt =
+        std::max(report.mLatestVerifiedAt.value_or(*verifiedAt), *verifiedAt);
     }
   }
   // A list that lacks this entry may be outdated and lack other entries too.
-  const bool areAllHeard = isListed && report.mAudible == report.mKnown;
-  report.mLowestKnown = areAllHeard ? lowest : 0;
+  const bool areAllHeard = isListed && report.mReachable == report.mKnown;
+  report.mLowestKnownRevision = areAllHeard ? lowest : 0;
   return report;
 }
 
--- a/Duties/Configuration/PeerExchange.h
+++ b/Duties/Configuration/PeerExchange.h
@@ -35,13 +35,13 @@
 struct peer_report
 {
   std::size_t mKnown = 0;
-  std::size_t mAsked = 0;
-  std::size_t mAudible = 0;
-  std::int64_t mHighestChanged = 0;
-  std::optional<time_point> mLatestProof;
+  std::size_t mPolled = 0;
+  std::size_t mReachable = 0;
+  std::int64_t mHighestChangedRevision = 0;
+  std::optional<time_point> mLatestVerifiedAt;
   /** Every peer knows all changes up to this revision; 0 while any peer is
    * unreachable. */
-  std::int64_t mLowestKnown = 0;
+  std::int64_t mLowestKnownRevision = 0;
   /** Names of the reachable peers. */
   std::vector<std::string> mNames;
 };
@@ -66,7 +66,7 @@
   {
     std::string mAddress;
     std::shared_ptr<peer_pool> mConnections;
-    std::optional<time_point> mHeardAt;
+    std::optional<time_point> mLastResponseAt;
     std::optional<time_point> mRequestedAt;
     state_digest mDigest;
   };
--- a/Duties/Configuration/ResourceApi.cpp
+++ b/Duties/Configuration/ResourceApi.cpp
@@ -324,7 +324,7 @@
                   return ErrorResponse(404, "unknown_kind");
                 }
                 json::array items;
-                const auto revision = aStore.Digest().mKnownUpTo;
+                const auto revision = aStore.Digest().mKnownRevision;
                 for (const auto& object : aStore.Objects(aParts[0])) {
                   items.push_back(Describe(object));
                 }
@@ -366,9 +366,9 @@
 }
 
 http::response
-ServeOperators(const http::router& aRouter,
-               const std::string& aKeyHash,
-               const http::request& aRequest)
+ServeOperatorRequest(const http::router& aRouter,
+                     const std::string& aKeyHash,
+                     const http::request& aRequest)
 {
   if (!aKeyHash.empty()) {
     static const std::string kScheme = "Bearer ";
--- a/Duties/Configuration/ResourceStatus.h
+++ b/Duties/Configuration/ResourceStatus.h
@@ -20,11 +20,11 @@
 };
 
 /** Inputs from which the status of resources is computed. */
-struct status_facts
+struct status_inputs
 {
   /** Every entry on the instance list knows all changes up to this revision; 0
    * while any of them is unreachable. */
-  std::int64_t mEverywhere = 0;
+  std::int64_t mRevisionOnAllEntries = 0;
   std::int64_t mEntries = 1;
   std::map<std::string, pool_summary> mPools;
 };
@@ -48,7 +48,7 @@
 std::optional<json::value>
 NextStatus(const stored_resource& aResource,
            const snapshot& aSnapshot,
-           const status_facts& aFacts);
+           const status_inputs& aFacts);
 
 /** True when the status shows that the last write is in force on all entries.
  */
--- a/Duties/Configuration/Snapshot.h
+++ b/Duties/Configuration/Snapshot.h
@@ -75,14 +75,14 @@
 
 /** One object of the local copy. The value is kept as JSON text because the
  * parsed trees of all keys would take the largest part of an entry's memory. */
-struct kept_object
+struct stored_json
 {
   std::int64_t mRevision = 0;
   std::string mText;
 };
 
 /** Objects by kind and name, as in the Object API. */
-using object_map = std::map<std::pair<std::string, std::string>, kept_object>;
+using object_map = std::map<std::pair<std::string, std::string>, stored_json>;
 
 /** True for the kinds that make up the configuration. */
 bool
--- a/Duties/Configuration/StatusDuty.cpp
+++ b/Duties/Configuration/StatusDuty.cpp
@@ -67,7 +67,7 @@
     WritePending(boot_clock::now());
     lock.lock();
     mStopped.wait_for(
-      lock, mOptions.mLookEvery, [this] { return mIsStopping; });
+      lock, mOptions.mCheckInterval, [this] { return mIsStopping; });
   }
 }
 
@@ -95,7 +95,7 @@
 void
 status_duty::ReadAll()
 {
-  mSeenRevision = mStore.Digest().mKnownUpTo;
+  mSeenRevision = mStore.Digest().mKnownRevision;
   mPending.clear();
   for (const char* kind : kKinds) {
     for (auto& object : mStore.Objects(kind)) {
--- a/Duties/Configuration/StatusDuty.h
+++ b/Duties/Configuration/StatusDuty.h
@@ -21,8 +21,8 @@
   std::string mOwnName;
   /** Names of the reachable entries, including this one. */
   std::function<std::vector<std::string>()> mEntries;
-  std::function<status_facts()> mFacts;
-  milliseconds mLookEvery{ 1000 };
+  std::function<status_inputs()> mFacts;
+  milliseconds mCheckInterval{ 1000 };
   /** Minimum interval between two status writes to one resource. */
   milliseconds mMinimumWriteInterval{ 5000 };
   /** Rate limit for the status writes of this process, so that they never delay
--- a/Duties/Feed/FeedOrder.h
+++ b/Duties/Feed/FeedOrder.h
@@ -24,6 +24,7 @@
  * first, then the others whose names come before its own.
  * @param aAll all entries in the order of their names */
 std::vector<feed_candidate>
-FeedOrder(const std::vector<feed_candidate>& aAll, const std::string& aName);
+SourcePreference(const std::vector<feed_candidate>& aAll,
+                 const std::string& aName);
 
 } // namespace lavender::feed
--- a/Duties/Feed/FeedState.h
+++ b/Duties/Feed/FeedState.h
@@ -10,13 +10,13 @@
  * a change costs one priced call instead of one for each entry. */
 namespace lavender::feed {
 
-using feed_number = std::int64_t;
+using feed_sequence = std::int64_t;
 using object_map = std::map<std::string, objects::stored_object>;
 
 /** A change as it is passed on: encoded once for all that ask. */
 struct feed_change
 {
-  feed_number mNumber = 0;
+  feed_sequence mNumber = 0;
   std::string mJson;
 };
 
@@ -30,7 +30,7 @@
   std::map<std::string, object_map> mKinds;
   kind_revisions mRevisions;
   std::deque<feed_change> mChanges;
-  feed_number mNewest = 0;
+  feed_sequence mNewest = 0;
 };
 
 /** Changes kept for those that ask again; who is further behind gets all. */
@@ -68,7 +68,7 @@
        const objects::object_event& aEvent);
 
 /** From whom knowledge comes and how old it is, wherever it is passed on. */
-struct feed_proof
+struct feed_provenance
 {
   /** Name of the entry that watches the store. */
   std::string mOrigin;
@@ -89,7 +89,7 @@
 
 /** Changes after a number; everything when it is unknown or too old. */
 encoded_changes
-EncodeChanges(const feed_state& aState, std::optional<feed_number> aSince);
+EncodeChanges(const feed_state& aState, std::optional<feed_sequence> aSince);
 
 /** Body of an answer.
  * @param aLife tells this process's numbers from those of others */
@@ -97,7 +97,7 @@
 EncodeFeed(const feed_state& aState,
            const std::string& aLife,
            const encoded_changes& aChanges,
-           const feed_proof& aProof);
+           const feed_provenance& aProof);
 
 struct decoded_change
 {
@@ -107,10 +107,10 @@
 
 struct decoded_feed
 {
-  std::string mLife;
-  feed_number mNewest = 0;
+  std::string mIncarnation;
+  feed_sequence mNewest = 0;
   bool mIsWhole = false;
-  feed_proof mProof;
+  feed_provenance mProof;
   kind_revisions mRevisions;
   std::vector<decoded_change> mChanges;
 };
--- a/Duties/Feed/HeldQuestions.cpp
+++ b/Duties/Feed/HeldQuestions.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-feed_asker
-AskerOf(const edge::exchange_ptr& aExchange)
+feed_requester
+RequesterOf(const edge::exchange_ptr& aExchange)
 {
   return { [aExchange](edge::response aAnswer) {
             aExchange->Answer(std::move(aAnswer));
@@ -42,64 +42,64 @@
 }
 
 edge::request
-EncodeQuestion(const feed_question& aQuestion)
+EncodeFeedRequest(const feed_request& aQuestion)
 {
   edge::request request;
   request.mMethod = "GET";
   request.mTarget = kFeedPath;
-  request.mHeaders.Add(kLifeField, aQuestion.mLife);
+  request.mHeaders.Add(kLifeField, aQuestion.mIncarnation);
   request.mHeaders.Add(kSinceField, std::to_string(aQuestion.mSince));
   request.mHeaders.Add(kAgeField, std::to_string(aQuestion.mAge.count()));
   return request;
 }
 
-feed_question
-DecodeQuestion(const edge::request& aRequest)
+feed_request
+DecodeFeedRequest(const edge::request& aRequest)
 {
   return { aRequest.mHeaders.ValueOr(kLifeField, ""),
            aRequest.mHeaders.Integer(kSinceField).value_or(0),
            milliseconds(aRequest.mHeaders.Integer(kAgeField).value_or(0)) };
 }
 
-held_questions::held_questions(scheduler aScheduler,
-                               std::function<void()> aAnswerAll)
+pending_requests::pending_requests(scheduler aScheduler,
+                                   std::function<void()> aAnswerAll)
   : mScheduler(std::move(aScheduler))
   , mAnswerAll(std::move(aAnswerAll))
 {
 }
 
 void
-held_questions::Hold(const feed_question& aQuestion,
-                     feed_asker aAsker,
-                     const feed_knowledge& aKnown)
+pending_requests::Hold(const feed_request& aQuestion,
+                       feed_requester aAsker,
+                       const feed_knowledge& aKnown)
 {
   held question;
   question.mAsker = std::move(aAsker);
   question.mAskedAt = mScheduler.mNow();
   question.mProven = question.mAskedAt - aQuestion.mAge;
-  if (aQuestion.mLife == aKnown.mLife) {
+  if (aQuestion.mIncarnation == aKnown.mIncarnation) {
     question.mSince = aQuestion.mSince;
   }
   mHeld.push_back(std::move(question));
 }
 
 bool
-held_questions::IsDue(const held& aHeld, const feed_knowledge& aKnown) const
+pending_requests::IsDue(const held& aHeld, const feed_knowledge& aKnown) const
 {
   return !aHeld.mSince || *aHeld.mSince < aKnown.mState.mNewest ||
-         aHeld.mProven + kLaterProof < aKnown.mProvenAt ||
+         aHeld.mProven + kLaterProof < aKnown.mVerifiedAt ||
          mScheduler.mNow() >= aHeld.mAskedAt + kHold;
 }
 
 time_point
-held_questions::WaitsUntil(const held& aHeld) const
+pending_requests::WaitsUntil(const held& aHeld) const
 {
   return std::max(aHeld.mAskedAt, mWaitingSince.value_or(aHeld.mAskedAt)) +
          kHoldWaiting;
 }
 
 void
-held_questions::Answer(const feed_knowledge& aKnown)
+pending_requests::Answer(const feed_knowledge& aKnown)
 {
   const auto now = mScheduler.mNow();
   if (aKnown.mRefusal != refusal::Waiting) {
@@ -109,7 +109,7 @@
   }
   std::vector<held> kept;
   // Many that have just started ask for everything at once.
-  std::map<std::optional<feed_number>, encoded_changes> encoded;
+  std::map<std::optional<feed_sequence>, encoded_changes> encoded;
   for (auto& question : std::exchange(mHeld, {})) {
     if (question.mAsker.mHasLeft()) {
       continue;
@@ -121,10 +121,10 @@
         aKnown.mRefusal == refusal::NoStore ? kNoStore : kNotYet;
       question.mAsker.mAnswer({ status, {}, {} });
     } else if (IsDue(question, aKnown)) {
-      const feed_proof proof{ aKnown.mOrigin,
-                              Between(aKnown.mProvenAt, now),
-                              std::chrono::floor<milliseconds>(
-                                now - question.mAskedAt) };
+      const feed_provenance proof{ aKnown.mOrigin,
+                                   Between(aKnown.mVerifiedAt, now),
+                                   std::chrono::floor<milliseconds>(
+                                     now - question.mAskedAt) };
       auto changes = encoded.find(question.mSince);
       if (changes == encoded.end()) {
         changes = encoded
@@ -135,7 +135,8 @@
       question.mAsker.mAnswer(
         { 200,
           {},
-          EncodeFeed(aKnown.mState, aKnown.mLife, changes->second, proof) });
+          EncodeFeed(
+            aKnown.mState, aKnown.mIncarnation, changes->second, proof) });
     } else {
       kept.push_back(std::move(question));
     }
@@ -145,7 +146,7 @@
 }
 
 void
-held_questions::PlanAnswer(const feed_knowledge& aKnown)
+pending_requests::PlanAnswer(const feed_knowledge& aKnown)
 {
   if (mHeld.empty()) {
     mNextAnswer.reset();
--- a/Duties/Feed/HeldQuestions.h
+++ b/Duties/Feed/HeldQuestions.h
@@ -7,29 +7,29 @@
 namespace lavender::feed {
 
 /** Where the answer to another entry's question goes. */
-struct feed_asker
+struct feed_requester
 {
   std::function<void(edge::response)> mAnswer;
   std::function<bool()> mHasLeft;
 };
 
-feed_asker
-AskerOf(const edge::exchange_ptr& aExchange);
+feed_requester
+RequesterOf(const edge::exchange_ptr& aExchange);
 
 /** What another entry asks: all changes after the last that it has from one
  * life of this process, and proof that is later than its own. */
-struct feed_question
+struct feed_request
 {
-  std::string mLife;
-  feed_number mSince = 0;
+  std::string mIncarnation;
+  feed_sequence mSince = 0;
   /** How long ago what it knows was known to be the store's state. */
   milliseconds mAge{ 0 };
 };
 
 edge::request
-EncodeQuestion(const feed_question& aQuestion);
-feed_question
-DecodeQuestion(const edge::request& aRequest);
+EncodeFeedRequest(const feed_request& aQuestion);
+feed_request
+DecodeFeedRequest(const edge::request& aRequest);
 
 /** Path of the questions between entries. */
 constexpr char kFeedPath[] = "/feed";
@@ -54,22 +54,22 @@
 struct feed_knowledge
 {
   const feed_state& mState;
-  const std::string& mLife;
+  const std::string& mIncarnation;
   std::string mOrigin;
   /** A time at which all that is known was the store's state. */
-  time_point mProvenAt;
+  time_point mVerifiedAt;
   refusal mRefusal = refusal::None;
 };
 
 /** Questions of other entries that wait for news. */
-class held_questions
+class pending_requests
 {
 public:
   /** @param aAnswerAll called when a question has waited long enough */
-  held_questions(scheduler aScheduler, std::function<void()> aAnswerAll);
+  pending_requests(scheduler aScheduler, std::function<void()> aAnswerAll);
 
-  void Hold(const feed_question& aQuestion,
-            feed_asker aAsker,
+  void Hold(const feed_request& aQuestion,
+            feed_requester aAsker,
             const feed_knowledge& aKnown);
   /** Answers those for which there is news, a later proof, or a refusal. */
   void Answer(const feed_knowledge& aKnown);
@@ -78,9 +78,9 @@
 private:
   struct held
   {
-    feed_asker mAsker;
+    feed_requester mAsker;
     /** None when all is asked for. */
-    std::optional<feed_number> mSince;
+    std::optional<feed_sequence> mSince;
     time_point mAskedAt;
     /** Of what the one that asks knows. */
     time_point mProven;
--- a/Duties/Feed/StoreFeed.cpp
+++ b/Duties/Feed/StoreFeed.cpp
@@ -49,19 +49,20 @@
 
 } // namespace
 
-store_feed::store_feed(feed_parts aParts, std::vector<followed_kind> aKinds)
-  : mParts(std::move(aParts))
+store_feed::store_feed(feed_dependencies aParts,
+                       std::vector<watched_kind> aKinds)
+  : mDependencies(std::move(aParts))
   , mKinds(std::move(aKinds))
-  , mLife(MakeRandomName())
-  , mHeld(mParts.mScheduler, [this] { AnswerAll(); })
-  , mProvenAt(Now())
+  , mIncarnation(MakeRandomName())
+  , mHeld(mDependencies.mScheduler, [this] { AnswerAll(); })
+  , mVerifiedAt(Now())
 {
 }
 
 void
 store_feed::Start()
 {
-  mProvenAt = Now();
+  mVerifiedAt = Now();
   PlanAgeLimit();
   Choose();
 }
@@ -82,19 +83,19 @@
 }
 
 time_point
-store_feed::ProvenAt() const
+store_feed::VerifiedAt() const
 {
   if (!mIsWatching || !HaveMirrorsListed()) {
-    return mProvenAt;
+    return mVerifiedAt;
   }
   auto provenAt = time_point::min();
   for (const auto& mirror : mMirrors) {
-    provenAt = std::max(provenAt, mirror->ProvenAt());
+    provenAt = std::max(provenAt, mirror->VerifiedAt());
   }
   for (std::size_t i = 0; i < mKinds.size(); ++i) {
     const auto& mirror = *mMirrors[i];
-    if (mKinds[i].mProof == kind_proof::EachAnswer) {
-      provenAt = std::min(provenAt, mirror.ProvenAt());
+    if (mKinds[i].mProof == freshness_rule::EveryResponse) {
+      provenAt = std::min(provenAt, mirror.VerifiedAt());
     } else if (const auto lostSince = mirror.LostSince()) {
       provenAt = std::min(provenAt, *lostSince);
     }
@@ -105,7 +106,7 @@
 std::size_t
 store_feed::Rank() const
 {
-  return PlaceOf(mParts.mCandidates(), mParts.mName);
+  return PlaceOf(mDependencies.mCandidates(), mDependencies.mName);
 }
 
 milliseconds
@@ -121,26 +122,27 @@
 store_feed::PlanAgeLimit()
 {
   const auto limit = AgeLimit();
-  const auto left = std::chrono::ceil<milliseconds>(mProvenAt + limit - Now());
-  mAgeLimit =
-    mParts.mScheduler.mAfter(std::max<milliseconds>(left, 1ms), [this, limit] {
-      if (mIsWatching) {
-        return;
-      }
-      if (Age() < limit) {
-        PlanAgeLimit();
-        return;
-      }
-      events::line("feed_too_old")
-        .With("entry", mSourceName)
-        .With("origin", mOrigin)
-        .With("known_ms_ago", Age());
-      if (Rank() > kStandbys) {
-        SeekSource();
-      } else {
-        WatchStore();
-      }
-    });
+  const auto left =
+    std::chrono::ceil<milliseconds>(mVerifiedAt + limit - Now());
+  mAgeLimit = mDependencies.mScheduler.mAfter(std::max<milliseconds>(left, 1ms),
+                                              [this, limit] {
+                                                if (mIsWatching) {
+                                                  return;
+                                                }
+                                                if (Age() < limit) {
+                                                  PlanAgeLimit();
+                                                  return;
+                                                }
+                                                events::line("feed_too_old")
+                                                  .With("entry", mSourceName)
+                                                  .With("origin", mOrigin)
+                                                  .With("known_ms_ago", Age());
+                                                if (Rank() > kStandbys) {
+                                                  SeekSource();
+                                                } else {
+                                                  WatchStore();
+                                                }
+                                              });
 }
 
 // Whom to ask
@@ -154,15 +156,15 @@
 std::vector<feed_candidate>
 store_feed::Candidates() const
 {
-  return FeedOrder(mParts.mCandidates(), mParts.mName);
+  return SourcePreference(mDependencies.mCandidates(), mDependencies.mName);
 }
 
 std::vector<feed_candidate>
 store_feed::AllCandidates() const
 {
   auto all = Candidates();
-  for (auto& candidate : mParts.mCandidates()) {
-    if (candidate.mName > mParts.mName) {
+  for (auto& candidate : mDependencies.mCandidates()) {
+    if (candidate.mName > mDependencies.mName) {
       all.push_back(std::move(candidate));
     }
   }
@@ -176,7 +178,7 @@
     const auto avoided = mAvoidedUntil.find(candidate.mName);
     const bool isAvoided =
       avoided != mAvoidedUntil.end() && avoided->second > Now();
-    if (!isAvoided && candidate.mName != mParts.mName) {
+    if (!isAvoided && candidate.mName != mDependencies.mName) {
       return candidate;
     }
   }
@@ -197,7 +199,7 @@
 store_feed::LookForBetter()
 {
   mLooksLeft = kLooksInARow;
-  mNextLook = mParts.mScheduler.mAfter(kLookForBetter, [this] {
+  mNextLook = mDependencies.mScheduler.mAfter(kLookForBetter, [this] {
     if (mIsWatching) {
       LookNow();
     }
@@ -213,7 +215,8 @@
   if (const auto rest = candidates.begin() + same; rest != candidates.end()) {
     // Each begins at another one: the first by name may all be silent.
     const auto places = static_cast<std::uint64_t>(candidates.end() - rest);
-    const auto shift = RendezvousHash(mParts.mName, mLife) % places;
+    const auto shift =
+      RendezvousHash(mDependencies.mName, mIncarnation) % places;
     std::rotate(
       rest, rest + static_cast<std::ptrdiff_t>(shift), candidates.end());
   }
@@ -236,7 +239,7 @@
     AskCandidate(*candidate);
     return;
   }
-  mNextLook = mParts.mScheduler.mAfter(kPause, [this] {
+  mNextLook = mDependencies.mScheduler.mAfter(kPause, [this] {
     if (mIsWatching && !mDoesStoreAnswer) {
       FollowAnyone();
     } else if (mIsWatching) {
@@ -263,9 +266,9 @@
   options.mSilenceTimeout = kAnswerTimeout;
   const question asked{ ++mQuestion, mSourceName, Now() };
   mIsAsking = true;
-  mParts.mCall(
+  mDependencies.mCall(
     mSource,
-    EncodeQuestion({ mSourceLife, mSourceNumber, Age() }),
+    EncodeFeedRequest({ mSourceLife, mSourceNumber, Age() }),
     options,
     kAnswerTimeout,
     [this, asked](edge::call_end aEnd, const edge::response& aAnswer) {
@@ -302,12 +305,12 @@
   if (mayKnowSoon && !mIsWatching && mPauses < kMostPauses &&
       Age() < kStandbyAge) {
     ++mPauses;
-    mNextLook = mParts.mScheduler.mAfter(kPause, [this] { Choose(); });
+    mNextLook = mDependencies.mScheduler.mAfter(kPause, [this] { Choose(); });
     return;
   }
   events::line("feed_lost")
     .With("entry", aQuestion.mEntry)
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aAnswer.mStatus))
     .With("reason", reason)
     .With("known_ms_ago", Age());
@@ -324,13 +327,13 @@
 store_feed::ReasonToReject(const decoded_feed& aFeed,
                            time_point aProvenAt) const
 {
-  if (aFeed.mProof.mOrigin == mParts.mName) {
+  if (aFeed.mProof.mOrigin == mDependencies.mName) {
     return "own knowledge";
   }
   if (Now() - aProvenAt > kMostAge) {
     return "knowledge too old";
   }
-  if (mIsWatching && !mDoesStoreAnswer && aProvenAt <= ProvenAt()) {
+  if (mIsWatching && !mDoesStoreAnswer && aProvenAt <= VerifiedAt()) {
     return "knows no more";
   }
   return "";
@@ -342,7 +345,7 @@
                    time_point aProvenAt)
 {
   mPauses = 0;
-  mProvenAt = std::max(ProvenAt(), aProvenAt);
+  mVerifiedAt = std::max(VerifiedAt(), aProvenAt);
   mOrigin = aFeed.mProof.mOrigin;
   if (mIsWatching) {
     events::line("feed_followed")
@@ -353,7 +356,7 @@
     mFollowsSince = Now();
     PlanAgeLimit();
   }
-  if (aEntry > mParts.mName && Now() - mFollowsSince > kLookForBetter) {
+  if (aEntry > mDependencies.mName && Now() - mFollowsSince > kLookForBetter) {
     mFollowsSince = Now();
     LookWhetherStoreAnswers();
   }
@@ -378,7 +381,7 @@
 void
 store_feed::Apply(const decoded_feed& aFeed)
 {
-  mSourceLife = aFeed.mLife;
+  mSourceLife = aFeed.mIncarnation;
   mSourceNumber = aFeed.mNewest;
   if (aFeed.mIsWhole) {
     ApplyWhole(aFeed);
--- a/Duties/Feed/StoreFeed.h
+++ b/Duties/Feed/StoreFeed.h
@@ -8,25 +8,25 @@
 namespace lavender::feed {
 
 /** By what an entry that watches a kind knows that it is up to date. */
-enum class kind_proof
+enum class freshness_rule
 {
   /** Each answer to a watch proves it anew; changes must be known in time. */
-  EachAnswer,
+  EveryResponse,
   /** The watch isn't known to be lost. Its waits may be longer, as each answer
    * is priced. */
-  WatchNotLost
+  WatchConnected
 };
 
-struct followed_kind
+struct watched_kind
 {
   std::string mKind;
-  kind_proof mProof = kind_proof::EachAnswer;
+  freshness_rule mProof = freshness_rule::EveryResponse;
   objects::mirror_options mOptions;
   std::function<void(const object_map&)> mOnListed;
   std::function<void(const objects::object_event&)> mOnEvent;
 };
 
-struct feed_parts
+struct feed_dependencies
 {
   scheduler mScheduler;
   const objects::object_store& mStore;
@@ -45,7 +45,7 @@
   /** All entries in the order of their names, this one included. */
   std::function<std::vector<feed_candidate>()> mCandidates;
   /** The store's state is known again, or can't be learned from anybody. */
-  std::function<void(bool aIsReachable)> mOnContact;
+  std::function<void(bool aIsReachable)> mOnReachabilityChange;
 };
 
 /** Keeps this entry up to date about some kinds of objects.
@@ -60,11 +60,11 @@
 class store_feed
 {
 public:
-  store_feed(feed_parts aParts, std::vector<followed_kind> aKinds);
+  store_feed(feed_dependencies aParts, std::vector<watched_kind> aKinds);
 
   void Start();
   /** Another entry's question. */
-  void Serve(const edge::request& aQuestion, feed_asker aAsker);
+  void Serve(const edge::request& aQuestion, feed_requester aAsker);
   /** Every kind has been listed at least once. */
   bool HasListed() const;
   bool IsReachable() const { return mIsReachable; }
@@ -73,7 +73,7 @@
   /** How long ago what is known here was known to be the store's state. */
   milliseconds Age() const
   {
-    return std::chrono::duration_cast<milliseconds>(Now() - ProvenAt());
+    return std::chrono::duration_cast<milliseconds>(Now() - VerifiedAt());
   }
   /** Name of the entry that this one hears from, or "store". */
   std::string SourceName() const { return mIsWatching ? "store" : mSourceName; }
@@ -94,8 +94,8 @@
     time_point mAskedAt;
   };
 
-  time_point Now() const { return mParts.mScheduler.mNow(); }
-  time_point ProvenAt() const;
+  time_point Now() const { return mDependencies.mScheduler.mNow(); }
+  time_point VerifiedAt() const;
   /** Whom this entry may follow for long, in the order in which it asks. */
   std::vector<feed_candidate> Candidates() const;
   /** Those, then all others, for one that the store doesn't serve. */
@@ -128,8 +128,8 @@
    * watches anything. */
   void SeekSource();
   void AddMirrors();
-  void AddMirror(const followed_kind& aKind);
-  void NoteListing(const followed_kind& aKind, const object_map& aObjects);
+  void AddMirror(const watched_kind& aKind);
+  void NoteListing(const watched_kind& aKind, const object_map& aObjects);
   bool HaveMirrorsListed() const;
   void StopWatching();
   void Probe(milliseconds aPause);
@@ -145,11 +145,11 @@
   void AnswerAll();
   void SetReachable(bool aIsReachable);
 
-  feed_parts mParts;
-  std::vector<followed_kind> mKinds;
+  feed_dependencies mDependencies;
+  std::vector<watched_kind> mKinds;
   feed_state mState;
-  const std::string mLife;
-  held_questions mHeld;
+  const std::string mIncarnation;
+  pending_requests mHeld;
   std::vector<std::shared_ptr<objects::mirror>> mMirrors;
   std::map<std::string, time_point> mAvoidedUntil;
   std::map<std::string, bool> mIsListed;
@@ -161,7 +161,7 @@
   std::string mSourceName;
   std::string mSourceLife;
   std::string mOrigin;
-  feed_number mSourceNumber = 0;
+  feed_sequence mSourceNumber = 0;
   std::uint64_t mQuestion = 0;
   /** An answer to the newest question may still come. */
   bool mIsAsking = false;
@@ -171,7 +171,7 @@
   int mLooksLeft = 0;
   time_point mFollowsSince;
   /** Of what was known when this entry last heard from another one. */
-  time_point mProvenAt;
+  time_point mVerifiedAt;
   bool mIsWatching = false;
   /** It watches nothing yet, as others should know more. */
   bool mIsSeeking = false;
--- a/Duties/Feed/StoreFeedAnswers.cpp
+++ b/Duties/Feed/StoreFeedAnswers.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds kMostAgePassedOn = 1200ms;
 
 const char*
-WordFor(refusal aRefusal)
+ToString(refusal aRefusal)
 {
   switch (aRefusal) {
     case refusal::None:
@@ -58,7 +58,7 @@
     }
   }
   events::line(aRefusal == refusal::None ? "feed_serves" : "feed_refuses")
-    .With("reason", WordFor(aRefusal))
+    .With("reason", ToString(aRefusal))
     .With("origin", mOrigin)
     .With("known_ms_ago", Age())
     .With("lost", lost);
@@ -68,13 +68,13 @@
 feed_knowledge
 store_feed::Knowledge() const
 {
-  return { mState, mLife, mOrigin, ProvenAt(), Refusal() };
+  return { mState, mIncarnation, mOrigin, VerifiedAt(), Refusal() };
 }
 
 void
-store_feed::Serve(const edge::request& aQuestion, feed_asker aAsker)
+store_feed::Serve(const edge::request& aQuestion, feed_requester aAsker)
 {
-  mHeld.Hold(DecodeQuestion(aQuestion), std::move(aAsker), Knowledge());
+  mHeld.Hold(DecodeFeedRequest(aQuestion), std::move(aAsker), Knowledge());
   AnswerAll();
 }
 
@@ -100,7 +100,7 @@
     mIsReachable = aIsReachable;
     events::line(aIsReachable ? "store_regained" : "store_lost")
       .With("known_ms_ago", Age());
-    mParts.mOnContact(aIsReachable);
+    mDependencies.mOnReachabilityChange(aIsReachable);
   }
 }
 
--- a/Duties/Feed/StoreFeedWatching.cpp
+++ b/Duties/Feed/StoreFeedWatching.cpp
@@ -69,7 +69,7 @@
 }
 
 void
-store_feed::AddMirror(const followed_kind& aKind)
+store_feed::AddMirror(const watched_kind& aKind)
 {
   objects::mirror_options options = aKind.mOptions;
   options.mKind = aKind.mKind;
@@ -84,17 +84,17 @@
   };
   heard.mOnProven = [this] { AnswerAll(); };
   mMirrors.push_back(std::make_shared<objects::mirror>(
-    mParts.mScheduler, mParts.mStore, options, heard));
+    mDependencies.mScheduler, mDependencies.mStore, options, heard));
   mMirrors.back()->Start();
 }
 
 void
-store_feed::NoteListing(const followed_kind& aKind, const object_map& aObjects)
+store_feed::NoteListing(const watched_kind& aKind, const object_map& aObjects)
 {
   TakeListing(mState, aKind.mKind, aObjects);
   mIsListed[aKind.mKind] = true;
   if (HaveMirrorsListed()) {
-    mOrigin = mParts.mName;
+    mOrigin = mDependencies.mName;
   }
   aKind.mOnListed(aObjects);
   AnswerAll();
@@ -116,7 +116,7 @@
 void
 store_feed::Probe(milliseconds aPause)
 {
-  mNextProbe = mParts.mScheduler.mAfter(aPause, [this] {
+  mNextProbe = mDependencies.mScheduler.mAfter(aPause, [this] {
     if (!mIsWatching) {
       return;
     }
@@ -126,9 +126,11 @@
         TakeProbe(aReply);
       }
     };
-    mParts.mStore.mGet(
-      mParts.mProbeKind, mParts.mName, objects::freshness::MayBeStale, take);
-    mNextProbe = mParts.mScheduler.mAfter(kProbeTimeout, [take] {
+    mDependencies.mStore.mGet(mDependencies.mProbeKind,
+                              mDependencies.mName,
+                              objects::freshness::MayBeStale,
+                              take);
+    mNextProbe = mDependencies.mScheduler.mAfter(kProbeTimeout, [take] {
       take({ store_outcome::Unknown, {} });
     });
   });
@@ -170,7 +172,7 @@
   // The store is back for all, and the first entries by name list it now.
   mDoesStoreAnswer = false;
   mAvoidedUntil.clear();
-  mMirrorsSoon = mParts.mScheduler.mAfter(kOthersList, [this] {
+  mMirrorsSoon = mDependencies.mScheduler.mAfter(kOthersList, [this] {
     if (mIsSeeking) {
       mDoesStoreAnswer = true;
       AddMirrors();
@@ -188,16 +190,16 @@
   // This entry's turn comes before that of the one it follows, and the store
   // may have it back. It follows on meanwhile: leaving first, an entry that is
   // still turned away would know nothing for half a second of every three.
-  mParts.mDirectStore.mGet(mParts.mProbeKind,
-                           mParts.mName,
-                           objects::freshness::MayBeStale,
-                           [this](const objects::object_reply& aReply) {
-                             if (IsAnswer(aReply) && !mIsWatching) {
-                               ++mQuestion;
-                               mIsAsking = false;
-                               WatchStore();
-                             }
-                           });
+  mDependencies.mDirectStore.mGet(mDependencies.mProbeKind,
+                                  mDependencies.mName,
+                                  objects::freshness::MayBeStale,
+                                  [this](const objects::object_reply& aReply) {
+                                    if (IsAnswer(aReply) && !mIsWatching) {
+                                      ++mQuestion;
+                                      mIsAsking = false;
+                                      WatchStore();
+                                    }
+                                  });
 }
 
 } // namespace lavender::feed
--- a/Duties/Keys/Authorize.h
+++ b/Duties/Keys/Authorize.h
@@ -30,7 +30,7 @@
  * Called again while a request waits and when queued work starts, because the
  * key may be withdrawn in the meantime. */
 std::string
-FindWithdrawal(const configuration::snapshot& aSnapshot,
-               const std::string& aKeyHash);
+FindKeyRejection(const configuration::snapshot& aSnapshot,
+                 const std::string& aKeyHash);
 
 } // namespace lavender::keys
--- a/Duties/Keys/FreshnessGate.cpp
+++ b/Duties/Keys/FreshnessGate.cpp
@@ -18,23 +18,24 @@
  * process that still answers is as stale as this one. Only the missing answers
  * of the other zones distinguish this case from an outage of the store. */
 bool
-ReachesAtLeastHalf(const witness_summary& aRemote)
+ReachesAtLeastHalf(const remote_freshness& aRemote)
 {
-  return aRemote.mAudible * 2 >= aRemote.mKnown.value_or(0);
+  return aRemote.mReachable * 2 >= aRemote.mKnown.value_or(0);
 }
 
 /** True when the store recently answered another entry, at least mMinimumLead
  * after it last answered this one. */
 bool
-IsStoreReachableByOthers(const own_freshness& aOwn,
-                         const witness_summary& aRemote,
+IsStoreReachableByOthers(const local_freshness& aLocal,
+                         const remote_freshness& aRemote,
                          const freshness_limits& aLimits,
                          time_point aNow)
 {
   return IsRecent(
-           aRemote.mLatestProof, aLimits.mMaximumVerificationAge, aNow) &&
-         (!aOwn.mProvenAt ||
-          *aRemote.mLatestProof - *aOwn.mProvenAt >= aLimits.mMinimumLead);
+           aRemote.mLatestVerifiedAt, aLimits.mMaximumVerificationAge, aNow) &&
+         (!aLocal.mVerifiedAt ||
+          *aRemote.mLatestVerifiedAt - *aLocal.mVerifiedAt >=
+            aLimits.mMinimumLead);
 }
 
 /** A newly started entry accepts keys only after it has polled every known
@@ -42,16 +43,17 @@
  * starts from an outdated disk, or reads from a stale replica of the store,
  * would accept withdrawn keys. */
 bool
-MayJoin(const own_freshness& aOwn,
-        const witness_summary& aRemote,
+MayJoin(const local_freshness& aLocal,
+        const remote_freshness& aRemote,
         const freshness_limits& aLimits,
         time_point aNow)
 {
-  if (aOwn.mKnownUpTo == 0 || aOwn.mKnownUpTo < aRemote.mHighestChanged ||
-      !aRemote.mKnown || aRemote.mAsked < *aRemote.mKnown) {
+  if (aLocal.mKnownRevision == 0 ||
+      aLocal.mKnownRevision < aRemote.mHighestChangedRevision ||
+      !aRemote.mKnown || aRemote.mPolled < *aRemote.mKnown) {
     return false;
   }
-  return IsRecent(aOwn.mProvenAt, aLimits.mMaximumVerificationAge, aNow) ||
+  return IsRecent(aLocal.mVerifiedAt, aLimits.mMaximumVerificationAge, aNow) ||
          (*aRemote.mKnown > 0 && ReachesAtLeastHalf(aRemote));
 }
 
@@ -59,22 +61,23 @@
 
 freshness
 EvaluateFreshness(freshness_state& aState,
-                  const own_freshness& aOwn,
-                  const witness_summary& aRemote,
+                  const local_freshness& aLocal,
+                  const remote_freshness& aRemote,
                   const freshness_limits& aLimits,
                   time_point aNow)
 {
-  const bool isBehind = HasLasted(aState.mBehindSince,
-                                  aOwn.mKnownUpTo < aRemote.mHighestChanged,
-                                  aLimits.mCatchUpTime,
-                                  aNow);
+  const bool isBehind =
+    HasLasted(aState.mBehindSince,
+              aLocal.mKnownRevision < aRemote.mHighestChangedRevision,
+              aLimits.mCatchUpTime,
+              aNow);
   const bool isCutOff =
     HasLasted(aState.mCutOffSince,
-              IsStoreReachableByOthers(aOwn, aRemote, aLimits, aNow),
+              IsStoreReachableByOthers(aLocal, aRemote, aLimits, aNow),
               aLimits.mCatchUpTime,
               aNow);
   if (!aState.mHasJoined) {
-    if (!MayJoin(aOwn, aRemote, aLimits, aNow)) {
+    if (!MayJoin(aLocal, aRemote, aLimits, aNow)) {
       return freshness::Joining;
     }
     aState.mHasJoined = true;
@@ -82,7 +85,7 @@
   if (isBehind) {
     return freshness::Behind;
   }
-  if (IsRecent(aOwn.mProvenAt, aLimits.mMaximumVerificationAge, aNow)) {
+  if (IsRecent(aLocal.mVerifiedAt, aLimits.mMaximumVerificationAge, aNow)) {
     return freshness::Current;
   }
   if (isCutOff) {
@@ -100,7 +103,7 @@
 }
 
 const char*
-WordFor(freshness aFreshness)
+ToString(freshness aFreshness)
 {
   switch (aFreshness) {
     case freshness::Current:
--- a/Duties/Keys/FreshnessGate.h
+++ b/Duties/Keys/FreshnessGate.h
@@ -12,28 +12,28 @@
 namespace lavender::keys {
 
 /** How recent this entry's own copy of the configuration is. */
-struct own_freshness
+struct local_freshness
 {
   /** Every change up to this revision is known; 0 before the first state. */
-  std::int64_t mKnownUpTo = 0;
+  std::int64_t mKnownRevision = 0;
   /** Last time at which the store confirmed this revision as its newest;
    * none when it never did. */
-  std::optional<time_point> mProvenAt;
+  std::optional<time_point> mVerifiedAt;
 };
 
 /** What other entries and agents report about the configuration. */
-struct witness_summary
+struct remote_freshness
 {
   /** Number of processes on the last instance list (none before the first
    * list), how many of them were polled since the start, and how many answered
    * recently. */
   std::optional<std::size_t> mKnown;
-  std::size_t mAsked = 0;
-  std::size_t mAudible = 0;
+  std::size_t mPolled = 0;
+  std::size_t mReachable = 0;
   /** Revision of the latest configuration change that any of them knows. */
-  std::int64_t mHighestChanged = 0;
+  std::int64_t mHighestChangedRevision = 0;
   /** Latest time at which any entry's copy was verified as the newest. */
-  std::optional<time_point> mLatestProof;
+  std::optional<time_point> mLatestVerifiedAt;
 };
 
 /** Bounds on how long a withdrawn key stays usable: at most
@@ -89,8 +89,8 @@
  * intervention as soon as its cause is gone. */
 freshness
 EvaluateFreshness(freshness_state& aState,
-                  const own_freshness& aOwn,
-                  const witness_summary& aRemote,
+                  const local_freshness& aLocal,
+                  const remote_freshness& aRemote,
                   const freshness_limits& aLimits,
                   time_point aNow);
 
@@ -100,6 +100,6 @@
 
 /** Name used in logs and metrics. */
 const char*
-WordFor(freshness aFreshness);
+ToString(freshness aFreshness);
 
 } // namespace lavender::keys
--- a/Duties/Keys/KeyGate.cpp
+++ b/Duties/Keys/KeyGate.cpp
@@ -23,16 +23,16 @@
     return mLastFreshness;
   }
   const auto evaluated = EvaluateFreshness(
-    mState, mOptions.mOwn(), mOptions.mWitnesses(), mOptions.mLimits, now);
+    mState, mOptions.mLocal(), mOptions.mRemote(), mOptions.mLimits, now);
   mEvaluatedAt = now;
   if (evaluated != mLastFreshness) {
     Log(IsFreshEnough(evaluated) ? log_level::Info : log_level::Warning,
         "keys",
         std::string("Freshness of the configuration changed to ") +
-          WordFor(evaluated));
+          ToString(evaluated));
     if (mOptions.mMetrics) {
       mOptions.mMetrics->Count("lavender_freshness_changes_total",
-                               { { "to", WordFor(evaluated) } });
+                               { { "to", ToString(evaluated) } });
     }
     mLastFreshness = evaluated;
   }
--- a/Duties/Keys/TestFreshnessHistories.cpp
+++ b/Duties/Keys/TestFreshnessHistories.cpp
@@ -71,18 +71,18 @@
 
 struct process_view
 {
-  std::optional<time_point> mHeardAt;
+  std::optional<time_point> mLastResponseAt;
   bool mIsAsked = false;
-  std::int64_t mChanged = 0;
-  std::optional<time_point> mProvenAt;
+  std::int64_t mChangedRevision = 0;
+  std::optional<time_point> mVerifiedAt;
 };
 
 struct model_agent
 {
   int mSide = 0;
-  std::int64_t mChanged = 0;
-  /** Value of mChanged before the current tick: an entry may poll the agent
-   * before others update it within the tick. */
+  std::int64_t mChangedRevision = 0;
+  /** Value of mChangedRevision before the current tick: an entry may poll the
+   * agent before others update it within the tick. */
   std::int64_t mChangedBeforeTick = 0;
   time_point mFreshAt;
 };
@@ -159,8 +159,8 @@
 bool
 KnowsKeyAsGood(const model_entry& aEntry, int aKey)
 {
-  return keys::FindWithdrawal(*aEntry.mState.mSnapshot,
-                              "hash-" + std::to_string(aKey))
+  return keys::FindKeyRejection(*aEntry.mState.mSnapshot,
+                                "hash-" + std::to_string(aKey))
     .empty();
 }
 
@@ -176,7 +176,7 @@
   if (aHasDisk && disk.mRevision > 0) {
     aEntry.mDisk = disk;
     auto copy = disk;
-    copy.mProvenAt.reset();
+    copy.mVerifiedAt.reset();
     ApplyCopy(aEntry.mState, std::move(copy));
   }
 }
@@ -190,9 +190,9 @@
   }
   const auto& list =
     store.mReadsStaleReplica ? store.mStaleReplica : store.mNow;
-  const auto from = aEntry.mState.mKnownUpTo;
+  const auto from = aEntry.mState.mKnownRevision;
   if (from == 0 || from < store.mOldestKept) {
-    TakeList(aEntry.mState, list, aSimulation.mNow);
+    ApplyList(aEntry.mState, list, aSimulation.mNow);
     return;
   }
   platform::watch_batch batch;
@@ -203,7 +203,7 @@
       batch.mEvents.push_back(event);
     }
   }
-  TakeBatch(aEntry.mState, batch, aSimulation.mNow);
+  ApplyWatchBatch(aEntry.mState, batch, aSimulation.mNow);
 }
 
 void
@@ -222,10 +222,10 @@
       continue;
     }
     const auto digest = DigestOf(peer.mState);
-    view.mHeardAt = aSimulation.mNow;
-    view.mChanged = digest.mChanged;
-    view.mProvenAt = digest.mProvenAt;
-    if (ApplyDigest(entry.mState, digest) == take_outcome::NeedsFullCopy) {
+    view.mLastResponseAt = aSimulation.mNow;
+    view.mChangedRevision = digest.mChangedRevision;
+    view.mVerifiedAt = digest.mVerifiedAt;
+    if (ApplyDigest(entry.mState, digest) == apply_outcome::NeedsFullCopy) {
       ApplyCopy(entry.mState, CopyOf(peer.mState));
     }
   }
@@ -241,29 +241,31 @@
     if (!aSimulation.AreLinked(aEntry.mSide, agent.mSide)) {
       continue;
     }
-    if (aEntry.mState.mChanged > 0 && aEntry.mState.mProvenAt) {
-      agent.mFreshAt = std::max(agent.mFreshAt, *aEntry.mState.mProvenAt);
+    if (aEntry.mState.mChangedRevision > 0 && aEntry.mState.mVerifiedAt) {
+      agent.mFreshAt = std::max(agent.mFreshAt, *aEntry.mState.mVerifiedAt);
     }
-    agent.mChanged = std::max(agent.mChanged, aEntry.mState.mChanged);
-    view.mHeardAt = aSimulation.mNow;
-    view.mChanged = agent.mChanged;
-    view.mProvenAt = agent.mFreshAt;
+    agent.mChangedRevision =
+      std::max(agent.mChangedRevision, aEntry.mState.mChangedRevision);
+    view.mLastResponseAt = aSimulation.mNow;
+    view.mChangedRevision = agent.mChangedRevision;
+    view.mVerifiedAt = agent.mFreshAt;
   }
 }
 
 template<typename Views>
 void
-AddViews(const Views& aViews, keys::witness_summary& aSummary, time_point aNow)
+AddViews(const Views& aViews, keys::remote_freshness& aSummary, time_point aNow)
 {
   for (const auto& view : aViews) {
-    aSummary.mAsked += view.mIsAsked ? 1 : 0;
-    if (!view.mHeardAt) {
+    aSummary.mPolled += view.mIsAsked ? 1 : 0;
+    if (!view.mLastResponseAt) {
       continue;
     }
-    aSummary.mAudible += aNow - *view.mHeardAt <= 4s ? 1 : 0;
-    aSummary.mHighestChanged =
-      std::max(aSummary.mHighestChanged, view.mChanged);
-    aSummary.mLatestProof = std::max(aSummary.mLatestProof, view.mProvenAt);
+    aSummary.mReachable += aNow - *view.mLastResponseAt <= 4s ? 1 : 0;
+    aSummary.mHighestChangedRevision =
+      std::max(aSummary.mHighestChangedRevision, view.mChangedRevision);
+    aSummary.mLatestVerifiedAt =
+      std::max(aSummary.mLatestVerifiedAt, view.mVerifiedAt);
   }
 }
 
@@ -275,12 +277,12 @@
   for (const auto& peer : aSimulation.mEntries) {
     if (peer.IsRunning() &&
         aSimulation.ArePeersLinked(aEntry.mSide, peer.mSide)) {
-      RC_ASSERT(aEntry.mState.mKnownUpTo >= peer.mChangedBeforeTick);
+      RC_ASSERT(aEntry.mState.mKnownRevision >= peer.mChangedBeforeTick);
     }
   }
   for (const auto& agent : aSimulation.mAgents) {
     if (aSimulation.AreLinked(aEntry.mSide, agent.mSide)) {
-      RC_ASSERT(aEntry.mState.mKnownUpTo >= agent.mChangedBeforeTick);
+      RC_ASSERT(aEntry.mState.mKnownRevision >= agent.mChangedBeforeTick);
     }
   }
 }
@@ -289,13 +291,13 @@
 EvaluateEntry(simulation& aSimulation, model_entry& aEntry)
 {
   const bool hadJoined = aEntry.mFreshnessState.mHasJoined;
-  keys::witness_summary summary;
+  keys::remote_freshness summary;
   summary.mKnown = kAgents + kEntries - 1;
   AddViews(aEntry.mAgents, summary, aSimulation.mNow);
   AddViews(aEntry.mPeers, summary, aSimulation.mNow);
   aEntry.mFreshness = keys::EvaluateFreshness(
     aEntry.mFreshnessState,
-    { aEntry.mState.mKnownUpTo, aEntry.mState.mProvenAt },
+    { aEntry.mState.mKnownRevision, aEntry.mState.mVerifiedAt },
     summary,
     {},
     aSimulation.mNow);
@@ -356,12 +358,12 @@
 {
   std::int64_t held = 0;
   for (const auto& entry : aSimulation.mEntries) {
-    held = std::max(held, entry.IsRunning() ? entry.mState.mKnownUpTo : 0);
+    held = std::max(held, entry.IsRunning() ? entry.mState.mKnownRevision : 0);
   }
   return held > 0 && std::all_of(aSimulation.mAgents.begin(),
                                  aSimulation.mAgents.end(),
                                  [held](const auto& aAgent) {
-                                   return aAgent.mChanged <= held;
+                                   return aAgent.mChangedRevision <= held;
                                  });
 }
 
@@ -393,7 +395,7 @@
     entry.mIsolatedTicks = isIsolated ? entry.mIsolatedTicks + 1 : 0;
     for (int key = 0; key < kKeys; ++key) {
       auto& ticks = entry.mKnowsWithdrawalTicks[static_cast<std::size_t>(key)];
-      const bool knows = entry.IsRunning() && entry.mState.mKnownUpTo > 0 &&
+      const bool knows = entry.IsRunning() && entry.mState.mKnownRevision > 0 &&
                          !KnowsKeyAsGood(entry, key);
       ticks = knows ? ticks + 1 : 0;
     }
@@ -429,9 +431,9 @@
 void
 CheckEntry(simulation& aSimulation, model_entry& aEntry)
 {
-  RC_ASSERT(aEntry.mState.mKnownUpTo >= aEntry.mHighestKnown);
-  RC_ASSERT(aEntry.mState.mSnapshot->mRevision <= aEntry.mState.mKnownUpTo);
-  aEntry.mHighestKnown = aEntry.mState.mKnownUpTo;
+  RC_ASSERT(aEntry.mState.mKnownRevision >= aEntry.mHighestKnown);
+  RC_ASSERT(aEntry.mState.mSnapshot->mRevision <= aEntry.mState.mKnownRevision);
+  aEntry.mHighestKnown = aEntry.mState.mKnownRevision;
   if (!aEntry.IsRunning() || !keys::IsFreshEnough(aEntry.mFreshness)) {
     return;
   }
@@ -454,8 +456,8 @@
   }
   for (const auto& entry : aSimulation.mEntries) {
     RC_ASSERT(keys::IsFreshEnough(entry.mFreshness));
-    RC_ASSERT(entry.mState.mKnownUpTo >=
-              aSimulation.mEntries[0].mState.mChanged);
+    RC_ASSERT(entry.mState.mKnownRevision >=
+              aSimulation.mEntries[0].mState.mChangedRevision);
   }
 }
 
@@ -464,10 +466,10 @@
 {
   aSimulation.mNow += kTick;
   for (auto& entry : aSimulation.mEntries) {
-    entry.mChangedBeforeTick = entry.mState.mChanged;
+    entry.mChangedBeforeTick = entry.mState.mChangedRevision;
   }
   for (auto& agent : aSimulation.mAgents) {
-    agent.mChangedBeforeTick = agent.mChanged;
+    agent.mChangedBeforeTick = agent.mChangedRevision;
   }
   for (std::size_t i = 0; i < kEntries; ++i) {
     auto& entry = aSimulation.mEntries[i];
@@ -478,7 +480,7 @@
     QueryStore(aSimulation, entry);
     ExchangeWithPeers(aSimulation, i);
     PollAgents(aSimulation, entry);
-    if (entry.mState.mChanged > entry.mDisk.mChanged) {
+    if (entry.mState.mChangedRevision > entry.mDisk.mChangedRevision) {
       entry.mDisk = CopyOf(entry.mState);
     }
   }
--- a/Duties/Membership/DirectoryState.cpp
+++ b/Duties/Membership/DirectoryState.cpp
@@ -18,9 +18,9 @@
     // The instance has a new address, so a new process runs there and the state
     // of the old one is invalid.
     aView.mConnections = aMakeConnections(aInstance.mEndpoint);
-    aView.mHeardAt.reset();
+    aView.mLastResponseAt.reset();
     aView.mLastFailedPollAt.reset();
-    aView.mReportedAt = {};
+    aView.mReportRequestedAt = {};
     aView.mIncarnation.clear();
     aView.mIsLeaving = false;
   }
@@ -28,16 +28,16 @@
 }
 
 bool
-MustBeForgotten(const server_view& aView,
-                const directory_limits& aLimits,
-                time_point aNow)
+IsExpired(const server_view& aView,
+          const directory_limits& aLimits,
+          time_point aNow)
 {
   const auto unlistedFor = aNow - *aView.mUnlistedSince;
-  if (unlistedFor >= aLimits.mForgetAfter) {
+  if (unlistedFor >= aLimits.mRemoveAfter) {
     return true;
   }
-  return unlistedFor >= aLimits.mForgetUnresponsiveAfter &&
-         EvaluateHeartbeat({ aView.mHeardAt, aView.mLastFailedPollAt },
+  return unlistedFor >= aLimits.mRemoveUnresponsiveAfter &&
+         EvaluateHeartbeat({ aView.mLastResponseAt, aView.mLastFailedPollAt },
                            aLimits.mHeartbeat,
                            aNow) != liveness::Live;
 }
@@ -61,7 +61,7 @@
         time_point aNow)
 {
   const auto live = EvaluateHeartbeat(
-    { aView.mHeardAt, aView.mLastFailedPollAt }, aLimits, aNow);
+    { aView.mLastResponseAt, aView.mLastFailedPollAt }, aLimits, aNow);
   if (live != liveness::Live) {
     return live == liveness::Unknown ? server_state::Unknown
                                      : server_state::Unresponsive;
@@ -74,7 +74,7 @@
 }
 
 const char*
-WordFor(server_state aState)
+ToString(server_state aState)
 {
   switch (aState) {
     case server_state::Live:
@@ -92,11 +92,11 @@
 }
 
 std::vector<std::string>
-TakeList(directory_state& aState,
-         const std::vector<platform::instance>& aList,
-         const directory_limits& aLimits,
-         const connection_maker& aMakeConnections,
-         time_point aNow)
+ApplyList(directory_state& aState,
+          const std::vector<platform::instance>& aList,
+          const directory_limits& aLimits,
+          const connection_maker& aMakeConnections,
+          time_point aNow)
 {
   aState.mListedAt = aNow;
   aState.mEntries.clear();
@@ -116,7 +116,7 @@
     if (listed.count(item->first) == 0 && !view.mUnlistedSince) {
       view.mUnlistedSince = aNow;
     }
-    if (view.mUnlistedSince && MustBeForgotten(view, aLimits, aNow)) {
+    if (view.mUnlistedSince && IsExpired(view, aLimits, aNow)) {
       item = aState.mServers.erase(item);
     } else {
       names.push_back(item->first);
@@ -127,17 +127,17 @@
 }
 
 apply_report_outcome
-TakeReport(directory_state& aState,
-           const std::string& aName,
-           const wire::agent_report& aReport,
-           const std::shared_ptr<agent_pool>& aConnections,
-           time_point aRequestedAt,
-           time_point aNow)
+ApplyReport(directory_state& aState,
+            const std::string& aName,
+            const wire::agent_report& aReport,
+            const std::shared_ptr<agent_pool>& aConnections,
+            time_point aRequestedAt,
+            time_point aNow)
 {
   const auto found = aState.mServers.find(aName);
   if (found == aState.mServers.end() ||
       found->second.mConnections != aConnections ||
-      aRequestedAt < found->second.mReportedAt) {
+      aRequestedAt < found->second.mReportRequestedAt) {
     // A report that arrives out of order may come from a previous process at
     // this address.
     return apply_report_outcome::Outdated;
@@ -147,7 +147,7 @@
     // Requests for this instance's pool must not be sent to the other instance
     // that now uses its address.
     view.mLastFailedPollAt = aRequestedAt;
-    view.mHeardAt.reset();
+    view.mLastResponseAt.reset();
     return apply_report_outcome::OtherInstance;
   }
   view.mIsLeaving =
@@ -161,8 +161,8 @@
   view.mReportedRevision = aReport.witnessed_revision;
   view.mReportedFreshAge = milliseconds(aReport.witnessed_fresh_age_ms);
   view.mAgentClock = milliseconds(aReport.clock_ms);
-  view.mReportedAt = aRequestedAt;
-  view.mHeardAt = aNow;
+  view.mReportRequestedAt = aRequestedAt;
+  view.mLastResponseAt = aNow;
   return apply_report_outcome::Applied;
 }
 
@@ -178,9 +178,9 @@
 }
 
 void
-TakeReply(directory_state& aState,
-          const std::string& aName,
-          const wire::dispatch_reply& aReply)
+ApplyReply(directory_state& aState,
+           const std::string& aName,
+           const wire::dispatch_reply& aReply)
 {
   const auto found = aState.mServers.find(aName);
   if (found == aState.mServers.end()) {
@@ -191,7 +191,7 @@
     // The response comes from a restarted agent, or is a late one from its
     // predecessor. The next report shows which incarnation runs now and whether
     // it drains.
-    view.mHeardAt.reset();
+    view.mLastResponseAt.reset();
     return;
   }
   view.mIsLeaving =
--- a/Duties/Membership/DirectoryState.h
+++ b/Duties/Membership/DirectoryState.h
@@ -37,12 +37,13 @@
   std::int64_t mWeightVersion = 0;
   std::int64_t mReportedRevision = 0;
   milliseconds mReportedFreshAge{ 0 };
-  std::optional<time_point> mHeardAt;
+  std::optional<time_point> mLastResponseAt;
   /** Start of the last poll that got no answer. */
   std::optional<time_point> mLastFailedPollAt;
   /** When the last answered poll was sent; its report is at least as recent. */
-  time_point mReportedAt;
-  /** The agent's clock reading in the report that arrived at mHeardAt. */
+  time_point mReportRequestedAt;
+  /** The agent's clock reading in the report that arrived at mLastResponseAt.
+   */
   milliseconds mAgentClock{ 0 };
   /** Time of the first list without the instance; none while it is listed. */
   std::optional<time_point> mUnlistedSince;
@@ -65,9 +66,9 @@
   /** Time after which an unlisted instance that doesn't answer is forgotten.
    * Instances aren't forgotten at once because the list may be temporarily
    * wrong. */
-  milliseconds mForgetUnresponsiveAfter{ 5000 };
+  milliseconds mRemoveUnresponsiveAfter{ 5000 };
   /** Time after which an unlisted instance that still answers is forgotten. */
-  milliseconds mForgetAfter{ 60000 };
+  milliseconds mRemoveAfter{ 60000 };
 };
 
 enum class server_state
@@ -91,7 +92,7 @@
 
 /** Name used in logs, metrics and resource status. */
 const char*
-WordFor(server_state aState);
+ToString(server_state aState);
 
 using connection_maker =
   std::function<std::shared_ptr<agent_pool>(const http::endpoint&)>;
@@ -100,11 +101,11 @@
  * instances that have been unlisted for too long.
  * @return names of all servers that are known now */
 std::vector<std::string>
-TakeList(directory_state& aState,
-         const std::vector<platform::instance>& aList,
-         const directory_limits& aLimits,
-         const connection_maker& aMakeConnections,
-         time_point aNow);
+ApplyList(directory_state& aState,
+          const std::vector<platform::instance>& aList,
+          const directory_limits& aLimits,
+          const connection_maker& aMakeConnections,
+          time_point aNow);
 
 enum class apply_report_outcome
 {
@@ -120,12 +121,12 @@
  * @param aConnections pool that the report was received on
  * @param aRequestedAt when the poll was sent */
 apply_report_outcome
-TakeReport(directory_state& aState,
-           const std::string& aName,
-           const wire::agent_report& aReport,
-           const std::shared_ptr<agent_pool>& aConnections,
-           time_point aRequestedAt,
-           time_point aNow);
+ApplyReport(directory_state& aState,
+            const std::string& aName,
+            const wire::agent_report& aReport,
+            const std::shared_ptr<agent_pool>& aConnections,
+            time_point aRequestedAt,
+            time_point aNow);
 
 /** Records that a poll got no answer.
  * @param aRequestedAt when the poll was sent */
@@ -137,8 +138,8 @@
 /** Updates the server's state from the agent's incarnation and draining flag in
  * the response to a request. */
 void
-TakeReply(directory_state& aState,
-          const std::string& aName,
-          const wire::dispatch_reply& aReply);
+ApplyReply(directory_state& aState,
+           const std::string& aName,
+           const wire::dispatch_reply& aReply);
 
 } // namespace lavender::membership
--- a/Duties/Membership/Heartbeat.h
+++ b/Duties/Membership/Heartbeat.h
@@ -9,7 +9,7 @@
 /** When an agent last answered, and when it last failed to. */
 struct heartbeat
 {
-  std::optional<time_point> mHeardAt;
+  std::optional<time_point> mLastResponseAt;
   /** Start of the last poll that got no answer. */
   std::optional<time_point> mLastFailedPollAt;
 };
--- a/Duties/Membership/ServerDirectory.cpp
+++ b/Duties/Membership/ServerDirectory.cpp
@@ -52,7 +52,7 @@
 
 server_directory::server_directory(directory_options aOptions)
   : mOptions(std::move(aOptions))
-  , mPolls({ mOptions.mPollEvery,
+  , mPolls({ mOptions.mPollInterval,
              mOptions.mPollThreads,
              std::max<std::size_t>(mOptions.mPollThreads / 4, 1),
              [this](const std::string& aName) { return PollOnce(aName); } })
@@ -120,7 +120,7 @@
   std::vector<std::string> names;
   {
     std::lock_guard lock(mMutex);
-    names = TakeList(
+    names = ApplyList(
       mState,
       aList,
       mOptions.mLimits,
@@ -196,7 +196,7 @@
   message.echo = aName;
   message.entry_incarnation = mOptions.mEntryIncarnation;
   message.configuration_revision = digest.mRevision;
-  message.fresh_age_ms = digest.mFreshAge.count();
+  message.fresh_age_ms = digest.mVerificationAge.count();
   const auto requestedAt = boot_clock::now();
   const auto outcome = connections->Run<wire::agent_report>(
     mOptions.mPollTimeout, aName, [&](auto& aClient, auto& aReply) {
@@ -211,7 +211,7 @@
     return poll_outcome::Unresponsive;
   }
   std::unique_lock lock(mMutex);
-  const auto taken = TakeReport(
+  const auto taken = ApplyReport(
     mState, aName, outcome.mReply, connections, requestedAt, boot_clock::now());
   CountPoll(taken == apply_report_outcome::OtherInstance ? "other_instance"
                                                          : "answered");
@@ -224,33 +224,35 @@
 }
 
 void
-server_directory::OnReport(std::function<void(const server_view&)> aObserver)
+server_directory::SetReportObserver(
+  std::function<void(const server_view&)> aObserver)
 {
   mObserver = std::move(aObserver);
 }
 
-witness_report
-server_directory::Witnesses() const
+agent_freshness
+server_directory::AgentFreshness() const
 {
-  witness_report report;
+  agent_freshness report;
   const auto now = boot_clock::now();
   std::lock_guard lock(mMutex);
   if (mState.mListedAt) {
     report.mKnown = mState.mServers.size();
   }
   for (const auto& [name, view] : mState.mServers) {
-    report.mAsked += view.mHeardAt || view.mLastFailedPollAt ? 1 : 0;
-    if (!view.mHeardAt) {
+    report.mPolled += view.mLastResponseAt || view.mLastFailedPollAt ? 1 : 0;
+    if (!view.mLastResponseAt) {
       continue;
     }
-    report.mAudible += now - *view.mHeardAt <= kReachableWithin ? 1 : 0;
-    report.mHighestChanged =
-      std::max(report.mHighestChanged, view.mReportedRevision);
+    report.mReachable +=
+      now - *view.mLastResponseAt <= kReachableWithin ? 1 : 0;
+    report.mHighestChangedRevision =
+      std::max(report.mHighestChangedRevision, view.mReportedRevision);
     // Computed from the time at which the request was sent, so the verification
     // is never dated too late.
-    const auto verifiedAt = view.mReportedAt - view.mReportedFreshAge;
-    report.mLatestProof =
-      std::max(report.mLatestProof.value_or(verifiedAt), verifiedAt);
+    const auto verifiedAt = view.mReportRequestedAt - view.mReportedFreshAge;
+    report.mLatestVerifiedAt =
+      std::max(report.mLatestVerifiedAt.value_or(verifiedAt), verifiedAt);
   }
   return report;
 }
@@ -268,7 +270,7 @@
                               server_state::Unknown }) {
       // States without servers are set to 0, so that no series keeps its
       // previous value.
-      counts[{ view.mInstance.mPool, WordFor(state) }] +=
+      counts[{ view.mInstance.mPool, ToString(state) }] +=
         StateOf(view, mOptions.mLimits.mHeartbeat, now) == state ? 1 : 0;
     }
   }
@@ -320,11 +322,11 @@
 }
 
 void
-server_directory::TakeReply(const std::string& aName,
-                            const wire::dispatch_reply& aReply)
+server_directory::ApplyReply(const std::string& aName,
+                             const wire::dispatch_reply& aReply)
 {
   std::lock_guard lock(mMutex);
-  membership::TakeReply(mState, aName, aReply);
+  membership::ApplyReply(mState, aName, aReply);
 }
 
 } // namespace lavender::membership
--- a/Duties/Membership/ServerDirectory.h
+++ b/Duties/Membership/ServerDirectory.h
@@ -17,25 +17,25 @@
 
 /** Revision and age of an entry's configuration, sent to agents with each
  * poll. */
-struct own_digest
+struct configuration_digest
 {
   /** Revision of the last change to the configuration. */
   std::int64_t mRevision = 0;
-  milliseconds mFreshAge{ 0 };
+  milliseconds mVerificationAge{ 0 };
 };
 
 struct directory_options
 {
   platform::client mPlatform;
   std::string mEntryIncarnation;
-  milliseconds mPollEvery{ 500 };
+  milliseconds mPollInterval{ 500 };
   milliseconds mListInterval{ 1000 };
   /** Threads that poll responsive agents. A quarter of this number is added for
    * the unresponsive ones. */
   std::size_t mPollThreads = 16;
   /** Timeout of one poll. */
   milliseconds mPollTimeout{ 1000 };
-  std::function<own_digest()> mDigest;
+  std::function<configuration_digest()> mDigest;
   directory_limits mLimits;
   /** Folder in which the last list is saved, for a start while the platform is
    * down; empty to save nothing. */
@@ -46,13 +46,13 @@
 
 /** How many agents were polled and answered, and the most recent state of the
  * configuration that they know of. */
-struct witness_report
+struct agent_freshness
 {
   std::optional<std::size_t> mKnown;
-  std::size_t mAsked = 0;
-  std::size_t mAudible = 0;
-  std::int64_t mHighestChanged = 0;
-  std::optional<time_point> mLatestProof;
+  std::size_t mPolled = 0;
+  std::size_t mReachable = 0;
+  std::int64_t mHighestChangedRevision = 0;
+  std::optional<time_point> mLatestVerifiedAt;
 };
 
 /** Maintains the state of all servers: one thread fetches the platform's
@@ -79,13 +79,13 @@
   void AddInFlight(const std::string& aName, int aChange);
   /** Sets a callback that the polling threads call with a copy of each server
    * view after a report has changed it. Must be called before Start. */
-  void OnReport(std::function<void(const server_view&)> aObserver);
+  void SetReportObserver(std::function<void(const server_view&)> aObserver);
   /** Updates the server's state from the agent's incarnation and draining flag
    * in the response to a request. */
-  void TakeReply(const std::string& aName, const wire::dispatch_reply& aReply);
+  void ApplyReply(const std::string& aName, const wire::dispatch_reply& aReply);
 
   /** Summarises what the agents report about the configuration. */
-  witness_report Witnesses() const;
+  agent_freshness AgentFreshness() const;
   /** Sets the gauges that count servers by pool and state. */
   void WriteGauges(metrics::registry& aMetrics) const;
 
--- a/Duties/Membership/TestDirectoryState.cpp
+++ b/Duties/Membership/TestDirectoryState.cpp
@@ -80,7 +80,7 @@
       aSimulation.mUnlistedSince[index] = aSimulation.mNow;
     }
   }
-  TakeList(
+  ApplyList(
     aSimulation.mState,
     list,
     {},
@@ -128,12 +128,12 @@
   const auto report = aSimulation.mReportsInTransit[which];
   aSimulation.mReportsInTransit.erase(aSimulation.mReportsInTransit.begin() +
                                       static_cast<std::ptrdiff_t>(which));
-  const auto taken = TakeReport(aSimulation.mState,
-                                report.mName,
-                                report.mReport,
-                                report.mConnections,
-                                report.mRequestedAt,
-                                aSimulation.mNow);
+  const auto taken = ApplyReport(aSimulation.mState,
+                                 report.mName,
+                                 report.mReport,
+                                 report.mConnections,
+                                 report.mRequestedAt,
+                                 aSimulation.mNow);
   if (taken == apply_report_outcome::Applied && report.mReport.draining) {
     aSimulation.mReportedDraining.insert(report.mReport.agent_incarnation);
   }
@@ -164,7 +164,7 @@
   const auto found = aSimulation.mState.mServers.find(name);
   const bool isCurrent = found != aSimulation.mState.mServers.end() &&
                          found->second.mIncarnation == reply.agent_incarnation;
-  TakeReply(aSimulation.mState, name, reply);
+  ApplyReply(aSimulation.mState, name, reply);
   if (isCurrent && reply.draining) {
     aSimulation.mReportedDraining.insert(reply.agent_incarnation);
   }
@@ -203,7 +203,8 @@
     if (StateOf(view, {}, aSimulation.mNow) == server_state::Live) {
       RC_ASSERT(aSimulation.mReportedDraining.count(view.mIncarnation) == 0u);
       RC_ASSERT(view.mIncarnation != "elsewhere");
-      RC_ASSERT(view.mHeardAt && aSimulation.mNow - *view.mHeardAt <= 10s);
+      RC_ASSERT(view.mLastResponseAt &&
+                aSimulation.mNow - *view.mLastResponseAt <= 10s);
     }
   }
 }
--- a/Duties/Reports/UsageReporter.cpp
+++ b/Duties/Reports/UsageReporter.cpp
@@ -134,7 +134,7 @@
     mThread.join();
   }
   if (mOptions.mLetExpire && mLastUnansweredAt &&
-      boot_clock::now() - *mLastUnansweredAt < mOptions.mLateBytes) {
+      boot_clock::now() - *mLastUnansweredAt < mOptions.mMaximumTransitTime) {
     mOptions.mLetExpire(kLease);
   }
 }
@@ -150,7 +150,7 @@
     }
     lock.lock();
     mStopped.wait_for(
-      lock, mOptions.mLookEvery, [this] { return mIsStopping; });
+      lock, mOptions.mCheckInterval, [this] { return mIsStopping; });
   }
 }
 
--- a/Duties/Reports/UsageReporter.h
+++ b/Duties/Reports/UsageReporter.h
@@ -29,10 +29,10 @@
    * when this process stops, because a report sent under it may still be in
    * transit. */
   std::function<void(const std::string&)> mLetExpire;
-  milliseconds mLateBytes{ 3000 };
+  milliseconds mMaximumTransitTime{ 3000 };
   std::string mEntryName;
   std::chrono::seconds mWindow{ 60 };
-  milliseconds mLookEvery{ 500 };
+  milliseconds mCheckInterval{ 500 };
   metrics::registry* mMetrics = nullptr;
 };
 
--- a/Duties/Retirement/RetirementDuty.cpp
+++ b/Duties/Retirement/RetirementDuty.cpp
@@ -13,20 +13,20 @@
 constexpr milliseconds kCheckInterval = 2000ms;
 } // namespace
 
-retirement_duty::retirement_duty(retirement_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+retirement_duty::retirement_duty(retirement_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
 void
 retirement_duty::Start()
 {
-  ScheduleCheck();
+  ScheduleNextCheck();
 }
 
 void
-retirement_duty::ScheduleCheck()
+retirement_duty::ScheduleNextCheck()
 {
   mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
@@ -39,16 +39,16 @@
 void
 retirement_duty::Check()
 {
-  mParts.mStore.mGet(
-    mParts.mKind,
-    mParts.mName,
+  mDependencies.mStore.mGet(
+    mDependencies.mKind,
+    mDependencies.mName,
     objects::freshness::MayBeStale,
     [this](const objects::object_reply& aReply) {
       if (aReply.mOutcome == store_outcome::Done &&
           json::StringAt(aReply.mObject.mStatus, "state", "") != "completed") {
         Complete();
       } else {
-        ScheduleCheck();
+        ScheduleNextCheck();
       }
     });
 }
@@ -56,16 +56,16 @@
 void
 retirement_duty::Complete()
 {
-  mParts.mStore.mReplaceStatus(mParts.mKind,
-                               mParts.mName,
-                               0,
-                               R"({"state":"completed"})",
-                               [this](const objects::object_reply& aReply) {
-                                 events::line("retirement_completed")
-                                   .With("outcome",
-                                         objects::WordFor(aReply.mOutcome));
-                                 ScheduleCheck();
-                               });
+  mDependencies.mStore.mReplaceStatus(
+    mDependencies.mKind,
+    mDependencies.mName,
+    0,
+    R"({"state":"completed"})",
+    [this](const objects::object_reply& aReply) {
+      events::line("retirement_completed")
+        .With("outcome", objects::ToString(aReply.mOutcome));
+      ScheduleNextCheck();
+    });
 }
 
 } // namespace lavender::retirement
--- a/Duties/Retirement/RetirementDuty.h
+++ b/Duties/Retirement/RetirementDuty.h
@@ -8,7 +8,7 @@
 /** Handles an operator's request to retire an instance that has a disk. */
 namespace lavender::retirement {
 
-struct retirement_parts
+struct retirement_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
@@ -24,16 +24,16 @@
 class retirement_duty
 {
 public:
-  explicit retirement_duty(retirement_parts aParts);
+  explicit retirement_duty(retirement_dependencies aParts);
 
   void Start();
 
 private:
-  void ScheduleCheck();
+  void ScheduleNextCheck();
   void Check();
   void Complete();
 
-  retirement_parts mParts;
+  retirement_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
 };
 
--- a/Duties/Site/ServerChanges.h
+++ b/Duties/Site/ServerChanges.h
@@ -14,7 +14,7 @@
 };
 
 const char*
-WordFor(server_change aChange);
+ToString(server_change aChange);
 
 /** Changes of servers' entries since the last line of the log about them. All
  * entries hear of each change; a line for each would be entries times
@@ -27,11 +27,11 @@
 };
 
 /** A line is due this long after the first change that it tells of. */
-constexpr milliseconds kSumChangesFor{ 5000 };
+constexpr milliseconds kChangeSummaryDelay{ 5000 };
 
 /** @return whether it is the first one, so that a line must be planned */
 bool
-NoteChange(server_changes& aChanges, server_change aChange);
+RecordChange(server_changes& aChanges, server_change aChange);
 
 /** All changes up to now; none are left. */
 server_changes
--- a/Duties/Site/ServerDirectory.h
+++ b/Duties/Site/ServerDirectory.h
@@ -48,14 +48,14 @@
 constexpr milliseconds kRenewalAfterOutage{ 2000 };
 
 void
-TakeServer(server_directory& aDirectory, backend_server aServer);
+ApplyServer(server_directory& aDirectory, backend_server aServer);
 
 /** An entry was removed. Right after an outage the server is kept for a
  * moment, else it is gone at once. */
 void
-TakeRemoval(server_directory& aDirectory,
-            const std::string& aId,
-            time_point aNow);
+ApplyRemoval(server_directory& aDirectory,
+             const std::string& aId,
+             time_point aNow);
 
 /** Takes a whole listing: servers that it lacks count as removed. */
 void
@@ -65,11 +65,11 @@
 
 /** The store answers again after it didn't. */
 void
-NoteOutageEnded(server_directory& aDirectory, time_point aNow);
+RecordOutageEnd(server_directory& aDirectory, time_point aNow);
 
 /** Drops the servers whose grace is over.
  * @return when to look again, if any is left waiting */
 std::optional<time_point>
-DropGone(server_directory& aDirectory, time_point aNow);
+RemoveExpired(server_directory& aDirectory, time_point aNow);
 
 } // namespace lavender::site
--- a/Duties/Site/ServerProtocol.h
+++ b/Duties/Site/ServerProtocol.h
@@ -10,12 +10,12 @@
 namespace lavender::site {
 
 /** What a caller's request says beside its path and body. */
-struct caller_facts
+struct caller_metadata
 {
   /** Names this attempt of the caller; a repeat bears another id. */
   std::string mAttemptId;
   /** How long the caller waits, from the request's arrival. */
-  std::optional<milliseconds> mPatience;
+  std::optional<milliseconds> mCallerTimeout;
 };
 
 /** One sending of a request to one server. */
@@ -41,7 +41,7 @@
 };
 
 /** What the head of a server's answer says. */
-struct answer_facts
+struct response_metadata
 {
   std::string mAttemptId;
   std::string mServerId;
@@ -57,12 +57,12 @@
 /** How callers and servers write these facts; the adapter fills it in. */
 struct exchange_protocol
 {
-  std::function<caller_facts(const edge::request&)> mReadCaller;
+  std::function<caller_metadata(const edge::request&)> mReadCallerMetadata;
   std::function<const std::string*(const edge::request&)> mFindKey;
   /** The request as it goes to a server: without the caller's key and the
    * fields of its connection. */
   std::function<edge::request(const edge::request&, const attempt&)> mAddress;
-  std::function<answer_facts(const edge::response&)> mReadAnswer;
+  std::function<response_metadata(const edge::response&)> mReadResponseMetadata;
   /** The version that a line of an event names, if it names one. */
   std::function<std::optional<std::int64_t>(std::string_view)> mReadVersionLine;
 };
--- a/Duties/Site/SiteConfiguration.h
+++ b/Duties/Site/SiteConfiguration.h
@@ -16,7 +16,7 @@
 namespace lavender::site {
 
 /** What may be done with a request whose outcome is unknown. */
-enum class repetition
+enum class retry_policy
 {
   Idempotent,
   AtMostOnce
@@ -34,9 +34,9 @@
   std::string mHost;
   /** Begins and ends with a slash. */
   std::string mPathPrefix;
-  repetition mRepetition = repetition::AtMostOnce;
+  retry_policy mRetryPolicy = retry_policy::AtMostOnce;
   /** Requests come in batches that are run later. */
-  bool mTakesBatches = false;
+  bool mAcceptsBatches = false;
   /** Answers are series of events. */
   bool mIsStream = false;
   /** A stream may go on at another server after its last event. */
@@ -54,9 +54,9 @@
   /** Pools that share the route's requests. */
   std::vector<weighted_pool> mPools;
   /** An item of a batch may be given up this long after the submission. */
-  milliseconds mMaximumQueueing{ 60000 };
+  milliseconds mMaximumQueueTime{ 60000 };
   /** All results of a batch are due this long after the submission. */
-  milliseconds mDue{ 60000 };
+  milliseconds mResultsDueAfter{ 60000 };
 };
 
 struct engine_pool
@@ -128,6 +128,6 @@
  * only grow, and a late answer must not bring an old one back.
  * @return true when it is in force now */
 bool
-TakeConfiguration(configuration_ptr& aInForce, configuration_ptr aArrived);
+ApplyConfiguration(configuration_ptr& aInForce, configuration_ptr aArrived);
 
 } // namespace lavender::site
--- a/Duties/StoreAccess/HelperChoice.cpp
+++ b/Duties/StoreAccess/HelperChoice.cpp
@@ -21,7 +21,7 @@
 
 std::optional<helper>
 ChooseHelper(const helper_memory& aMemory,
-             const helper_view& aView,
+             const helper_candidates& aView,
              const std::set<std::string>& aAsked,
              time_point aNow)
 {
@@ -50,7 +50,7 @@
 
 void
 NoteHelped(helper_memory& aMemory,
-           const helper_view& aView,
+           const helper_candidates& aView,
            const std::string& aName)
 {
   aMemory.mAvoidedUntil.erase(aName);
--- a/Duties/StoreAccess/HelperChoice.h
+++ b/Duties/StoreAccess/HelperChoice.h
@@ -21,7 +21,7 @@
 };
 
 /** Whom this entry may ask at one moment. */
-struct helper_view
+struct helper_candidates
 {
   std::string mSelf;
   /** The entry whose watch of the store this one hears of: the store served it
@@ -48,13 +48,13 @@
  * @param aAsked entries asked for this call before */
 std::optional<helper>
 ChooseHelper(const helper_memory& aMemory,
-             const helper_view& aView,
+             const helper_candidates& aView,
              const std::set<std::string>& aAsked,
              time_point aNow);
 
 void
 NoteHelped(helper_memory& aMemory,
-           const helper_view& aView,
+           const helper_candidates& aView,
            const std::string& aName);
 
 void
--- a/Duties/StoreAccess/StoreAccess.cpp
+++ b/Duties/StoreAccess/StoreAccess.cpp
@@ -81,8 +81,8 @@
   edge::response mLastAnswer;
 };
 
-store_access::store_access(access_parts aParts)
-  : mParts(std::move(aParts))
+store_access::store_access(access_dependencies aParts)
+  : mDependencies(std::move(aParts))
 {
 }
 
@@ -94,7 +94,7 @@
 {
   if (aOptions.mProbesConnection) {
     // A watch isn't passed on: the feed between entries replaces it.
-    mParts.mDirect(aRequest, aDeadline, aOptions, std::move(aDone));
+    mDependencies.mDirect(aRequest, aDeadline, aOptions, std::move(aDone));
     return;
   }
   auto call = std::make_shared<helped_call>();
@@ -116,13 +116,14 @@
   aCall->mAwaitsDirect = true;
   const auto left =
     std::chrono::duration_cast<milliseconds>(aCall->mUntil - Now());
-  mParts.mDirect(aCall->mRequest,
-                 left,
-                 aCall->mOptions,
-                 [this, aCall](edge::call_end aEnd, edge::response aAnswer) {
-                   TakeDirect(aCall, aEnd, std::move(aAnswer));
-                 });
-  RunAfter(mParts.mScheduler, kPatience, [this, aCall] {
+  mDependencies.mDirect(
+    aCall->mRequest,
+    left,
+    aCall->mOptions,
+    [this, aCall](edge::call_end aEnd, edge::response aAnswer) {
+      TakeDirect(aCall, aEnd, std::move(aAnswer));
+    });
+  RunAfter(mDependencies.mScheduler, kPatience, [this, aCall] {
     if (!aCall->mIsFinished && !aCall->mAwaitsHelp && aCall->mAwaitsDirect) {
       AskNext(aCall);
     }
@@ -135,7 +136,7 @@
                          edge::response aAnswer)
 {
   aCall->mAwaitsDirect = false;
-  const bool isTurnedAway = mParts.mIsTurnedAway(aEnd, aAnswer.mStatus);
+  const bool isTurnedAway = mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus);
   NoteDirect(isTurnedAway);
   if (aCall->mIsFinished) {
     return;
@@ -157,7 +158,7 @@
 void
 store_access::AskNext(const call_ptr& aCall)
 {
-  const auto view = mParts.mView();
+  const auto view = mDependencies.mView();
   const auto left =
     std::chrono::duration_cast<milliseconds>(aCall->mUntil - Now());
   const auto chosen = aCall->mAsked.size() < kMostAsked && left > 0ms
@@ -171,13 +172,13 @@
   }
   aCall->mAsked.insert(chosen->mName);
   aCall->mAwaitsHelp = true;
-  mParts.mCallEntry(chosen->mAddress,
-                    EncodeHelp(aCall->mRequest),
-                    std::min(left, kHelpTimeout),
-                    [this, aCall, name = chosen->mName](
-                      edge::call_end aEnd, edge::response aAnswer) {
-                      TakeHelp(aCall, name, aEnd, std::move(aAnswer));
-                    });
+  mDependencies.mCallEntry(chosen->mAddress,
+                           EncodeHelp(aCall->mRequest),
+                           std::min(left, kHelpTimeout),
+                           [this, aCall, name = chosen->mName](
+                             edge::call_end aEnd, edge::response aAnswer) {
+                             TakeHelp(aCall, name, aEnd, std::move(aAnswer));
+                           });
 }
 
 void
@@ -190,19 +191,19 @@
   const bool isAnswered = aEnd == edge::call_end::Complete;
   const bool cannotHelp = isAnswered && aAnswer.mStatus == kCannotHelp;
   const bool hadNoAnswer = isAnswered && aAnswer.mStatus == kNoAnswer;
-  const bool isTurnedAway =
-    cannotHelp || hadNoAnswer || mParts.mIsTurnedAway(aEnd, aAnswer.mStatus);
+  const bool isTurnedAway = cannotHelp || hadNoAnswer ||
+                            mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus);
   events::line("store_helped")
     .With("entry", aName)
     .With("target", aCall->mRequest.mTarget)
     .With("tried", static_cast<std::int64_t>(aCall->mAsked.size()))
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
   if (isTurnedAway) {
     NoteRefused(
       mMemory, aName, isAnswered ? kAvoidRefusing : kAvoidSilent, Now());
   } else {
-    NoteHelped(mMemory, mParts.mView(), aName);
+    NoteHelped(mMemory, mDependencies.mView(), aName);
     if (aCall->mAwaitsDirect) {
       NoteDirect(true);
     }
@@ -276,12 +277,13 @@
     return;
   }
   mNextTrial = Now() + kTrialEach;
-  mParts.mDirect(mParts.mTrial,
-                 kTrialTimeout,
-                 {},
-                 [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                   NoteDirect(mParts.mIsTurnedAway(aEnd, aAnswer.mStatus));
-                 });
+  mDependencies.mDirect(
+    mDependencies.mTrial,
+    kTrialTimeout,
+    {},
+    [this](edge::call_end aEnd, const edge::response& aAnswer) {
+      NoteDirect(mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus));
+    });
 }
 
 void
@@ -290,47 +292,49 @@
   if (mTurnedAwaySince) {
     TryDirect();
   }
-  if (mTurnedAwaySince || mHelped >= kMostHelped) {
+  if (mTurnedAwaySince || mHelped >= kMaximumHelpedCalls) {
     aDone({ kCannotHelp, {}, {} });
     return;
   }
   ++mHelped;
   edge::call_options options;
   options.mSilenceTimeout = kHelpTimeout;
-  mParts.mDirect(DecodeHelp(aAsked),
-                 kHelpTimeout,
-                 options,
-                 [this, done = std::move(aDone)](edge::call_end aEnd,
-                                                 edge::response aAnswer) {
-                   --mHelped;
-                   NoteDirect(mParts.mIsTurnedAway(aEnd, aAnswer.mStatus));
-                   if (aEnd == edge::call_end::NotSent) {
-                     done({ kCannotHelp, {}, {} });
-                   } else if (aEnd != edge::call_end::Complete) {
-                     done({ kNoAnswer, {}, {} });
-                   } else {
-                     done({ aAnswer.mStatus, {}, std::move(aAnswer.mBody) });
-                   }
-                 });
+  mDependencies.mDirect(
+    DecodeHelp(aAsked),
+    kHelpTimeout,
+    options,
+    [this, done = std::move(aDone)](edge::call_end aEnd,
+                                    edge::response aAnswer) {
+      --mHelped;
+      NoteDirect(mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus));
+      if (aEnd == edge::call_end::NotSent) {
+        done({ kCannotHelp, {}, {} });
+      } else if (aEnd != edge::call_end::Complete) {
+        done({ kNoAnswer, {}, {} });
+      } else {
+        done({ aAnswer.mStatus, {}, std::move(aAnswer.mBody) });
+      }
+    });
 }
 
 void
 store_access::PlanLook()
 {
   // An entry that is spared work makes no calls that would show it can work.
-  mNextLook = mParts.mScheduler.mAfter(kTrialEach, [this] {
+  mNextLook = mDependencies.mScheduler.mAfter(kTrialEach, [this] {
     if (!mLostSince) {
       return;
     }
     if (HasHelpers()) {
-      Call(mParts.mTrial, kTrialTimeout, {}, [](edge::call_end, auto) {});
+      Call(
+        mDependencies.mTrial, kTrialTimeout, {}, [](edge::call_end, auto) {});
     }
     PlanLook();
   });
 }
 
 bool
-store_access::CanStore() const
+store_access::CanReachStore() const
 {
   return !mLostSince || !HasHelpers() || Now() - *mLostSince < kLostAfter;
 }
--- a/Duties/StoreAccess/StoreAccess.h
+++ b/Duties/StoreAccess/StoreAccess.h
@@ -16,7 +16,7 @@
                                            edge::call_options,
                                            edge::whole_answer)>;
 
-struct access_parts
+struct access_dependencies
 {
   scheduler mScheduler;
   store_transport mDirect;
@@ -26,7 +26,7 @@
                      milliseconds aDeadline,
                      edge::whole_answer)>
     mCallEntry;
-  std::function<helper_view()> mView;
+  std::function<helper_candidates()> mView;
   /** Whether the store did nothing for this instance, or gave no answer, where
    * it may serve another one. */
   std::function<bool(edge::call_end, unsigned aStatus)> mIsTurnedAway;
@@ -48,7 +48,7 @@
 class store_access
 {
 public:
-  explicit store_access(access_parts aParts);
+  explicit store_access(access_dependencies aParts);
 
   void Call(const edge::request& aRequest,
             milliseconds aDeadline,
@@ -59,14 +59,14 @@
   void Help(const edge::request& aAsked, help_done aDone);
   /** False when no call has come through for a while, by no way, though other
    * entries reach the store. When nobody does, there is nobody better. */
-  bool CanStore() const;
+  bool CanReachStore() const;
 
 private:
   struct helped_call;
   using call_ptr = std::shared_ptr<helped_call>;
 
-  time_point Now() const { return mParts.mScheduler.mNow(); }
-  bool HasHelpers() const { return !mParts.mView().mEntries.empty(); }
+  time_point Now() const { return mDependencies.mScheduler.mNow(); }
+  bool HasHelpers() const { return !mDependencies.mView().mEntries.empty(); }
   void CallDirect(const call_ptr& aCall);
   void TakeDirect(const call_ptr& aCall,
                   edge::call_end aEnd,
@@ -84,7 +84,7 @@
   void TryDirect();
   void PlanLook();
 
-  access_parts mParts;
+  access_dependencies mDependencies;
   helper_memory mMemory;
   /** Since when the store has turned this entry away. */
   std::optional<time_point> mTurnedAwaySince;
@@ -103,6 +103,6 @@
 constexpr unsigned kNoAnswer = 502;
 /** Calls of others that an entry has under way; more would take a small
  * instance's processor and link from its own callers. */
-constexpr int kMostHelped = 16;
+constexpr int kMaximumHelpedCalls = 16;
 
 } // namespace lavender::storeaccess
--- a/Duties/Upkeep/UpkeepDuty.cpp
+++ b/Duties/Upkeep/UpkeepDuty.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 bool
-IsDeletable(const batches::batch_head& aHead,
+IsDeletable(const batches::batch_metadata& aHead,
             milliseconds aKeep,
             std::chrono::system_clock::time_point aNow)
 {
@@ -45,50 +45,50 @@
   return true;
 }
 
-upkeep_duty::upkeep_duty(upkeep_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+upkeep_duty::upkeep_duty(upkeep_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
 void
 upkeep_duty::Start()
 {
-  ScheduleCheck();
+  ScheduleNextCheck();
 }
 
 void
-upkeep_duty::ScheduleCheck()
+upkeep_duty::ScheduleNextCheck()
 {
   mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (aError) {
       return;
     }
-    if (mParts.mIsResponsible()) {
+    if (mDependencies.mIsResponsible()) {
       PingEntries();
       DeleteNextBatch();
     } else {
       mUnresponsive.clear();
     }
-    ScheduleCheck();
+    ScheduleNextCheck();
   });
 }
 
 void
 upkeep_duty::PingEntries()
 {
-  for (const auto& [name, address] : mParts.mEntries()) {
-    if (name == mParts.mName) {
+  for (const auto& [name, address] : mDependencies.mEntries()) {
+    if (name == mDependencies.mName) {
       continue;
     }
     edge::call_options options;
     options.mConnectTimeout = kPingTimeout;
     edge::FetchWhole(
-      mParts.mClients,
-      mParts.mLoop,
+      mDependencies.mClients,
+      mDependencies.mLoop,
       address,
-      mParts.mPing(),
+      mDependencies.mPing(),
       options,
       kPingTimeout,
       64 << 10,
@@ -98,7 +98,7 @@
           return;
         }
         events::line("entry_removed").With("entry", name);
-        mParts.mStore.mDelete(
+        mDependencies.mStore.mDelete(
           site::kEntryKind, name, [](const objects::object_reply&) {});
       });
   }
@@ -111,8 +111,8 @@
     return;
   }
   const auto now = std::chrono::system_clock::now();
-  for (const auto& head : mParts.mHeads()) {
-    if (IsDeletable(head, mParts.mKeepResults, now)) {
+  for (const auto& head : mDependencies.mHeads()) {
+    if (IsDeletable(head, mDependencies.mKeepResults, now)) {
       mIsDeleting = true;
       DeleteBlocks(head, 0);
       return;
@@ -121,31 +121,31 @@
 }
 
 void
-upkeep_duty::DeleteBlocks(const batches::batch_head& aHead, int aNumber)
+upkeep_duty::DeleteBlocks(const batches::batch_metadata& aHead, int aNumber)
 {
-  mParts.mStore.mDelete(batches::kResultsKind,
-                        batches::ResultsName(aHead.mId, aNumber),
-                        [this, aHead, aNumber](const auto& aReply) {
-                          if (aReply.mOutcome == store_outcome::Done) {
-                            DeleteBlocks(aHead, aNumber + 1);
-                          } else if (aReply.mOutcome ==
-                                     store_outcome::NotFound) {
-                            DeleteItems(aHead, 0);
-                          } else {
-                            mIsDeleting = false;
-                          }
-                        });
+  mDependencies.mStore.mDelete(batches::kBatchResultsKind,
+                               batches::ResultsObjectName(aHead.mId, aNumber),
+                               [this, aHead, aNumber](const auto& aReply) {
+                                 if (aReply.mOutcome == store_outcome::Done) {
+                                   DeleteBlocks(aHead, aNumber + 1);
+                                 } else if (aReply.mOutcome ==
+                                            store_outcome::NotFound) {
+                                   DeleteItems(aHead, 0);
+                                 } else {
+                                   mIsDeleting = false;
+                                 }
+                               });
 }
 
 void
-upkeep_duty::DeleteItems(const batches::batch_head& aHead, int aPart)
+upkeep_duty::DeleteItems(const batches::batch_metadata& aHead, int aPart)
 {
   // The batch's metadata object is deleted last, so that the remaining objects
   // are found again after a failure.
   const bool isHead = aPart == aHead.mParts;
-  mParts.mStore.mDelete(
-    isHead ? batches::kHeadKind : batches::kItemsKind,
-    isHead ? aHead.mId : batches::ItemsName(aHead.mId, aPart),
+  mDependencies.mStore.mDelete(
+    isHead ? batches::kBatchMetadataKind : batches::kBatchItemsKind,
+    isHead ? aHead.mId : batches::ItemsObjectName(aHead.mId, aPart),
     [this, aHead, aPart, isHead](const auto& aReply) {
       const bool isGone = aReply.mOutcome == store_outcome::Done ||
                           aReply.mOutcome == store_outcome::NotFound;
--- a/Duties/Upkeep/UpkeepDuty.h
+++ b/Duties/Upkeep/UpkeepDuty.h
@@ -17,7 +17,7 @@
  * results were kept for aKeep. A batch that its trainer never ended may be
  * deleted after an hour, or after aKeep if that is longer. */
 bool
-IsDeletable(const batches::batch_head& aHead,
+IsDeletable(const batches::batch_metadata& aHead,
             milliseconds aKeep,
             std::chrono::system_clock::time_point aNow);
 
@@ -37,7 +37,7 @@
            bool aHasAnswered,
            time_point aNow);
 
-struct upkeep_parts
+struct upkeep_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
@@ -48,7 +48,7 @@
   /** Returns whether this entry is responsible for the store's upkeep. */
   std::function<bool()> mIsResponsible;
   std::function<std::map<std::string, edge::endpoint>()> mEntries;
-  std::function<std::vector<batches::batch_head>()> mHeads;
+  std::function<std::vector<batches::batch_metadata>()> mHeads;
   /** Creates a request that every entry answers. */
   std::function<edge::request()> mPing;
 };
@@ -58,18 +58,18 @@
 class upkeep_duty
 {
 public:
-  explicit upkeep_duty(upkeep_parts aParts);
+  explicit upkeep_duty(upkeep_dependencies aParts);
 
   void Start();
 
 private:
-  void ScheduleCheck();
+  void ScheduleNextCheck();
   void PingEntries();
   void DeleteNextBatch();
-  void DeleteBlocks(const batches::batch_head& aHead, int aNumber);
-  void DeleteItems(const batches::batch_head& aHead, int aPart);
+  void DeleteBlocks(const batches::batch_metadata& aHead, int aNumber);
+  void DeleteItems(const batches::batch_metadata& aHead, int aPart);
 
-  upkeep_parts mParts;
+  upkeep_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
   unresponsive_entries mUnresponsive;
   bool mIsDeleting = false;
--- a/Duties/Usage/UsageAccount.h
+++ b/Duties/Usage/UsageAccount.h
@@ -54,15 +54,15 @@
                         const run_usage& aRun);
 
   /** Records that this entry repeats the request of a run at another agent. */
-  void NoteSuperseded(const wire::superseded_run& aRun);
+  void RecordSuperseded(const wire::superseded_run& aRun);
   /** Returns the recorded superseded runs, oldest first. */
   std::vector<wire::superseded_run> Superseded() const;
 
   /** Removes superseded runs from this agent's counts, including runs that end
    * later, so that a repeated request isn't billed twice. Runs whose bucket was
    * settled are billed already and can't be removed. */
-  void TakeOut(const std::string& aAgentIncarnation,
-               const std::vector<wire::superseded_run>& aRuns);
+  void RemoveSupersededRuns(const std::string& aAgentIncarnation,
+                            const std::vector<wire::superseded_run>& aRuns);
 
   /** Closes all windows up to aThroughWindow: no further run is counted in
    * their buckets, so a reporter receives them complete. Closed windows stay
--- a/Duties/Usage/WindowReport.h
+++ b/Duties/Usage/WindowReport.h
@@ -85,7 +85,7 @@
 /** Converts a report to and from the object of kind "UsageWindow" in the Object
  * API. */
 json::value
-Describe(const window_report& aReport);
+ToJson(const window_report& aReport);
 window_report
 ParseReport(const json::value& aValue);
 
@@ -95,12 +95,12 @@
 DescribeFigures(const window_report& aReport);
 
 json::value
-Describe(const std::vector<wire::usage_bucket>& aBuckets);
+ToJson(const std::vector<wire::usage_bucket>& aBuckets);
 std::vector<wire::usage_bucket>
 ParseBuckets(const json::value& aValue);
 
 json::value
-Describe(const std::vector<wire::superseded_run>& aRuns);
+ToJson(const std::vector<wire::superseded_run>& aRuns);
 std::vector<wire::superseded_run>
 ParseSuperseded(const json::value& aValue);
 
--- a/Duties/Versions/Assignments.cpp
+++ b/Duties/Versions/Assignments.cpp
@@ -47,15 +47,16 @@
 
 } // namespace
 
-assignments::assignments(assignment_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
-  , mBurstTimer(mParts.mLoop)
+assignments::assignments(assignment_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
+  , mBurstTimer(mDependencies.mLoop)
 {
 }
 
 void
-assignments::TakeNamed(const std::string& aModel, std::int64_t aVersion)
+assignments::HandleVersionAnnounced(const std::string& aModel,
+                                    std::int64_t aVersion)
 {
   auto& newest = mNamed[aModel];
   if (aVersion > newest) {
@@ -91,16 +92,16 @@
 assignments::ServersByAddress() const
 {
   std::unordered_map<std::string, std::string> servers;
-  for (const auto& [id, row] : mParts.mDirectory.mRows) {
+  for (const auto& [id, row] : mDependencies.mDirectory.mRows) {
     servers[row.mServer.mAddress.Text()] = id;
   }
   return servers;
 }
 
 void
-assignments::TakeBatch(const std::string& aModel,
-                       std::int64_t aMinimumVersion,
-                       std::int64_t aExpectedTokens)
+assignments::HandleBatchSubmitted(const std::string& aModel,
+                                  std::int64_t aMinimumVersion,
+                                  std::int64_t aExpectedTokens)
 {
   auto& work = mWork[aModel];
   work = work == 0 ? static_cast<double>(aExpectedTokens)
@@ -124,7 +125,7 @@
 void
 assignments::UpdateWeights()
 {
-  if (auto shifted = ShiftedWeights(mWork, mWeights)) {
+  if (auto shifted = UpdatedModelShares(mWork, mWeights)) {
     mWeights = std::move(*shifted);
     LogWeights();
   }
@@ -143,15 +144,15 @@
   }
 }
 
-std::vector<placed_server>
+std::vector<server_versions>
 assignments::ServersOf(const std::string& aPool) const
 {
-  std::vector<placed_server> servers;
-  for (const auto& [id, row] : mParts.mDirectory.mRows) {
+  std::vector<server_versions> servers;
+  for (const auto& [id, row] : mDependencies.mDirectory.mRows) {
     if (row.mServer.mPool != aPool || row.mServer.mIsLeaving) {
       continue;
     }
-    placed_server server{ id, row.mServer.mVersions };
+    server_versions server{ id, row.mServer.mVersions };
     if (const auto reported = mReported.find(id); reported != mReported.end()) {
       for (const auto& [model, version] : reported->second) {
         server.mVersions[model] = std::max(server.mVersions[model], version);
@@ -162,20 +163,20 @@
   return servers;
 }
 
-std::map<std::string, wanted_versions>
+std::map<std::string, target_versions>
 assignments::Decide(time_point aNow)
 {
-  std::map<std::string, wanted_versions> wanted;
-  if (!mParts.mConfiguration) {
+  std::map<std::string, target_versions> wanted;
+  if (!mDependencies.mConfiguration) {
     return wanted;
   }
-  for (const auto& [name, pool] : mParts.mConfiguration->mPools) {
+  for (const auto& [name, pool] : mDependencies.mConfiguration->mPools) {
     if (!pool.mEngine || pool.mEngine->mModels.empty()) {
       continue;
     }
     const auto servers = ServersOf(name);
     const auto placed =
-      PlaceModels(servers, pool.mEngine->mModels, mNamed, mWeights);
+      AssignModels(servers, pool.mEngine->mModels, mNamed, mWeights);
     const auto due = DueOf(servers, pool.mEngine->mModels);
     std::size_t loading = 0;
     for (const auto& server : servers) {
@@ -189,7 +190,7 @@
         ++loading;
       }
     }
-    const auto atOnce = LoadsAtOnce(servers.size());
+    const auto atOnce = MaximumConcurrentLoads(servers.size());
     for (const auto& id : due) {
       const auto& model = placed.at(id);
       const bool isLoading = mLoadingSince.count(id) > 0;
@@ -207,17 +208,17 @@
 }
 
 std::vector<std::string>
-assignments::DueOf(const std::vector<placed_server>& aServers,
+assignments::DueOf(const std::vector<server_versions>& aServers,
                    const std::vector<std::string>& aModels) const
 {
-  const auto placed = PlaceModels(aServers, aModels, mNamed, mWeights);
+  const auto placed = AssignModels(aServers, aModels, mNamed, mWeights);
   std::vector<std::string> due;
   for (const auto& model : aModels) {
     const auto named = mNamed.find(model);
     if (named == mNamed.end()) {
       continue;
     }
-    std::vector<placed_server> share;
+    std::vector<server_versions> share;
     for (const auto& server : aServers) {
       if (placed.at(server.mId) == model) {
         share.push_back(server);
@@ -227,7 +228,7 @@
     const auto lag = lags == mLags.end()
                        ? 0
                        : std::max(lags->second.first, lags->second.second);
-    const auto ids = DueServers(share, model, named->second, lag);
+    const auto ids = ServersToLoad(share, model, named->second, lag);
     due.insert(due.end(), ids.begin(), ids.end());
   }
   return due;
@@ -247,13 +248,13 @@
   asked.mExchange = aExchange;
   asked.mAddress = address->Text();
   asked.mClaimName = ClaimName(*address);
-  asked.mClaim.mGiver = json::StringAt(*body, "giver", "");
+  asked.mClaim.mController = json::StringAt(*body, "giver", "");
   asked.mClaim.mEpoch = json::IntegerAt(*body, "epoch", 0);
   asked.mHeld = DecodeVersions(body->Find("held"));
   asked.mKnown = DecodeVersions(body->Find("known"));
   asked.mUntil = boot_clock::now() + kLongestWait;
-  if (IsSuperseded(mParts.mClaims, asked.mClaimName, asked.mClaim)) {
-    aExchange->Answer({ kNotGiver, {}, {} });
+  if (IsSuperseded(mDependencies.mClaims, asked.mClaimName, asked.mClaim)) {
+    aExchange->Answer({ kNotController, {}, {} });
     return;
   }
   mLastAsked[asked.mClaimName] = boot_clock::now();
@@ -263,12 +264,13 @@
 }
 
 void
-assignments::RefuseSuperseded()
+assignments::RejectSuperseded()
 {
   std::vector<waiter> kept;
   for (auto& waiting : std::exchange(mWaiters, {})) {
-    if (IsSuperseded(mParts.mClaims, waiting.mClaimName, waiting.mClaim)) {
-      waiting.mExchange->Answer({ kNotGiver, {}, {} });
+    if (IsSuperseded(
+          mDependencies.mClaims, waiting.mClaimName, waiting.mClaim)) {
+      waiting.mExchange->Answer({ kNotController, {}, {} });
     } else {
       kept.push_back(std::move(waiting));
     }
@@ -319,7 +321,7 @@
     }
     const auto wanted = mWanted.find(waiting.mServer);
     const auto versions =
-      wanted == mWanted.end() ? wanted_versions{} : wanted->second;
+      wanted == mWanted.end() ? target_versions{} : wanted->second;
     if ((!versions.empty() && versions != waiting.mKnown) ||
         now >= waiting.mUntil) {
       Answer(waiting, versions);
@@ -331,7 +333,7 @@
 }
 
 void
-assignments::TurnAway()
+assignments::RejectWaiting()
 {
   const auto waiters = std::move(mWaiters);
   mWaiters.clear();
@@ -356,7 +358,7 @@
 }
 
 void
-assignments::Answer(const waiter& aWaiter, const wanted_versions& aWanted)
+assignments::Answer(const waiter& aWaiter, const target_versions& aWanted)
 {
   edge::response answer{ 200, {}, {} };
   answer.mBody =
@@ -365,21 +367,21 @@
 }
 
 edge::request
-EncodeQuestion(const assignment_question& aQuestion)
+EncodeAssignmentRequest(const assignment_request& aQuestion)
 {
   edge::request request;
   request.mMethod = "POST";
   request.mTarget = kAssignmentPath + aQuestion.mServer.Text();
   request.mBody =
-    json::Write(json::object{ { "giver", aQuestion.mClaim.mGiver },
+    json::Write(json::object{ { "giver", aQuestion.mClaim.mController },
                               { "epoch", aQuestion.mClaim.mEpoch },
                               { "held", EncodeVersions(aQuestion.mHeld) },
                               { "known", EncodeVersions(aQuestion.mKnown) } });
   return request;
 }
 
-std::optional<wanted_versions>
-DecodeAssignment(const edge::response& aResponse)
+std::optional<target_versions>
+DecodeAssignmentResponse(const edge::response& aResponse)
 {
   const auto body = json::Parse(aResponse.mBody);
   if (aResponse.mStatus != 200 || !body || !body->Find("wanted")) {
--- a/Duties/Versions/GiverClaim.h
+++ b/Duties/Versions/GiverClaim.h
@@ -14,37 +14,37 @@
  * revision is the giver's epoch, so epochs grow from one giver to the next. */
 namespace lavender::versions {
 
-constexpr char kGiverKind[] = "ordergivers";
+constexpr char kControllerKind[] = "ordergivers";
 
 /** Name of the object for the server at an address. */
 std::string
 ClaimName(const edge::endpoint& aServer);
 
-struct giver_claim
+struct controller_claim
 {
-  std::string mGiver;
+  std::string mController;
   /** Another giver had it before, whose last order may still be on its way. */
   bool mIsTakenOver = false;
   objects::revision_number mEpoch = 0;
 };
 
 /** All claims that are known here, by the objects' names. */
-using claim_table = std::map<std::string, giver_claim>;
+using claim_table = std::map<std::string, controller_claim>;
 
-giver_claim
+controller_claim
 DecodeClaim(const objects::stored_object& aObject);
 
 void
-TakeClaimListing(claim_table& aTable,
-                 const std::map<std::string, objects::stored_object>& aListed);
+ApplyClaimListing(claim_table& aTable,
+                  const std::map<std::string, objects::stored_object>& aListed);
 void
-TakeClaimEvent(claim_table& aTable, const objects::object_event& aEvent);
+ApplyClaimEvent(claim_table& aTable, const objects::object_event& aEvent);
 
 /** Whether a later claim than the asker's is known. */
 bool
 IsSuperseded(const claim_table& aTable,
              const std::string& aClaimName,
-             const giver_claim& aAsker);
+             const controller_claim& aAsker);
 
 /** A giver orders only this long after an entry has last told it what its
  * server shall hold: entries tell it to the one that holds the claim. */
@@ -56,13 +56,13 @@
 constexpr milliseconds kFirstOrderAfter{ 8000 };
 
 /** The right to give orders from some time on. */
-struct order_right
+struct order_permission
 {
   std::int64_t mEpoch = 0;
   time_point mNotBefore;
 };
 
-using claim_done = std::function<void(std::optional<order_right>)>;
+using claim_done = std::function<void(std::optional<order_permission>)>;
 
 /** Claims a server for a giver whoever has it; none when the store can't be
  * asked or another one was faster. */
@@ -74,10 +74,10 @@
 
 /** The same if the claim is still as seen; 0 for a server without claim. */
 void
-ClaimIfStill(const objects::object_store& aStore,
-             const std::string& aClaimName,
-             const giver_claim& aSeen,
-             const std::string& aGiver,
-             claim_done aDone);
+ClaimIfUnchanged(const objects::object_store& aStore,
+                 const std::string& aClaimName,
+                 const controller_claim& aSeen,
+                 const std::string& aGiver,
+                 claim_done aDone);
 
 } // namespace lavender::versions
--- a/Duties/Versions/OrderDecision.cpp
+++ b/Duties/Versions/OrderDecision.cpp
@@ -3,7 +3,7 @@
 namespace lavender::versions {
 
 std::optional<weight_order>
-DecideOrder(const server_report& aReport, const wanted_versions& aWanted)
+DecideOrder(const server_report& aReport, const target_versions& aWanted)
 {
   if (aReport.mIsBusy) {
     return std::nullopt;
--- a/Duties/Versions/OrderDecision.h
+++ b/Duties/Versions/OrderDecision.h
@@ -13,7 +13,7 @@
 enum class swap_mode
 {
   FinishRunsFirst,
-  CutRuns,
+  AbortRuns,
   /** Runs go on under the new version. */
   KeepRunning
 };
@@ -46,11 +46,11 @@
 };
 
 /** Versions that a server shall hold. */
-using wanted_versions = std::map<std::string, std::int64_t>;
+using target_versions = std::map<std::string, std::int64_t>;
 
 /** The order to give now, if the report shows that one is due: never while
  * another is carried out, never to an older version. */
 std::optional<weight_order>
-DecideOrder(const server_report& aReport, const wanted_versions& aWanted);
+DecideOrder(const server_report& aReport, const target_versions& aWanted);
 
 } // namespace lavender::versions
--- a/Duties/Versions/OrderDuty.cpp
+++ b/Duties/Versions/OrderDuty.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds kPreferredAgainAfter = 10s;
 
 bool
-HoldsAll(const server_report& aReport, const wanted_versions& aWanted)
+HoldsAll(const server_report& aReport, const target_versions& aWanted)
 {
   for (const auto& [model, version] : aWanted) {
     const auto held = aReport.mVersions.find(model);
@@ -34,9 +34,9 @@
 
 } // namespace
 
-order_duty::order_duty(order_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+order_duty::order_duty(order_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
@@ -60,7 +60,7 @@
 void
 order_duty::Claim()
 {
-  mParts.mClaim([this](std::optional<order_right> aRight) {
+  mDependencies.mClaim([this](std::optional<order_permission> aRight) {
     if (!aRight) {
       After(kRetryPause, &order_duty::Claim);
       return;
@@ -68,7 +68,7 @@
     mRight = *aRight;
     mWanted.clear();
     events::line("server_claimed")
-      .With("server", mParts.mServer.Text())
+      .With("server", mDependencies.mServer.Text())
       .With("epoch", mRight.mEpoch)
       .With("first_order_in_ms",
             std::chrono::duration_cast<milliseconds>(mRight.mNotBefore -
@@ -80,7 +80,7 @@
 void
 order_duty::FindEntries()
 {
-  mParts.mEntries([this](std::vector<edge::endpoint> aEntries) {
+  mDependencies.mEntries([this](std::vector<edge::endpoint> aEntries) {
     // What was known stays in use while the list can't be had.
     if (!aEntries.empty()) {
       mEntries = std::move(aEntries);
@@ -100,16 +100,16 @@
   edge::call_options options;
   options.mSilenceTimeout = kAskTimeout;
   options.mProbesConnection = true;
-  assignment_question question;
-  question.mServer = mParts.mServer;
-  question.mClaim.mGiver = mParts.mName;
+  assignment_request question;
+  question.mServer = mDependencies.mServer;
+  question.mClaim.mController = mDependencies.mName;
   question.mClaim.mEpoch = mRight.mEpoch;
   question.mHeld = mHeld;
   question.mKnown = mWanted;
-  edge::FetchWhole(mParts.mClients,
-                   mParts.mLoop,
+  edge::FetchWhole(mDependencies.mClients,
+                   mDependencies.mLoop,
                    mEntries[mEntry],
-                   EncodeQuestion(question),
+                   EncodeAssignmentRequest(question),
                    options,
                    kAskTimeout,
                    64 << 10,
@@ -122,18 +122,19 @@
 order_duty::TakeAnswer(edge::call_end aEnd, const edge::response& aAnswer)
 {
   const bool isComplete = aEnd == edge::call_end::Complete;
-  if (isComplete && aAnswer.mStatus == kNotGiver) {
+  if (isComplete && aAnswer.mStatus == kNotController) {
     events::line("claim_lost")
-      .With("server", mParts.mServer.Text())
+      .With("server", mDependencies.mServer.Text())
       .With("epoch", mRight.mEpoch);
     Claim();
     return;
   }
-  const auto wanted = isComplete ? DecodeAssignment(aAnswer) : std::nullopt;
+  const auto wanted =
+    isComplete ? DecodeAssignmentResponse(aAnswer) : std::nullopt;
   if (!wanted) {
     events::line("entry_silent")
       .With("entry", mEntries[mEntry].Text())
-      .With("end", edge::WordFor(aEnd));
+      .With("end", edge::ToString(aEnd));
     ++mEntry;
     mPreferredAgainAt = boot_clock::now() + kPreferredAgainAfter;
     if (mEntry >= mEntries.size()) {
@@ -160,19 +161,20 @@
 {
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
-  edge::FetchWhole(mParts.mClients,
-                   mParts.mLoop,
-                   mParts.mServer,
-                   mParts.mEncodeReport(),
+  edge::FetchWhole(mDependencies.mClients,
+                   mDependencies.mLoop,
+                   mDependencies.mServer,
+                   mDependencies.mEncodeReport(),
                    options,
                    kServerTimeout,
                    256 << 10,
                    [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                     const auto report = aEnd == edge::call_end::Complete
-                                           ? mParts.mDecodeReport(aAnswer)
-                                           : std::nullopt;
+                     const auto report =
+                       aEnd == edge::call_end::Complete
+                         ? mDependencies.mDecodeReport(aAnswer)
+                         : std::nullopt;
                      if (report) {
-                       TakeReport(*report);
+                       HandleReport(*report);
                        return;
                      }
                      // The server may be away for long; the entry decides anew.
@@ -182,7 +184,7 @@
 }
 
 void
-order_duty::TakeReport(const server_report& aReport)
+order_duty::HandleReport(const server_report& aReport)
 {
   mHeld = aReport.mVersions;
   if (HoldsAll(aReport, mWanted)) {
@@ -191,7 +193,7 @@
   }
   auto order = DecideOrder(aReport, mWanted);
   if (!order) {
-    After(mParts.mLoadLook, &order_duty::ReadReport);
+    After(mDependencies.mLoadLook, &order_duty::ReadReport);
     return;
   }
   const auto now = boot_clock::now();
@@ -207,7 +209,7 @@
     Ask();
     return;
   }
-  order->mHolder = mParts.mName;
+  order->mHolder = mDependencies.mName;
   order->mEpoch = mRight.mEpoch;
   Give(*order);
 }
@@ -218,10 +220,10 @@
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
   edge::FetchWhole(
-    mParts.mClients,
-    mParts.mLoop,
-    mParts.mServer,
-    mParts.mEncodeOrder(aOrder),
+    mDependencies.mClients,
+    mDependencies.mLoop,
+    mDependencies.mServer,
+    mDependencies.mEncodeOrder(aOrder),
     options,
     kServerTimeout,
     64 << 10,
@@ -232,13 +234,13 @@
         .With("version", aOrder.mVersion)
         .With("epoch", aOrder.mEpoch)
         .With("expect", aOrder.mAcceptedOrders)
-        .With("end", edge::WordFor(aEnd))
+        .With("end", edge::ToString(aEnd))
         .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
       // The report tells what became of it, with or without an answer. One that
       // was turned down isn't sent again at once: the reason lasts.
       const bool isTurnedDown =
         aEnd == edge::call_end::Complete && aAnswer.mStatus >= 300;
-      After(isTurnedDown ? kRetryPause : mParts.mLoadLook,
+      After(isTurnedDown ? kRetryPause : mDependencies.mLoadLook,
             &order_duty::ReadReport);
     });
 }
--- a/Duties/Versions/OrderDuty.h
+++ b/Duties/Versions/OrderDuty.h
@@ -10,7 +10,7 @@
 
 namespace lavender::versions {
 
-struct order_parts
+struct order_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -36,7 +36,7 @@
 class order_duty
 {
 public:
-  explicit order_duty(order_parts aParts);
+  explicit order_duty(order_dependencies aParts);
 
   void Start();
 
@@ -46,20 +46,20 @@
   void Ask();
   void TakeAnswer(edge::call_end aEnd, const edge::response& aAnswer);
   void ReadReport();
-  void TakeReport(const server_report& aReport);
+  void HandleReport(const server_report& aReport);
   void Give(const weight_order& aOrder);
   void After(milliseconds aPause, void (order_duty::*aStep)());
 
-  order_parts mParts;
+  order_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
   std::vector<edge::endpoint> mEntries;
   std::size_t mEntry = 0;
   /** When to go back to the preferred entry, while another one is asked. */
   time_point mPreferredAgainAt;
-  order_right mRight;
+  order_permission mRight;
   /** When an entry last told what is wanted. */
   time_point mToldAt;
-  wanted_versions mWanted;
+  target_versions mWanted;
   std::map<std::string, std::int64_t> mHeld;
 };
 
--- a/Duties/Versions/Placement.h
+++ b/Duties/Versions/Placement.h
@@ -10,17 +10,17 @@
 namespace lavender::versions {
 
 /** Newest version that a trainer has named, by model. */
-using named_versions = std::map<std::string, std::int64_t>;
+using announced_versions = std::map<std::string, std::int64_t>;
 
 /** A server that may hold weights. */
-struct placed_server
+struct server_versions
 {
   std::string mId;
   std::map<std::string, std::int64_t> mVersions;
 };
 
 /** Part of the servers' work that each model makes; the sum is one. */
-using model_weights = std::map<std::string, double>;
+using model_shares = std::map<std::string, double>;
 
 /** A model's part of the work must change by this much of itself to move
  * servers, which load it first: a guess of one batch's work is off by less, and
@@ -29,16 +29,16 @@
 
 /** The weights that follow from the models' work, if they have clearly shifted.
  * @param aWork of one batch of each model */
-std::optional<model_weights>
-ShiftedWeights(const std::map<std::string, double>& aWork,
-               const model_weights& aBefore);
+std::optional<model_shares>
+UpdatedModelShares(const std::map<std::string, double>& aWork,
+                   const model_shares& aBefore);
 
 /** Servers for each model, by its weight; every model has one if there are
  * enough servers. */
 std::map<std::string, std::size_t>
-SharesOf(std::size_t aServers,
-         const std::vector<std::string>& aModels,
-         const model_weights& aWeights);
+ServersPerModel(std::size_t aServers,
+                const std::vector<std::string>& aModels,
+                const model_shares& aWeights);
 
 /** Model that each server serves, by server.
  *
@@ -48,10 +48,10 @@
  * out of balance by moves. Depends on the arguments alone, so that entries
  * with the same view agree. */
 std::map<std::string, std::string>
-PlaceModels(const std::vector<placed_server>& aServers,
-            const std::vector<std::string>& aModels,
-            const named_versions& aNamed,
-            const model_weights& aWeights);
+AssignModels(const std::vector<server_versions>& aServers,
+             const std::vector<std::string>& aModels,
+             const announced_versions& aNamed,
+             const model_shares& aWeights);
 
 /** Servers of one model's share that shall load the newest version, the most
  * outdated first.
@@ -63,14 +63,14 @@
  * only every lag + 1 versions. With a lag of one that halves the loads, each
  * of which costs a server about a second. */
 std::vector<std::string>
-DueServers(const std::vector<placed_server>& aShare,
-           const std::string& aModel,
-           std::int64_t aNamed,
-           std::int64_t aLag);
+ServersToLoad(const std::vector<server_versions>& aShare,
+              const std::string& aModel,
+              std::int64_t aNamed,
+              std::int64_t aLag);
 
 /** Servers that load at the same time without slowing each other much: a
  * fifth of the fleet, at least two. */
 std::size_t
-LoadsAtOnce(std::size_t aServers);
+MaximumConcurrentLoads(std::size_t aServers);
 
 } // namespace lavender::versions
--- a/Duties/Versions/SubstituteGiver.h
+++ b/Duties/Versions/SubstituteGiver.h
@@ -6,10 +6,10 @@
 namespace lavender::versions {
 
 /** What the entry that watches the store knows of one server's giver. */
-struct giver_view
+struct controller_status
 {
   /** Who holds the claim; none when nobody ever claimed the server. */
-  std::optional<giver_claim> mClaim;
+  std::optional<controller_claim> mClaim;
   /** Since when this entry has known the server, and looked after it. */
   time_point mKnownSince;
   /** When the giver last asked what is wanted. */
@@ -28,11 +28,11 @@
 /** Whether an entry should claim a server: it has no giver, or its giver has
  * been silent for long and a load is overdue. */
 bool
-NeedsSubstitute(const giver_view& aView,
-                const std::string& aSelf,
-                time_point aNow);
+NeedsFallbackController(const controller_status& aView,
+                        const std::string& aSelf,
+                        time_point aNow);
 
-struct substitute_parts
+struct controller_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -56,10 +56,10 @@
  *
  * The entry that watches the store claims them. One that has claimed a server
  * goes on, whoever watches, until another giver takes the claim. */
-class substitute_giver
+class fallback_controller
 {
 public:
-  explicit substitute_giver(substitute_parts aParts);
+  explicit fallback_controller(controller_dependencies aParts);
 
   void Start();
 
@@ -67,18 +67,18 @@
   void PlanLook();
   void Look();
   bool HasEngine(const site::backend_server& aServer) const;
-  giver_view ViewOf(const std::string& aClaimName,
-                    const std::string& aServerId,
-                    time_point aNow);
+  controller_status ViewOf(const std::string& aClaimName,
+                           const std::string& aServerId,
+                           time_point aNow);
   void GiveOrdersOf(const edge::endpoint& aServer);
   void Claim(const std::string& aClaimName, const claim_done& aDone);
 
-  substitute_parts mParts;
+  controller_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
   /** By the names of claims. */
   std::map<std::string, time_point> mKnownSince;
   /** Claims that this entry may replace, as they were seen. */
-  std::map<std::string, giver_claim> mReplaceable;
+  std::map<std::string, controller_claim> mReplaceable;
   std::map<std::string, std::unique_ptr<order_duty>> mGivers;
 };
 
--- a/Tests/Site/TestGivers.cpp
+++ b/Tests/Site/TestGivers.cpp
@@ -28,7 +28,7 @@
     pool.mEngine = site::engine_pool{ 12, { "model" } };
     known->mPools["pool"] = pool;
     mConfiguration = known;
-    site::TakeServer(mDirectory, mServer.Entry());
+    site::ApplyServer(mDirectory, mServer.Entry());
   }
 
   std::string Name() const { return ClaimName(mServer.Entry().mAddress); }
@@ -57,32 +57,33 @@
   {
     mListener.Open({ "127.0.0.1", 0 });
     objects::mirror_options options;
-    options.mKind = kGiverKind;
+    options.mKind = kControllerKind;
     objects::mirror_events heard;
     heard.mOnListed = [this](const auto& aObjects) {
-      TakeClaimListing(mClaims, aObjects);
-      mAssignments.RefuseSuperseded();
+      ApplyClaimListing(mClaims, aObjects);
+      mAssignments.RejectSuperseded();
     };
     heard.mOnEvent = [this](const auto& aEvent) {
-      TakeClaimEvent(mClaims, aEvent);
-      mAssignments.RefuseSuperseded();
+      ApplyClaimEvent(mClaims, aEvent);
+      mAssignments.RejectSuperseded();
     };
     mMirror = std::make_shared<objects::mirror>(
       edge::LoopScheduler(aSite.mLoop.mLoop), aSite.mStore, options, heard);
     mMirror->Start();
-    mSubstitute.emplace(substitute_parts{ aSite.mLoop.mLoop,
-                                          *aSite.mClients,
-                                          aSite.mStore,
-                                          aName,
-                                          { "127.0.0.1", mListener.Port() },
-                                          aSite.mDirectory,
-                                          aSite.mConfiguration,
-                                          mClaims,
-                                          mAssignments,
-                                          [this] { return mMayClaim; },
-                                          platform::EncodeReportRequest,
-                                          platform::DecodeReport,
-                                          platform::EncodeOrder });
+    mSubstitute.emplace(
+      controller_dependencies{ aSite.mLoop.mLoop,
+                               *aSite.mClients,
+                               aSite.mStore,
+                               aName,
+                               { "127.0.0.1", mListener.Port() },
+                               aSite.mDirectory,
+                               aSite.mConfiguration,
+                               mClaims,
+                               mAssignments,
+                               [this] { return mMayClaim; },
+                               platform::EncodeReportRequest,
+                               platform::DecodeReport,
+                               platform::EncodeOrder });
     mSubstitute->Start();
   }
 
@@ -93,19 +94,21 @@
   assignments mAssignments;
   edge::listener mListener;
   std::shared_ptr<objects::mirror> mMirror;
-  std::optional<substitute_giver> mSubstitute;
+  std::optional<fallback_controller> mSubstitute;
 };
 
-std::optional<order_right>
+std::optional<order_permission>
 Claim(giver_site& aSite, const std::string& aGiver)
 {
-  std::optional<order_right> right;
+  std::optional<order_permission> right;
   bool isDone = false;
-  ClaimServer(
-    aSite.mStore, aSite.Name(), aGiver, [&](std::optional<order_right> aRight) {
-      right = aRight;
-      isDone = true;
-    });
+  ClaimServer(aSite.mStore,
+              aSite.Name(),
+              aGiver,
+              [&](std::optional<order_permission> aRight) {
+                right = aRight;
+                isDone = true;
+              });
   BOOST_TEST(aSite.mLoop.RunUntil([&] { return isDone; }));
   return right;
 }
@@ -114,27 +117,27 @@
 std::shared_ptr<unsigned>
 StartAsking(giver_site& aSite,
             giving_entry& aEntry,
-            const giver_claim& aClaim,
+            const controller_claim& aClaim,
             const std::map<std::string, std::int64_t>& aHeld)
 {
   const auto status = std::make_shared<unsigned>(0);
-  edge::FetchWhole(
-    *aSite.mClients,
-    aSite.mLoop.mLoop,
-    { "127.0.0.1", aEntry.mListener.Port() },
-    EncodeQuestion({ aSite.mServer.Entry().mAddress, aClaim, aHeld, {} }),
-    {},
-    20s,
-    1 << 20,
-    [status](edge::call_end, const edge::response& aAnswer) {
-      *status = aAnswer.mStatus;
-    });
+  edge::FetchWhole(*aSite.mClients,
+                   aSite.mLoop.mLoop,
+                   { "127.0.0.1", aEntry.mListener.Port() },
+                   EncodeAssignmentRequest(
+                     { aSite.mServer.Entry().mAddress, aClaim, aHeld, {} }),
+                   {},
+                   20s,
+                   1 << 20,
+                   [status](edge::call_end, const edge::response& aAnswer) {
+                     *status = aAnswer.mStatus;
+                   });
   return status;
 }
 
 /** Status of the answer to a giver's question. */
 unsigned
-Ask(giver_site& aSite, giving_entry& aEntry, const giver_claim& aClaim)
+Ask(giver_site& aSite, giving_entry& aEntry, const controller_claim& aClaim)
 {
   const auto status = StartAsking(aSite, aEntry, aClaim, { { "model", 1 } });
   BOOST_TEST(aSite.mLoop.RunUntil([&] { return *status != 0; }));
@@ -153,12 +156,12 @@
   giver_site site;
   giving_entry first(site, "front-1");
   giving_entry second(site, "front-2");
-  first.mAssignments.TakeNamed("model", 2);
-  second.mAssignments.TakeNamed("model", 2);
+  first.mAssignments.HandleVersionAnnounced("model", 2);
+  second.mAssignments.HandleVersionAnnounced("model", 2);
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return site.mServer.mVersion == 2; }, 12s));
-  first.mAssignments.TakeNamed("model", 3);
-  second.mAssignments.TakeNamed("model", 3);
+  first.mAssignments.HandleVersionAnnounced("model", 3);
+  second.mAssignments.HandleVersionAnnounced("model", 3);
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return site.mServer.mVersion == 3; }, 5s));
   std::set<std::string> givers;
@@ -213,10 +216,11 @@
     StartAsking(site, asked, { "front-1", false, entry->mEpoch }, {});
   const auto agent = Claim(site, "side-1");
   BOOST_REQUIRE(agent);
-  BOOST_TEST(site.mLoop.RunUntil([&] { return *status == kNotGiver; }, 5s));
+  BOOST_TEST(
+    site.mLoop.RunUntil([&] { return *status == kNotController; }, 5s));
   BOOST_TEST(Ask(site, asked, { "front-1", false, entry->mEpoch }) ==
-             kNotGiver);
-  asked.mAssignments.TakeNamed("model", 2);
+             kNotController);
+  asked.mAssignments.HandleVersionAnnounced("model", 2);
   BOOST_TEST(Ask(site, asked, { "side-1", false, agent->mEpoch }) == 200u);
 }
 
@@ -225,21 +229,21 @@
 BOOST_AUTO_TEST_CASE(ASilentGiverIsReplacedWhenALoadIsOverdue)
 {
   const auto now = boot_clock::now();
-  giver_view view;
+  controller_status view;
   view.mKnownSince = now - 1s;
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
   view.mKnownSince = now - 60s;
-  BOOST_TEST(NeedsSubstitute(view, "front-1", now));
-  view.mClaim = giver_claim{ "side-1", false, 7 };
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(NeedsFallbackController(view, "front-1", now));
+  view.mClaim = controller_claim{ "side-1", false, 7 };
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
   view.mLoadingSince = now - 11s;
-  BOOST_TEST(NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(NeedsFallbackController(view, "front-1", now));
   view.mLastAsked = now - 9s;
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
   view.mLastAsked = now - 21s;
-  BOOST_TEST(NeedsSubstitute(view, "front-1", now));
-  view.mClaim->mGiver = "front-1";
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(NeedsFallbackController(view, "front-1", now));
+  view.mClaim->mController = "front-1";
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
