--- a/Duties/Configuration/ConfigurationStore.cpp
+++ b/Duties/Configuration/ConfigurationStore.cpp
@@ -52,7 +52,7 @@
 {
   wire::configuration_copy message;
   message.revision = aCopy.mRevision;
-  message.changed_revision = aCopy.mChanged;
+  message.changed_revision = aCopy.mChangedRevision;
   message.fresh_age_ms = AgeOf(aCopy.mVerifiedAt, aNow).count();
   message.objects.reserve(aCopy.mObjects.size());
   for (const auto& [identity, object] : aCopy.mObjects) {
@@ -71,7 +71,7 @@
 {
   full_copy copy;
   copy.mRevision = aMessage.revision;
-  copy.mChanged = aMessage.changed_revision;
+  copy.mChangedRevision = aMessage.changed_revision;
   copy.mVerifiedAt =
     VerificationTime(milliseconds(aMessage.fresh_age_ms), aRequestedAt);
   for (const auto& record : aMessage.objects) {
@@ -130,7 +130,7 @@
   // A verification from before the restart doesn't cover changes since then.
   auto copy = FromMessage(*message, boot_clock::now());
   copy.mVerifiedAt.reset();
-  mSavedChangedRevision = copy.mChanged;
+  mSavedChangedRevision = copy.mChangedRevision;
   CountOutcome("disk", ApplyCopy(std::move(copy)));
 }
 
@@ -141,13 +141,13 @@
     return;
   }
   const auto copy = Copy();
-  if (copy.mChanged <= mSavedChangedRevision) {
+  if (copy.mChangedRevision <= mSavedChangedRevision) {
     return;
   }
   const auto bytes = wire::Encode(ToMessage(copy, boot_clock::now()));
   const auto failure = SaveChecked(mOptions.mDataFolder + kCopyFile, bytes);
   if (failure.empty()) {
-    mSavedChangedRevision = copy.mChanged;
+    mSavedChangedRevision = copy.mChangedRevision;
   } else {
     Log(log_level::Warning,
         "configuration",
@@ -234,7 +234,7 @@
 {
   std::unique_lock lock(mMutex);
   mStateChanged.wait_for(lock, aWait, [&] {
-    return mIsStopping || mState.mChanged > aFrom ||
+    return mIsStopping || mState.mChangedRevision > aFrom ||
            aFrom < mState.mOldestResumableRevision;
   });
   return ChangesAfter(mState, aFrom);
--- a/Duties/Upkeep/UpkeepDuty.cpp
+++ b/Duties/Upkeep/UpkeepDuty.cpp
@@ -19,12 +19,12 @@
 } // namespace
 
 bool
-IsDeletable(const batches::batch_metadata& aHead,
+IsDeletable(const batches::batch_metadata& aMetadata,
             milliseconds aKeep,
             std::chrono::system_clock::time_point aNow)
 {
-  const auto age = aNow - aHead.mSubmittedAt;
-  return age > (aHead.mIsEnded ? aKeep : std::max(aKeep, kAbandonedAfter));
+  const auto age = aNow - aMetadata.mSubmittedAt;
+  return age > (aMetadata.mIsEnded ? aKeep : std::max(aKeep, kAbandonedAfter));
 }
 
 bool
@@ -111,51 +111,51 @@
     return;
   }
   const auto now = std::chrono::system_clock::now();
-  for (const auto& head : mDependencies.mHeads()) {
-    if (IsDeletable(head, mDependencies.mKeepResults, now)) {
+  for (const auto& batchMetadata : mDependencies.mListBatches()) {
+    if (IsDeletable(batchMetadata, mDependencies.mKeepResults, now)) {
       mIsDeleting = true;
-      DeleteBlocks(head, 0);
+      DeleteResults(batchMetadata, 0);
       return;
     }
   }
 }
 
 void
-upkeep_duty::DeleteBlocks(const batches::batch_metadata& aHead, int aNumber)
+upkeep_duty::DeleteResults(const batches::batch_metadata& aMetadata, int aIndex)
 {
-  mDependencies.mStore.mDelete(batches::kBatchResultsKind,
-                               batches::ResultsObjectName(aHead.mId, aNumber),
-                               [this, aHead, aNumber](const auto& aReply) {
-                                 if (aReply.mOutcome == store_outcome::Done) {
-                                   DeleteBlocks(aHead, aNumber + 1);
-                                 } else if (aReply.mOutcome ==
-                                            store_outcome::NotFound) {
-                                   DeleteItems(aHead, 0);
-                                 } else {
-                                   mIsDeleting = false;
-                                 }
-                               });
+  mDependencies.mStore.mDelete(
+    batches::kBatchResultsKind,
+    batches::ResultsObjectName(aMetadata.mId, aIndex),
+    [this, aMetadata, aIndex](const auto& aReply) {
+      if (aReply.mOutcome == store_outcome::Done) {
+        DeleteResults(aMetadata, aIndex + 1);
+      } else if (aReply.mOutcome == store_outcome::NotFound) {
+        DeleteItems(aMetadata, 0);
+      } else {
+        mIsDeleting = false;
+      }
+    });
 }
 
 void
-upkeep_duty::DeleteItems(const batches::batch_metadata& aHead, int aPart)
+upkeep_duty::DeleteItems(const batches::batch_metadata& aMetadata, int aPart)
 {
   // The batch's metadata object is deleted last, so that the remaining objects
   // are found again after a failure.
-  const bool isHead = aPart == aHead.mParts;
+  const bool isMetadata = aPart == aMetadata.mParts;
   mDependencies.mStore.mDelete(
-    isHead ? batches::kBatchMetadataKind : batches::kBatchItemsKind,
-    isHead ? aHead.mId : batches::ItemsObjectName(aHead.mId, aPart),
-    [this, aHead, aPart, isHead](const auto& aReply) {
+    isMetadata ? batches::kBatchMetadataKind : batches::kBatchItemsKind,
+    isMetadata ? aMetadata.mId : batches::ItemsObjectName(aMetadata.mId, aPart),
+    [this, aMetadata, aPart, isMetadata](const auto& aReply) {
       const bool isGone = aReply.mOutcome == store_outcome::Done ||
                           aReply.mOutcome == store_outcome::NotFound;
-      if (isGone && !isHead) {
-        DeleteItems(aHead, aPart + 1);
+      if (isGone && !isMetadata) {
+        DeleteItems(aMetadata, aPart + 1);
         return;
       }
       mIsDeleting = false;
       if (isGone) {
-        events::line("batch_removed").With("batch", aHead.mId);
+        events::line("batch_removed").With("batch", aMetadata.mId);
         DeleteNextBatch();
       }
     });
--- a/Duties/Upkeep/UpkeepDuty.h
+++ b/Duties/Upkeep/UpkeepDuty.h
@@ -17,7 +17,7 @@
  * results were kept for aKeep. A batch that its trainer never ended may be
  * deleted after an hour, or after aKeep if that is longer. */
 bool
-IsDeletable(const batches::batch_metadata& aHead,
+IsDeletable(const batches::batch_metadata& aMetadata,
             milliseconds aKeep,
             std::chrono::system_clock::time_point aNow);
 
@@ -48,7 +48,7 @@
   /** Returns whether this entry is responsible for the store's upkeep. */
   std::function<bool()> mIsResponsible;
   std::function<std::map<std::string, edge::endpoint>()> mEntries;
-  std::function<std::vector<batches::batch_metadata>()> mHeads;
+  std::function<std::vector<batches::batch_metadata>()> mListBatches;
   /** Creates a request that every entry answers. */
   std::function<edge::request()> mPing;
 };
@@ -66,8 +66,8 @@
   void ScheduleNextCheck();
   void PingEntries();
   void DeleteNextBatch();
-  void DeleteBlocks(const batches::batch_metadata& aHead, int aNumber);
-  void DeleteItems(const batches::batch_metadata& aHead, int aPart);
+  void DeleteResults(const batches::batch_metadata& aMetadata, int aIndex);
+  void DeleteItems(const batches::batch_metadata& aMetadata, int aPart);
 
   upkeep_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
--- a/Tests/Site/TestUpkeep.cpp
+++ b/Tests/Site/TestUpkeep.cpp
@@ -12,16 +12,16 @@
 BOOST_AUTO_TEST_CASE(ResultsAreKeptAsLongAsTrainersMayRead)
 {
   const auto now = std::chrono::system_clock::now();
-  batches::batch_metadata head;
-  head.mIsEnded = true;
-  head.mSubmittedAt = now - 119s;
-  BOOST_TEST(!upkeep::IsDeletable(head, 120s, now));
-  head.mSubmittedAt = now - 121s;
-  BOOST_TEST(upkeep::IsDeletable(head, 120s, now));
-  head.mIsEnded = false;
-  BOOST_TEST(!upkeep::IsDeletable(head, 120s, now));
-  head.mSubmittedAt = now - 2h;
-  BOOST_TEST(upkeep::IsDeletable(head, 120s, now));
+  batches::batch_metadata batchMetadata;
+  batchMetadata.mIsEnded = true;
+  batchMetadata.mSubmittedAt = now - 119s;
+  BOOST_TEST(!upkeep::IsDeletable(batchMetadata, 120s, now));
+  batchMetadata.mSubmittedAt = now - 121s;
+  BOOST_TEST(upkeep::IsDeletable(batchMetadata, 120s, now));
+  batchMetadata.mIsEnded = false;
+  BOOST_TEST(!upkeep::IsDeletable(batchMetadata, 120s, now));
+  batchMetadata.mSubmittedAt = now - 2h;
+  BOOST_TEST(upkeep::IsDeletable(batchMetadata, 120s, now));
 }
 
 // Guards against late usage reports after instances were replaced: while their
