--- a/Duties/Billing/UsageDuty.cpp
+++ b/Duties/Billing/UsageDuty.cpp
@@ -275,10 +275,10 @@
                    kPeerTimeout,
                    64 << 10,
                    [this, aAttempt, aName](edge::call_end aEnd,
-                                           const edge::response& aAnswer) {
-                     const auto body = json::Parse(aAnswer.mBody);
+                                           const edge::response& aResponse) {
+                     const auto body = json::Parse(aResponse.mBody);
                      if (aEnd == edge::call_end::Complete &&
-                         aAnswer.mStatus == 200 && body) {
+                         aResponse.mStatus == 200 && body) {
                        AddCounts(aAttempt->mCounts, DecodeCounts(*body));
                      } else {
                        events::line("usage_share_missing")
--- a/Duties/Configuration/ResourceApi.cpp
+++ b/Duties/Configuration/ResourceApi.cpp
@@ -16,10 +16,10 @@
 http::response
 JsonResponse(int aStatus, const json::value& aBody)
 {
-  http::response answer;
-  answer.mStatus = aStatus;
-  answer.mBody = json::Write(aBody);
-  return answer;
+  http::response httpResponse;
+  httpResponse.mStatus = aStatus;
+  httpResponse.mBody = json::Write(aBody);
+  return httpResponse;
 }
 
 http::response
@@ -45,7 +45,7 @@
 /** Converts an object to the JSON that operators receive. The hash of a key is
  * omitted. */
 json::value
-Describe(const platform::stored_object& aObject)
+ToJson(const platform::stored_object& aObject)
 {
   json::value shown;
   shown.Set("kind", aObject.mKind);
@@ -67,7 +67,7 @@
 }
 
 json::value
-Describe(const findings& aFindings)
+ToJson(const findings& aFindings)
 {
   json::array items;
   for (const auto& finding : aFindings.mAll) {
@@ -107,7 +107,7 @@
     case platform::write_state::Done: {
       auto object = aIntended;
       object.mRevision = aWritten.mRevision;
-      auto body = Describe(object);
+      auto body = ToJson(object);
       if (!aNewKey.empty()) {
         body.Set("key", aNewKey);
       }
@@ -116,7 +116,7 @@
     case platform::write_state::Conflict:
       return ErrorResponse(409,
                            "conflict",
-                           aWritten.mCurrent ? Describe(*aWritten.mCurrent)
+                           aWritten.mCurrent ? ToJson(*aWritten.mCurrent)
                                              : json::value());
     case platform::write_state::Refused:
       return ErrorResponse(503, "platform_refused", aWritten.mLastReason);
@@ -219,7 +219,7 @@
     found.Add(finding.mPlace, finding.mProblem);
   }
   if (!found.IsEmpty()) {
-    return ErrorResponse(400, "invalid_resource", Describe(found));
+    return ErrorResponse(400, "invalid_resource", ToJson(found));
   }
   const auto read =
     platform::Read(aPlatform, putRequest.mKind, putRequest.mName);
@@ -297,10 +297,10 @@
     if (!kind.empty() && event.mKind != kind) {
       continue;
     }
-    auto shown = Describe({ event.mKind,
-                            event.mName,
-                            event.mObject.mRevision,
-                            ParsedOrNull(event.mObject.mText) });
+    auto shown = ToJson({ event.mKind,
+                          event.mName,
+                          event.mObject.mRevision,
+                          ParsedOrNull(event.mObject.mText) });
     shown.Set("type", event.mIsDeletion ? "delete" : "put");
     events.push_back(std::move(shown));
   }
@@ -326,7 +326,7 @@
                 json::array items;
                 const auto revision = aStore.Digest().mKnownRevision;
                 for (const auto& object : aStore.Objects(aParts[0])) {
-                  items.push_back(Describe(object));
+                  items.push_back(ToJson(object));
                 }
                 json::value body;
                 body.Set("revision", revision);
@@ -345,7 +345,7 @@
           !(IsConfigurationKind(aParts[0]) || aParts[0] == kUsageWindow)) {
         return ErrorResponse(404, "unknown_resource");
       }
-      return JsonResponse(200, Describe(read.mObject));
+      return JsonResponse(200, ToJson(read.mObject));
     });
   aRouter.Add("PUT",
               "/v1/resources/*/*",
--- a/Duties/Membership/DirectoryState.cpp
+++ b/Duties/Membership/DirectoryState.cpp
@@ -159,7 +159,7 @@
   view.mModel = aReport.model;
   view.mWeightVersion = aReport.weight_version;
   view.mReportedRevision = aReport.witnessed_revision;
-  view.mReportedFreshAge = milliseconds(aReport.witnessed_fresh_age_ms);
+  view.mReportedVerificationAge = milliseconds(aReport.witnessed_fresh_age_ms);
   view.mAgentClock = milliseconds(aReport.clock_ms);
   view.mReportRequestedAt = aRequestedAt;
   view.mLastResponseAt = aNow;
--- a/Duties/Membership/DirectoryState.h
+++ b/Duties/Membership/DirectoryState.h
@@ -36,7 +36,7 @@
   std::string mModel;
   std::int64_t mWeightVersion = 0;
   std::int64_t mReportedRevision = 0;
-  milliseconds mReportedFreshAge{ 0 };
+  milliseconds mReportedVerificationAge{ 0 };
   std::optional<time_point> mLastResponseAt;
   /** Start of the last poll that got no answer. */
   std::optional<time_point> mLastFailedPollAt;
@@ -63,11 +63,11 @@
 struct directory_limits
 {
   heartbeat_limits mHeartbeat;
-  /** Time after which an unlisted instance that doesn't answer is forgotten.
-   * Instances aren't forgotten at once because the list may be temporarily
+  /** Time after which an unlisted instance that doesn't answer is removed.
+   * Instances aren't removed at once because the list may be temporarily
    * wrong. */
   milliseconds mRemoveUnresponsiveAfter{ 5000 };
-  /** Time after which an unlisted instance that still answers is forgotten. */
+  /** Time after which an unlisted instance that still answers is removed. */
   milliseconds mRemoveAfter{ 60000 };
 };
 
@@ -97,7 +97,7 @@
 using connection_maker =
   std::function<std::shared_ptr<agent_pool>(const http::endpoint&)>;
 
-/** Applies the platform's instance list, which may lag behind, and forgets
+/** Applies the platform's instance list, which may lag behind, and removes
  * instances that have been unlisted for too long.
  * @return names of all servers that are known now */
 std::vector<std::string>
@@ -110,7 +110,7 @@
 enum class apply_report_outcome
 {
   Applied,
-  /** The instance changed its address or was forgotten during the poll, or a
+  /** The instance changed its address or was removed during the poll, or a
    * later poll was answered first. */
   Outdated,
   /** The address now belongs to another instance. */
--- a/Duties/Membership/ServerDirectory.cpp
+++ b/Duties/Membership/ServerDirectory.cpp
@@ -250,7 +250,8 @@
       std::max(report.mHighestChangedRevision, view.mReportedRevision);
     // Computed from the time at which the request was sent, so the verification
     // is never dated too late.
-    const auto verifiedAt = view.mReportRequestedAt - view.mReportedFreshAge;
+    const auto verifiedAt =
+      view.mReportRequestedAt - view.mReportedVerificationAge;
     report.mLatestVerifiedAt =
       std::max(report.mLatestVerifiedAt.value_or(verifiedAt), verifiedAt);
   }
--- a/Duties/Membership/ServerDirectory.h
+++ b/Duties/Membership/ServerDirectory.h
@@ -73,9 +73,7 @@
   /** Returns the entries on the platform's list. */
   std::vector<platform::instance> Entries() const;
   std::optional<server_view> Find(const std::string& aName) const;
-  /** Adds aChange to the number of this entry's unanswered requests at a
-   * server.
-   */
+  /** Adds aChange to the number of this entry's unanswered requests to it. */
   void AddInFlight(const std::string& aName, int aChange);
   /** Sets a callback that the polling threads call with a copy of each server
    * view after a report has changed it. Must be called before Start. */
--- a/Duties/Membership/TestDirectoryState.cpp
+++ b/Duties/Membership/TestDirectoryState.cpp
@@ -191,7 +191,7 @@
     const auto found = aSimulation.mState.mServers.find(NameOf(i));
     const bool isKnown = found != aSimulation.mState.mServers.end();
     if (aSimulation.mUnlistedSince[index]) {
-      // An unlisted instance is forgotten after 60 s, when the next list is
+      // An unlisted instance is removed after 60 s, when the next list is
       // applied; a list arrives each second.
       RC_ASSERT(!isKnown ||
                 aSimulation.mNow - *aSimulation.mUnlistedSince[index] <= 62s);
--- a/Duties/Reports/UsageReporter.cpp
+++ b/Duties/Reports/UsageReporter.cpp
@@ -222,18 +222,18 @@
            static_cast<std::int64_t>(mOptions.mWindow.count()));
   body.Set("fencing", aLease.mFencing);
   body.Set("holder", mOptions.mPlatform.mCaller);
-  const auto answer =
+  const auto response =
     leases::PostUnderLease(mOptions.mPlatform,
                            "/v1/usage/" + std::to_string(report.mWindow),
                            body,
                            aLease);
-  const bool isTaken = answer.mState == http::call_state::Answered &&
-                       answer.mResponse.mStatus == 200;
+  const bool isAccepted = response.mState == http::call_state::Answered &&
+                          response.mResponse.mStatus == 200;
   if (mOptions.mMetrics) {
     mOptions.mMetrics->Count("lavender_usage_reports_total",
-                             { { "result", isTaken ? "done" : "unknown" } });
+                             { { "result", isAccepted ? "done" : "unknown" } });
   }
-  if (!isTaken) {
+  if (!isAccepted) {
     mLastUnansweredAt = boot_clock::now();
     return false;
   }
@@ -270,13 +270,13 @@
   std::vector<std::optional<usage::agent_usage>> agentUsages(servers.size());
   ForEachConcurrently(servers.size(), [&](std::size_t aIndex) {
     const auto& server = servers[aIndex];
-    const auto answer =
+    const auto response =
       QueryUsage(*server.mConnections,
                  aThrough,
                  {},
                  RunsOfAgent(server.mIncarnation, aAll.mSuperseded));
-    if (answer.mState == wire::wire_state::Answered) {
-      agentUsages[aIndex] = ToAgentUsage(answer.mReply);
+    if (response.mState == wire::wire_state::Answered) {
+      agentUsages[aIndex] = ToAgentUsage(response.mReply);
     }
   });
   for (auto& agentUsage : agentUsages) {
@@ -292,19 +292,20 @@
   const auto& marks = mStore.Newest().mMarks;
   for (auto each = mDrainingAgents.begin(); each != mDrainingAgents.end();) {
     const auto mark = marks.mAgents.find(each->first);
-    const bool isFixed = mark != marks.mAgents.end() &&
-                         mark->second >= each->second.mClosedThrough;
-    each = isFixed ? mDrainingAgents.erase(each) : ++each;
+    const bool isIncluded = mark != marks.mAgents.end() &&
+                            mark->second >= each->second.mClosedThrough;
+    each = isIncluded ? mDrainingAgents.erase(each) : ++each;
   }
   for (const auto& server : mDirectory.Servers()) {
     if (!server.mIsLeaving) {
       continue;
     }
-    const auto answer =
+    const auto response =
       QueryUsage(*server.mConnections, mStore.Newest().mWindow);
-    if (answer.mState == wire::wire_state::Answered &&
-        !answer.mReply.buckets.empty()) {
-      mDrainingAgents[answer.mReply.incarnation] = ToAgentUsage(answer.mReply);
+    if (response.mState == wire::wire_state::Answered &&
+        !response.mReply.buckets.empty()) {
+      mDrainingAgents[response.mReply.incarnation] =
+        ToAgentUsage(response.mReply);
     }
   }
 }
@@ -317,9 +318,9 @@
   const auto pools = OtherEntries();
   std::vector<wire::usage_reply> replies(pools.size());
   ForEachConcurrently(pools.size(), [&](std::size_t aIndex) {
-    auto answer = QueryUsage(*pools[aIndex], aThrough);
-    if (answer.mState == wire::wire_state::Answered) {
-      replies[aIndex] = std::move(answer.mReply);
+    auto response = QueryUsage(*pools[aIndex], aThrough);
+    if (response.mState == wire::wire_state::Answered) {
+      replies[aIndex] = std::move(response.mReply);
     }
   });
   for (auto& reply : replies) {
@@ -343,12 +344,12 @@
   const auto settle = [&](auto& aPool) {
     // Queried again, because the responses received before the report was
     // stored may be outdated.
-    const auto answer = QueryUsage(aPool, report.mWindow);
-    if (answer.mState != wire::wire_state::Answered) {
+    const auto response = QueryUsage(aPool, report.mWindow);
+    if (response.mState != wire::wire_state::Answered) {
       return;
     }
     const auto included =
-      usage::IncludedBuckets(report.mMarks, answer.mReply.buckets);
+      usage::IncludedBuckets(report.mMarks, response.mReply.buckets);
     if (!included.empty()) {
       QueryUsage(aPool, report.mWindow, included);
     }
