--- a/Duties/Configuration/ResourceStatus.cpp
+++ b/Duties/Configuration/ResourceStatus.cpp
@@ -26,14 +26,14 @@
 }
 
 void
-SetPoolMembers(json::value& aStatus, const pool_summary& aFacts)
+SetPoolMembers(json::value& aStatus, const pool_summary& aInputs)
 {
   json::value servers = json::object{};
-  for (const auto& [state, count] : aFacts.mServers) {
+  for (const auto& [state, count] : aInputs.mServers) {
     servers.Set(state, count);
   }
   json::value versions = json::object{};
-  for (const auto& [version, count] : aFacts.mHolding) {
+  for (const auto& [version, count] : aInputs.mHolding) {
     versions.Set(std::to_string(version), count);
   }
   aStatus.Set("servers", std::move(servers));
@@ -53,24 +53,24 @@
 std::optional<json::value>
 NextStatus(const stored_resource& aResource,
            const snapshot& aSnapshot,
-           const status_inputs& aFacts)
+           const status_inputs& aInputs)
 {
   const auto* shown = aResource.mValue.Find("status");
   json::value next = shown ? *shown : json::value(json::object{});
   if (!IsObserved(aResource) &&
-      aFacts.mRevisionOnAllEntries >= aResource.mRevision) {
+      aInputs.mRevisionOnAllEntries >= aResource.mRevision) {
     next.Set(kObserved, json::IntegerAt(aResource.mValue, "generation", 0));
     next.Set("in_force_revision", aResource.mRevision);
-    next.Set("entries", aFacts.mEntries);
+    next.Set("entries", aInputs.mEntries);
   }
   if (const auto* spec = aResource.mValue.Find("spec");
       spec && aResource.mKind == "Key") {
     next.Set("state", KeyState(aResource.mName, *spec, aSnapshot));
   }
   if (aResource.mKind == "BackendPool") {
-    const auto pool = aFacts.mPools.find(aResource.mName);
-    SetPoolMembers(next,
-                   pool == aFacts.mPools.end() ? pool_summary{} : pool->second);
+    const auto pool = aInputs.mPools.find(aResource.mName);
+    SetPoolMembers(
+      next, pool == aInputs.mPools.end() ? pool_summary{} : pool->second);
   }
   const bool isSame =
     shown ? json::Write(next) == json::Write(*shown) : next.Members().empty();
--- a/Duties/Configuration/ResourceStatus.h
+++ b/Duties/Configuration/ResourceStatus.h
@@ -48,7 +48,7 @@
 std::optional<json::value>
 NextStatus(const stored_resource& aResource,
            const snapshot& aSnapshot,
-           const status_inputs& aFacts);
+           const status_inputs& aInputs);
 
 /** True when the status shows that the last write is in force on all entries.
  */
--- a/Duties/Reports/UsageReporter.cpp
+++ b/Duties/Reports/UsageReporter.cpp
@@ -217,7 +217,7 @@
 usage_reporter::SendNewest(const leases::held_lease& aLease)
 {
   const auto& report = mStore.Newest();
-  auto body = usage::DescribeFigures(report);
+  auto body = usage::ToIntakeJson(report);
   body.Set("window_seconds",
            static_cast<std::int64_t>(mOptions.mWindow.count()));
   body.Set("fencing", aLease.mFencing);
--- a/Duties/Usage/TestWindowReport.cpp
+++ b/Duties/Usage/TestWindowReport.cpp
@@ -313,7 +313,7 @@
   {
     if (aReporter.mNewest) {
       mIntake[aReporter.mNewest->mWindow].insert(
-        json::Write(DescribeFigures(*aReporter.mNewest)));
+        json::Write(ToIntakeJson(*aReporter.mNewest)));
     }
   }
 
--- a/Duties/Usage/WindowReport.cpp
+++ b/Duties/Usage/WindowReport.cpp
@@ -179,7 +179,7 @@
 }
 
 json::value
-DescribeFigures(const window_report& aReport)
+ToIntakeJson(const window_report& aReport)
 {
   json::array rows;
   for (const auto& [customer, row] : aReport.mRows) {
@@ -201,7 +201,7 @@
 json::value
 ToJson(const window_report& aReport)
 {
-  auto status = DescribeFigures(aReport);
+  auto status = ToIntakeJson(aReport);
   status.Set("reported", aReport.mIsReported);
   json::value described;
   described.Set("status", std::move(status));
--- a/Duties/Usage/WindowReport.h
+++ b/Duties/Usage/WindowReport.h
@@ -92,7 +92,7 @@
 /** Returns the body that is sent to the platform's usage intake. It is the same
  * at each attempt. */
 json::value
-DescribeFigures(const window_report& aReport);
+ToIntakeJson(const window_report& aReport);
 
 json::value
 ToJson(const std::vector<wire::usage_bucket>& aBuckets);
