--- a/Duties/Configuration/PeerExchange.cpp
+++ b/Duties/Configuration/PeerExchange.cpp
@@ -9,18 +9,19 @@
 
 using membership::poll_outcome;
 
-/** A peer heard within this counts as audible. */
-constexpr milliseconds kAudible{ 4000 };
+/** A peer that answered within this time counts as reachable. */
+constexpr milliseconds kReachableWithin{ 4000 };
 constexpr std::size_t kThreads = 4;
-/** Polled like a peer: keeps the set of peers up to date with the list. */
-constexpr const char* kListTarget = "";
+/** Poll target that stands for no peer: polling it updates the set of peers
+ * from the instance list. */
+constexpr const char* kPeerListTarget = "";
 
 } // namespace
 
 peer_exchange::peer_exchange(peer_options aOptions, configuration_store& aStore)
   : mOptions(std::move(aOptions))
   , mStore(aStore)
-  , mPolls({ mOptions.mExchangeEvery,
+  , mPolls({ mOptions.mExchangeInterval,
              kThreads,
              kThreads,
              [this](const std::string& aName) { return PollOnce(aName); } })
@@ -35,7 +36,7 @@
 void
 peer_exchange::Start()
 {
-  mPolls.SetTargets({ kListTarget });
+  mPolls.SetTargets({ kPeerListTarget });
   mPolls.Start();
 }
 
@@ -48,7 +49,7 @@
 poll_outcome
 peer_exchange::PollOnce(const std::string& aName)
 {
-  if (aName == kListTarget) {
+  if (aName == kPeerListTarget) {
     RefreshPeers();
     return poll_outcome::Answered;
   }
@@ -58,7 +59,7 @@
 void
 peer_exchange::RefreshPeers()
 {
-  std::vector<std::string> targets = { kListTarget };
+  std::vector<std::string> targets = { kPeerListTarget };
   std::map<std::string, peer> peers;
   {
     std::lock_guard lock(mMutex);
@@ -91,11 +92,11 @@
     std::lock_guard lock(mMutex);
     const auto found = mPeers.find(aName);
     if (found == mPeers.end()) {
-      return poll_outcome::Silent;
+      return poll_outcome::Unresponsive;
     }
     connections = found->second.mConnections;
   }
-  const auto askedAt = boot_clock::now();
+  const auto requestedAt = boot_clock::now();
   const auto own = mStore.Digest();
   wire::peer_digest message;
   message.echo = aName;
@@ -103,27 +104,29 @@
   message.name = mOptions.mOwnName;
   message.configuration_revision = own.mKnownRevision;
   message.changed_revision = own.mChangedRevision;
-  message.fresh_age_ms = AgeOf(own.mVerifiedAt, askedAt).count();
+  message.fresh_age_ms = AgeOf(own.mVerifiedAt, requestedAt).count();
   const auto outcome = connections->Run<wire::peer_digest>(
     mOptions.mTimeout, aName, [&](auto& aClient, auto& aReply) {
       aClient.Exchange(aReply, message);
     });
   const auto& reply = outcome.mReply;
-  // The address may have been given to another instance since the list.
+  // The address may have been reassigned since the list was fetched.
   const bool isPeer =
     outcome.mState == wire::wire_state::Answered && reply.name == aName;
   state_digest digest;
   if (isPeer) {
-    // Counted from when the question left, the proof is never too young.
+    // Computed from the time at which the request was sent, so the verification
+    // is never dated too late.
     digest = { reply.configuration_revision,
                reply.changed_revision,
-               ProofAt(milliseconds(reply.fresh_age_ms), askedAt) };
+               VerificationTime(milliseconds(reply.fresh_age_ms),
+                                requestedAt) };
   }
   {
     std::lock_guard lock(mMutex);
     if (const auto found = mPeers.find(aName);
         found != mPeers.end() && found->second.mConnections == connections) {
-      found->second.mAskedAt = askedAt;
+      found->second.mRequestedAt = requestedAt;
       if (isPeer) {
         found->second.mLastResponseAt = boot_clock::now();
         found->second.mDigest = digest;
@@ -133,10 +136,10 @@
   if (!isPeer) {
     connections->DropIdle();
     Count("silent");
-    return poll_outcome::Silent;
+    return poll_outcome::Unresponsive;
   }
   Count("answered");
-  if (mStore.TakeDigest(digest) == apply_outcome::NeedsCopy) {
+  if (mStore.ApplyDigest(digest) == apply_outcome::NeedsFullCopy) {
     FetchFrom(aName, connections);
   }
   return poll_outcome::Answered;
@@ -146,7 +149,7 @@
 peer_exchange::FetchFrom(const std::string& aName,
                          const std::shared_ptr<peer_pool>& aConnections)
 {
-  const auto askedAt = boot_clock::now();
+  const auto requestedAt = boot_clock::now();
   const auto outcome = aConnections->Run<wire::configuration_copy>(
     mOptions.mTimeout, aName, [&](auto& aClient, auto& aReply) {
       aClient.FetchConfiguration(aReply, aName);
@@ -156,11 +159,11 @@
     Count("fetch_failed");
     return;
   }
-  const auto taken = mStore.TakeCopy(FromMessage(outcome.mReply, askedAt));
+  const auto taken = mStore.ApplyCopy(FromMessage(outcome.mReply, requestedAt));
   if (taken == apply_outcome::Advanced) {
     Log(log_level::Info,
         "configuration",
-        "Caught up from " + aName +
+        "Fetched a newer configuration from entry " + aName +
           " revision=" + std::to_string(outcome.mReply.revision));
     Count("caught_up");
   }
@@ -181,7 +184,8 @@
   peer_report report;
   const auto now = boot_clock::now();
   std::lock_guard lock(mMutex);
-  // Counted from the list itself: a peer that isn't polled yet is known too.
+  // Peers are counted on the list rather than in mPeers, which lacks peers that
+  // aren't polled yet.
   bool isListed = false;
   for (const auto& instance : mOptions.mEntries()) {
     const bool isOwn = instance.mName == mOptions.mOwnName;
@@ -190,23 +194,23 @@
   }
   auto lowest = mStore.Digest().mKnownRevision;
   for (const auto& [name, peer] : mPeers) {
-    report.mPolled += peer.mAskedAt ? 1 : 0;
+    report.mPolled += peer.mRequestedAt ? 1 : 0;
     if (!peer.mLastResponseAt) {
       continue;
     }
-    if (now - *peer.mLastResponseAt <= kAudible) {
+    if (now - *peer.mLastResponseAt <= kReachableWithin) {
       ++report.mReachable;
       report.mNames.push_back(name);
       lowest = std::min(lowest, peer.mDigest.mKnownRevision);
     }
     report.mHighestChangedRevision =
       std::max(report.mHighestChangedRevision, peer.mDigest.mChangedRevision);
-    if (const auto proof = peer.mDigest.mVerifiedAt) {
+    if (const auto verifiedAt = peer.mDigest.mVerifiedAt) {
       report.mLatestVerifiedAt =
-        std::max(report.mLatestVerifiedAt.value_or(*proof), *proof);
+        std::max(report.mLatestVerifiedAt.value_or(*verifiedAt), *verifiedAt);
     }
   }
-  // A list that doesn't name this entry yet may lack others too.
+  // A list that lacks this entry may be outdated and lack other entries too.
   const bool areAllHeard = isListed && report.mReachable == report.mKnown;
   report.mLowestKnownRevision = areAllHeard ? lowest : 0;
   return report;
--- a/Duties/Keys/FreshnessGate.cpp
+++ b/Duties/Keys/FreshnessGate.cpp
@@ -6,76 +6,78 @@
 namespace {
 
 bool
-IsYounger(const std::optional<time_point>& aAt,
-          milliseconds aLimit,
-          time_point aNow)
+IsRecent(const std::optional<time_point>& aAt,
+         milliseconds aLimit,
+         time_point aNow)
 {
   return aAt && aNow - *aAt <= aLimit;
 }
 
-/** Half of the others or more can be heard. In an availability zone that is
- * cut off from the platform and from all other zones, every process that can
- * still be heard is as stale as this one; only the silence of the rest tells
- * this from an outage for all. */
+/** True when at least half of the other processes answer. In an availability
+ * zone that is cut off from the platform and from all other zones, every
+ * process that still answers is as stale as this one. Only the missing answers
+ * of the other zones distinguish this case from an outage of the store. */
 bool
-HearsMost(const remote_freshness& aWitnesses)
+ReachesAtLeastHalf(const remote_freshness& aRemote)
 {
-  return aWitnesses.mReachable * 2 >= aWitnesses.mKnown.value_or(0);
+  return aRemote.mReachable * 2 >= aRemote.mKnown.value_or(0);
 }
 
-/** The store has answered somebody lately, well after it last answered this
- * entry. */
+/** True when the store recently answered another entry, at least mMinimumLead
+ * after it last answered this one. */
 bool
-AreOthersFresher(const local_freshness& aOwn,
-                 const remote_freshness& aWitnesses,
-                 const freshness_limits& aLimits,
-                 time_point aNow)
+IsStoreReachableByOthers(const local_freshness& aLocal,
+                         const remote_freshness& aRemote,
+                         const freshness_limits& aLimits,
+                         time_point aNow)
 {
-  return IsYounger(aWitnesses.mLatestVerifiedAt, aLimits.mOwnProof, aNow) &&
-         (!aOwn.mVerifiedAt ||
-          *aWitnesses.mLatestVerifiedAt - *aOwn.mVerifiedAt >= aLimits.mMargin);
+  return IsRecent(
+           aRemote.mLatestVerifiedAt, aLimits.mMaximumVerificationAge, aNow) &&
+         (!aLocal.mVerifiedAt ||
+          *aRemote.mLatestVerifiedAt - *aLocal.mVerifiedAt >=
+            aLimits.mMinimumLead);
 }
 
-/** An entry that has just started joins only when everybody known has been
- * asked once and none of them knows a later change. Otherwise one that starts
- * from an old disk, or hears an old copy of the store, would let withdrawn
- * keys in. */
+/** A newly started entry accepts keys only after it has polled every known
+ * process once and none of them knows a later change. Otherwise an entry that
+ * starts from an outdated disk, or reads from a stale replica of the store,
+ * would accept withdrawn keys. */
 bool
-MayJoin(const local_freshness& aOwn,
-        const remote_freshness& aWitnesses,
+MayJoin(const local_freshness& aLocal,
+        const remote_freshness& aRemote,
         const freshness_limits& aLimits,
         time_point aNow)
 {
-  if (aOwn.mKnownRevision == 0 ||
-      aOwn.mKnownRevision < aWitnesses.mHighestChangedRevision ||
-      !aWitnesses.mKnown || aWitnesses.mPolled < *aWitnesses.mKnown) {
+  if (aLocal.mKnownRevision == 0 ||
+      aLocal.mKnownRevision < aRemote.mHighestChangedRevision ||
+      !aRemote.mKnown || aRemote.mPolled < *aRemote.mKnown) {
     return false;
   }
-  return IsYounger(aOwn.mVerifiedAt, aLimits.mOwnProof, aNow) ||
-         (*aWitnesses.mKnown > 0 && HearsMost(aWitnesses));
+  return IsRecent(aLocal.mVerifiedAt, aLimits.mMaximumVerificationAge, aNow) ||
+         (*aRemote.mKnown > 0 && ReachesAtLeastHalf(aRemote));
 }
 
 } // namespace
 
 freshness
-Judge(freshness_state& aState,
-      const local_freshness& aOwn,
-      const remote_freshness& aWitnesses,
-      const freshness_limits& aLimits,
-      time_point aNow)
+EvaluateFreshness(freshness_state& aState,
+                  const local_freshness& aLocal,
+                  const remote_freshness& aRemote,
+                  const freshness_limits& aLimits,
+                  time_point aNow)
 {
   const bool isBehind =
     HasLasted(aState.mBehindSince,
-              aOwn.mKnownRevision < aWitnesses.mHighestChangedRevision,
-              aLimits.mCatchUp,
+              aLocal.mKnownRevision < aRemote.mHighestChangedRevision,
+              aLimits.mCatchUpTime,
               aNow);
   const bool isCutOff =
     HasLasted(aState.mCutOffSince,
-              AreOthersFresher(aOwn, aWitnesses, aLimits, aNow),
-              aLimits.mCatchUp,
+              IsStoreReachableByOthers(aLocal, aRemote, aLimits, aNow),
+              aLimits.mCatchUpTime,
               aNow);
   if (!aState.mHasJoined) {
-    if (!MayJoin(aOwn, aWitnesses, aLimits, aNow)) {
+    if (!MayJoin(aLocal, aRemote, aLimits, aNow)) {
       return freshness::Joining;
     }
     aState.mHasJoined = true;
@@ -83,13 +85,14 @@
   if (isBehind) {
     return freshness::Behind;
   }
-  if (IsYounger(aOwn.mVerifiedAt, aLimits.mOwnProof, aNow)) {
+  if (IsRecent(aLocal.mVerifiedAt, aLimits.mMaximumVerificationAge, aNow)) {
     return freshness::Current;
   }
   if (isCutOff) {
     return freshness::CutOff;
   }
-  return HearsMost(aWitnesses) ? freshness::PlatformDown : freshness::Isolated;
+  return ReachesAtLeastHalf(aRemote) ? freshness::PlatformDown
+                                     : freshness::Isolated;
 }
 
 bool
--- a/Duties/Keys/KeyGate.cpp
+++ b/Duties/Keys/KeyGate.cpp
@@ -5,7 +5,7 @@
 namespace lavender::keys {
 namespace {
 
-constexpr milliseconds kJudgeEvery{ 200 };
+constexpr milliseconds kEvaluationInterval{ 200 };
 
 } // namespace
 
@@ -19,23 +19,24 @@
 {
   std::lock_guard lock(mMutex);
   const auto now = boot_clock::now();
-  if (mJudgedAt && now - *mJudgedAt < kJudgeEvery) {
-    return mLast;
+  if (mEvaluatedAt && now - *mEvaluatedAt < kEvaluationInterval) {
+    return mLastFreshness;
   }
-  const auto judged =
-    Judge(mState, mOptions.mLocal(), mOptions.mRemote(), mOptions.mLimits, now);
-  mJudgedAt = now;
-  if (judged != mLast) {
-    Log(IsFreshEnough(judged) ? log_level::Info : log_level::Warning,
+  const auto evaluated = EvaluateFreshness(
+    mState, mOptions.mLocal(), mOptions.mRemote(), mOptions.mLimits, now);
+  mEvaluatedAt = now;
+  if (evaluated != mLastFreshness) {
+    Log(IsFreshEnough(evaluated) ? log_level::Info : log_level::Warning,
         "keys",
-        std::string("Configuration is ") + ToString(judged));
+        std::string("Freshness of the configuration changed to ") +
+          ToString(evaluated));
     if (mOptions.mMetrics) {
       mOptions.mMetrics->Count("lavender_freshness_changes_total",
-                               { { "to", ToString(judged) } });
+                               { { "to", ToString(evaluated) } });
     }
-    mLast = judged;
+    mLastFreshness = evaluated;
   }
-  return judged;
+  return evaluated;
 }
 
 } // namespace lavender::keys
--- a/Duties/Upkeep/UpkeepDuty.cpp
+++ b/Duties/Upkeep/UpkeepDuty.cpp
@@ -11,37 +11,37 @@
 
 namespace {
 
-constexpr milliseconds kLookEach = 5000ms;
+constexpr milliseconds kCheckInterval = 5000ms;
 constexpr milliseconds kPingTimeout = 1000ms;
-/** A batch whose trainer never ended it is over after this. */
-constexpr milliseconds kForgottenAfter = std::chrono::hours(1);
+/** Minimum age at which a batch that its trainer never ended is deleted. */
+constexpr milliseconds kAbandonedAfter = std::chrono::hours(1);
 
 } // namespace
 
 bool
-IsDisposable(const batches::batch_metadata& aHead,
-             milliseconds aKeep,
-             std::chrono::system_clock::time_point aNow)
+IsDeletable(const batches::batch_metadata& aMetadata,
+            milliseconds aKeep,
+            std::chrono::system_clock::time_point aNow)
 {
-  const auto age = aNow - aHead.mSubmittedAt;
-  return age > (aHead.mIsEnded ? aKeep : std::max(aKeep, kForgottenAfter));
+  const auto age = aNow - aMetadata.mSubmittedAt;
+  return age > (aMetadata.mIsEnded ? aKeep : std::max(aKeep, kAbandonedAfter));
 }
 
 bool
-TakePing(silent_entries& aSilent,
-         const std::string& aName,
-         bool aHasAnswered,
-         time_point aNow)
+RecordPing(unresponsive_entries& aUnresponsive,
+           const std::string& aName,
+           bool aHasAnswered,
+           time_point aNow)
 {
   if (aHasAnswered) {
-    aSilent.erase(aName);
+    aUnresponsive.erase(aName);
     return false;
   }
-  const auto since = aSilent.emplace(aName, aNow).first->second;
-  if (aNow - since < kGoneAfter) {
+  const auto since = aUnresponsive.emplace(aName, aNow).first->second;
+  if (aNow - since < kRemoveAfter) {
     return false;
   }
-  aSilent.erase(aName);
+  aUnresponsive.erase(aName);
   return true;
 }
 
@@ -54,24 +54,24 @@
 void
 upkeep_duty::Start()
 {
-  LookAgain();
+  ScheduleNextCheck();
 }
 
 void
-upkeep_duty::LookAgain()
+upkeep_duty::ScheduleNextCheck()
 {
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (aError) {
       return;
     }
-    if (mDependencies.mIsMyTurn()) {
+    if (mDependencies.mIsResponsible()) {
       PingEntries();
-      DisposeOne();
+      DeleteNextBatch();
     } else {
-      mSilent.clear();
+      mUnresponsive.clear();
     }
-    LookAgain();
+    ScheduleNextCheck();
   });
 }
 
@@ -94,7 +94,7 @@
       64 << 10,
       [this, name = name](edge::call_end aEnd, const edge::response&) {
         const bool answered = aEnd == edge::call_end::Complete;
-        if (!TakePing(mSilent, name, answered, boot_clock::now())) {
+        if (!RecordPing(mUnresponsive, name, answered, boot_clock::now())) {
           return;
         }
         events::line("entry_removed").With("entry", name);
@@ -105,58 +105,58 @@
 }
 
 void
-upkeep_duty::DisposeOne()
+upkeep_duty::DeleteNextBatch()
 {
-  if (mIsDisposing) {
+  if (mIsDeleting) {
     return;
   }
   const auto now = std::chrono::system_clock::now();
-  for (const auto& head : mDependencies.mHeads()) {
-    if (IsDisposable(head, mDependencies.mKeepResults, now)) {
-      mIsDisposing = true;
-      DeleteBlocks(head, 0);
+  for (const auto& batchMetadata : mDependencies.mListBatches()) {
+    if (IsDeletable(batchMetadata, mDependencies.mKeepResults, now)) {
+      mIsDeleting = true;
+      DeleteResults(batchMetadata, 0);
       return;
     }
   }
 }
 
 void
-upkeep_duty::DeleteBlocks(const batches::batch_metadata& aHead, int aNumber)
+upkeep_duty::DeleteResults(const batches::batch_metadata& aMetadata, int aIndex)
 {
-  mDependencies.mStore.mDelete(batches::kBatchResultsKind,
-                               batches::ResultsObjectName(aHead.mId, aNumber),
-                               [this, aHead, aNumber](const auto& aReply) {
-                                 if (aReply.mOutcome == store_outcome::Done) {
-                                   DeleteBlocks(aHead, aNumber + 1);
-                                 } else if (aReply.mOutcome ==
-                                            store_outcome::NotFound) {
-                                   DeleteItems(aHead, 0);
-                                 } else {
-                                   mIsDisposing = false;
-                                 }
-                               });
+  mDependencies.mStore.mDelete(
+    batches::kBatchResultsKind,
+    batches::ResultsObjectName(aMetadata.mId, aIndex),
+    [this, aMetadata, aIndex](const auto& aReply) {
+      if (aReply.mOutcome == store_outcome::Done) {
+        DeleteResults(aMetadata, aIndex + 1);
+      } else if (aReply.mOutcome == store_outcome::NotFound) {
+        DeleteItems(aMetadata, 0);
+      } else {
+        mIsDeleting = false;
+      }
+    });
 }
 
 void
-upkeep_duty::DeleteItems(const batches::batch_metadata& aHead, int aPart)
+upkeep_duty::DeleteItems(const batches::batch_metadata& aMetadata, int aPart)
 {
-  // The head goes last: while it is there, the rest is found again after a
-  // failure.
-  const bool isHead = aPart == aHead.mParts;
+  // The batch's metadata object is deleted last, so that the remaining objects
+  // are found again after a failure.
+  const bool isMetadata = aPart == aMetadata.mParts;
   mDependencies.mStore.mDelete(
-    isHead ? batches::kBatchMetadataKind : batches::kBatchItemsKind,
-    isHead ? aHead.mId : batches::ItemsObjectName(aHead.mId, aPart),
-    [this, aHead, aPart, isHead](const auto& aReply) {
+    isMetadata ? batches::kBatchMetadataKind : batches::kBatchItemsKind,
+    isMetadata ? aMetadata.mId : batches::ItemsObjectName(aMetadata.mId, aPart),
+    [this, aMetadata, aPart, isMetadata](const auto& aReply) {
       const bool isGone = aReply.mOutcome == store_outcome::Done ||
                           aReply.mOutcome == store_outcome::NotFound;
-      if (isGone && !isHead) {
-        DeleteItems(aHead, aPart + 1);
+      if (isGone && !isMetadata) {
+        DeleteItems(aMetadata, aPart + 1);
         return;
       }
-      mIsDisposing = false;
+      mIsDeleting = false;
       if (isGone) {
-        events::line("batch_removed").With("batch", aHead.mId);
-        DisposeOne();
+        events::line("batch_removed").With("batch", aMetadata.mId);
+        DeleteNextBatch();
       }
     });
 }
