--- a/Duties/Versions/Assignments.cpp
+++ b/Duties/Versions/Assignments.cpp
@@ -12,16 +12,18 @@
 
 namespace {
 
-/** An agent's question is answered after this even if nothing has changed. */
-constexpr milliseconds kLongestWait = 8s;
-/** A load takes about a second, up to a few when runs go first; a server that
- * needs longer doesn't hold up the others. */
+/** A request is answered after this time even if nothing has changed. */
+constexpr milliseconds kMaximumHold = 8s;
+/** A load takes about a second, or a few seconds if runs finish first. A server
+ * that needs longer no longer counts as loading, so that it doesn't delay the
+ * loads of other servers. */
 constexpr milliseconds kLoadTime = 3s;
-constexpr milliseconds kLookEach = 500ms;
-/** Short against a load of about a second. */
-constexpr milliseconds kGatherChanges = 15ms;
-/** Of the newest batch in a model's work. */
-constexpr double kNewestWeight = 0.3;
+constexpr milliseconds kEvaluationInterval = 500ms;
+/** Changes within this time share one evaluation. Short compared with a load of
+ * about a second. */
+constexpr milliseconds kChangeDebounce = 15ms;
+/** Weight of the newest batch in the moving average of a model's work. */
+constexpr double kNewestBatchWeight = 0.3;
 
 json::value
 EncodeVersions(const std::map<std::string, std::int64_t>& aVersions)
@@ -60,7 +62,7 @@
   auto& newest = mNamed[aModel];
   if (aVersion > newest) {
     newest = aVersion;
-    // Told by the entry that decides what follows.
+    // Only the entry that controllers ask writes the line, not the whole fleet.
     if (!mWaiters.empty()) {
       events::line("version_named")
         .With("model", aModel)
@@ -73,16 +75,17 @@
 void
 assignments::Refresh()
 {
-  // Changes and questions come in bursts, and each look goes over all servers.
-  if (mWaiters.empty() || mIsLookPlanned) {
+  // Changes and requests come in bursts, and each evaluation visits all
+  // servers.
+  if (mWaiters.empty() || mIsEvaluationScheduled) {
     return;
   }
-  mIsLookPlanned = true;
-  mBurstTimer.expires_after(kGatherChanges);
+  mIsEvaluationScheduled = true;
+  mBurstTimer.expires_after(kChangeDebounce);
   mBurstTimer.async_wait([this](const auto& aError) {
-    mIsLookPlanned = false;
+    mIsEvaluationScheduled = false;
     if (!aError) {
-      Look();
+      Evaluate();
     }
   });
 }
@@ -104,42 +107,42 @@
 {
   auto& work = mWork[aModel];
   work = work == 0 ? static_cast<double>(aExpectedTokens)
-                   : work + kNewestWeight *
+                   : work + kNewestBatchWeight *
                               (static_cast<double>(aExpectedTokens) - work);
-  UpdateWeights();
-  // More than a few versions would be a trainer that has fallen behind, not
-  // one that allows it.
-  constexpr std::int64_t kLargestLag = 3;
+  UpdateModelShares();
+  // A larger difference means that the trainer has fallen behind, not that it
+  // allows such a lag.
+  constexpr std::int64_t kMaximumLag = 3;
   const auto named = mNamed.find(aModel);
   if (named != mNamed.end()) {
-    // The batch may be heard of before the version that it was asked for with;
-    // then the difference comes out too small, so the last two count.
+    // A batch may become known here before the version that was announced with
+    // it; its lag then comes out too small. Hence the last two batches count.
     auto& [before, last] = mLags[aModel];
     before = last;
     last =
-      std::clamp<std::int64_t>(named->second - aMinimumVersion, 0, kLargestLag);
+      std::clamp<std::int64_t>(named->second - aMinimumVersion, 0, kMaximumLag);
   }
 }
 
 void
-assignments::UpdateWeights()
+assignments::UpdateModelShares()
 {
-  if (auto shifted = ShiftedWeights(mWork, mWeights)) {
-    mWeights = std::move(*shifted);
-    LogWeights();
+  if (auto shifted = ShiftedWeights(mWork, mModelShares)) {
+    mModelShares = std::move(*shifted);
+    LogModelShares();
   }
 }
 
 void
-assignments::LogWeights() const
+assignments::LogModelShares() const
 {
   if (mWaiters.empty()) {
     return;
   }
-  for (const auto& [model, weight] : mWeights) {
+  for (const auto& [model, share] : mModelShares) {
     events::line("model_share")
       .With("model", model)
-      .With("percent", std::lround(100 * weight));
+      .With("percent", std::lround(100 * share));
   }
 }
 
@@ -175,8 +178,8 @@
     }
     const auto servers = ServersOf(name);
     const auto placed =
-      PlaceModels(servers, pool.mEngine->mModels, mNamed, mWeights);
-    const auto due = DueOf(servers, pool.mEngine->mModels);
+      PlaceModels(servers, pool.mEngine->mModels, mNamed, mModelShares);
+    const auto due = ServersDueToLoad(servers, pool.mEngine->mModels);
     std::size_t loading = 0;
     for (const auto& server : servers) {
       const bool isDue =
@@ -207,10 +210,10 @@
 }
 
 std::vector<std::string>
-assignments::DueOf(const std::vector<placed_server>& aServers,
-                   const std::vector<std::string>& aModels) const
+assignments::ServersDueToLoad(const std::vector<placed_server>& aServers,
+                              const std::vector<std::string>& aModels) const
 {
-  const auto placed = PlaceModels(aServers, aModels, mNamed, mWeights);
+  const auto placed = PlaceModels(aServers, aModels, mNamed, mModelShares);
   std::vector<std::string> due;
   for (const auto& model : aModels) {
     const auto named = mNamed.find(model);
@@ -243,23 +246,23 @@
     aExchange->Answer({ 400, {}, {} });
     return;
   }
-  waiter asked;
-  asked.mExchange = aExchange;
-  asked.mAddress = address->Text();
-  asked.mClaimName = ClaimName(*address);
-  asked.mClaim.mGiver = json::StringAt(*body, "giver", "");
-  asked.mClaim.mEpoch = json::IntegerAt(*body, "epoch", 0);
-  asked.mHeld = DecodeVersions(body->Find("held"));
-  asked.mKnown = DecodeVersions(body->Find("known"));
-  asked.mUntil = boot_clock::now() + kLongestWait;
-  if (IsSuperseded(mParts.mClaims, asked.mClaimName, asked.mClaim)) {
+  waiter request;
+  request.mExchange = aExchange;
+  request.mAddress = address->Text();
+  request.mClaimName = ClaimName(*address);
+  request.mClaim.mGiver = json::StringAt(*body, "giver", "");
+  request.mClaim.mEpoch = json::IntegerAt(*body, "epoch", 0);
+  request.mHeld = DecodeVersions(body->Find("held"));
+  request.mKnown = DecodeVersions(body->Find("known"));
+  request.mUntil = boot_clock::now() + kMaximumHold;
+  if (IsSuperseded(mParts.mClaims, request.mClaimName, request.mClaim)) {
     aExchange->Answer({ kNotGiver, {}, {} });
     return;
   }
-  mLastAsked[asked.mClaimName] = boot_clock::now();
-  mWaiters.push_back(std::move(asked));
+  mLastAsked[request.mClaimName] = boot_clock::now();
+  mWaiters.push_back(std::move(request));
   Refresh();
-  PlanLook();
+  ScheduleEvaluation();
 }
 
 void
@@ -298,11 +301,11 @@
 }
 
 void
-assignments::Look()
+assignments::Evaluate()
 {
   const auto now = boot_clock::now();
-  // Looked up each time: an agent may ask before its server's entry, or any,
-  // is known here.
+  // The servers are looked up at each evaluation, because a controller may ask
+  // before its server is known here.
   const auto servers = ServersByAddress();
   for (auto& waiting : mWaiters) {
     const auto found = servers.find(waiting.mAddress);
@@ -341,16 +344,16 @@
 }
 
 void
-assignments::PlanLook()
+assignments::ScheduleEvaluation()
 {
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kEvaluationInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (aError) {
       return;
     }
-    Look();
+    Evaluate();
     if (!mWaiters.empty()) {
-      PlanLook();
+      ScheduleEvaluation();
     }
   });
 }
--- a/Duties/Versions/Assignments.h
+++ b/Duties/Versions/Assignments.h
@@ -15,109 +15,123 @@
   boost::asio::io_context& mLoop;
   const site::server_directory& mDirectory;
   const site::configuration_ptr& mConfiguration;
-  /** Whose questions are answered. */
+  /** Only the controllers that hold these claims are answered. */
   const claim_table& mClaims;
 };
 
-/** Tells those that give orders which versions their servers shall hold.
+/** Answers the long polls of the servers' controllers for target versions.
  *
- * They wait here for a change. What they say when they ask, namely which
- * versions their server holds now, is fresher than the server's own entry, so
- * the next loads start as soon as earlier ones end. Only the one that holds a
- * server's claim, as far as it is known here, is told anything. */
+ * A request states which versions the controller's server holds. That is more
+ * recent than the server's record in the list, so the next loads start as soon
+ * as earlier ones end. A controller whose claim is known to be superseded is
+ * rejected. */
 class assignments
 {
 public:
   explicit assignments(assignment_parts aParts);
 
-  /** A trainer named a version. */
+  /** Handles a trainer's announcement of a version. */
   void TakeNamed(const std::string& aModel, std::int64_t aVersion);
-  /** A trainer submitted a batch: how far behind the newest version it lets
-   * its tokens be tells how many servers must load the next one. */
+  /** Handles a trainer's submission of a batch. The lag that the batch allows
+   * behind the newest version decides how many servers must load the next
+   * version. */
   void TakeBatch(const std::string& aModel,
                  std::int64_t aMinimumVersion,
                  std::int64_t aExpectedTokens);
-  /** Servers or configuration have changed. */
+  /** Schedules an evaluation after servers, the configuration or the announced
+   * versions have changed. */
   void Refresh();
-  /** Decides what is wanted now, and answers those who wait for it. */
-  void Look();
-  /** Sends all waiting agents to other entries: this one no longer hears which
-   * versions are named, and would hold them for nothing. */
+  /** Recomputes the target versions, and answers the requests for which they
+   * have changed or whose wait is over. */
+  void Evaluate();
+  /** Answers all waiting requests with 503, so that the controllers ask other
+   * entries: this one no longer learns of announced versions. */
   void TurnAway();
-  /** A giver's question. */
+  /** Handles a controller's request. */
   void Serve(const edge::exchange_ptr& aExchange);
-  /** Claims have changed: those who lost theirs are told. */
+  /** Rejects the waiting requests of controllers whose claims have been
+   * superseded. */
   void RefuseSuperseded();
-  /** When the giver of the server with that claim last asked here. */
+  /** Returns when the controller with that claim last sent a request here, now
+   * if one is waiting; none if it never did. */
   std::optional<time_point> LastAsked(const std::string& aClaimName) const;
-  /** Since when a server has been told to load what it doesn't hold. */
+  /** Returns since when the server has been due to load a version that it
+   * doesn't hold. */
   std::optional<time_point> LoadingSince(const std::string& aServerId) const;
 
 private:
+  /** A held request of a controller. */
   struct waiter
   {
     edge::exchange_ptr mExchange;
     std::string mAddress;
     std::string mClaimName;
     giver_claim mClaim;
-    /** Name of the server at that address; empty while it isn't known. */
+    /** Id of the server at that address; empty while unknown. */
     std::string mServer;
     std::map<std::string, std::int64_t> mHeld;
-    /** What it was told before. */
+    /** Target versions that the controller already knows. */
     wanted_versions mKnown;
+    /** When the request is answered even without a change. */
     time_point mUntil;
   };
 
   std::map<std::string, wanted_versions> Decide(time_point aNow);
   std::vector<placed_server> ServersOf(const std::string& aPool) const;
-  std::vector<std::string> DueOf(const std::vector<placed_server>& aServers,
-                                 const std::vector<std::string>& aModels) const;
+  std::vector<std::string> ServersDueToLoad(
+    const std::vector<placed_server>& aServers,
+    const std::vector<std::string>& aModels) const;
   void Answer(const waiter& aWaiter, const wanted_versions& aWanted);
   std::unordered_map<std::string, std::string> ServersByAddress() const;
-  void PlanLook();
-  void UpdateWeights();
-  void LogWeights() const;
+  void ScheduleEvaluation();
+  void UpdateModelShares();
+  void LogModelShares() const;
 
   assignment_parts mParts;
   named_versions mNamed;
-  /** Versions that the last two batches of a model allowed to be behind. */
+  /** Lags behind the newest version that the last two batches of a model
+   * allowed. */
   std::map<std::string, std::pair<std::int64_t, std::int64_t>> mLags;
+  /** Versions that servers hold according to their controllers, by server. */
   std::map<std::string, std::map<std::string, std::int64_t>> mReported;
-  /** Work of a model's batches, newest counting most, and the weights that
-   * follow. They change only when the work has clearly shifted: a server that
-   * moves to another model loads it first. */
+  /** Moving average of the expected tokens of a model's batches. */
   std::map<std::string, double> mWork;
-  model_weights mWeights;
-  /** Since when a server has been told to load what it doesn't hold. */
+  /** Derived from mWork, but changed only when the work has clearly shifted,
+   * because a server that is moved to another model must load it first. */
+  model_weights mModelShares;
+  /** Since when a server has been due to load a version that it doesn't
+   * hold. */
   std::map<std::string, time_point> mLoadingSince;
   std::map<std::string, wanted_versions> mWanted;
   std::vector<waiter> mWaiters;
   std::map<std::string, time_point> mLastAsked;
   boost::asio::steady_timer mTimer;
+  /** Delays an evaluation so that one serves a burst of changes. */
   boost::asio::steady_timer mBurstTimer;
-  bool mIsLookPlanned = false;
+  bool mIsEvaluationScheduled = false;
 };
 
-/** Path at which givers of orders ask; the server's address follows. */
+/** Path of controllers' requests; the server's address follows. */
 constexpr char kAssignmentPath[] = "/assignments/";
-/** The asker's claim isn't the newest. */
+/** Status for a request whose claim has been superseded. */
 constexpr unsigned kNotGiver = 410;
 
-/** What a giver of orders asks. */
+/** A controller's request for its server's target versions. */
 struct assignment_question
 {
   edge::endpoint mServer;
   giver_claim mClaim;
-  /** Versions that its server holds. */
+  /** Versions that the server holds. */
   std::map<std::string, std::int64_t> mHeld;
-  /** What it was told last. */
+  /** Target versions that the controller already knows. */
   wanted_versions mKnown;
 };
 
 edge::request
 EncodeQuestion(const assignment_question& aQuestion);
 
-/** None for anything but an entry's answer. */
+/** Returns none if the response has another status than 200 or its body is
+ * malformed. */
 std::optional<wanted_versions>
 DecodeAssignment(const edge::response& aResponse);
 
--- a/Duties/Versions/GiverClaim.cpp
+++ b/Duties/Versions/GiverClaim.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/** A PUT that changes nothing gives no new revision, so each claim bears a
- * name of its own. */
+/** Each claim contains a new random name, because a PUT that changes nothing
+ * creates no new revision. */
 std::string
 EncodeClaim(const std::string& aGiver, bool aIsTakenOver)
 {
@@ -22,12 +22,12 @@
 }
 
 order_right
-RightOf(const objects::stored_object& aClaimed)
+GrantOf(const objects::stored_object& aClaimed)
 {
   const auto claim = DecodeClaim(aClaimed);
   return { claim.mEpoch,
            boot_clock::now() +
-             (claim.mIsTakenOver ? kFirstOrderAfter : milliseconds(0)) };
+             (claim.mIsTakenOver ? kTakeoverDelay : milliseconds(0)) };
 }
 
 } // namespace
@@ -71,10 +71,10 @@
 bool
 IsSuperseded(const claim_table& aTable,
              const std::string& aClaimName,
-             const giver_claim& aAsker)
+             const giver_claim& aRequester)
 {
   const auto known = aTable.find(aClaimName);
-  return known != aTable.end() && known->second.mEpoch > aAsker.mEpoch;
+  return known != aTable.end() && known->second.mEpoch > aRequester.mEpoch;
 }
 
 void
@@ -93,7 +93,7 @@
         ClaimIfStill(
           aStore, aClaimName, DecodeClaim(aReply.mObject), aGiver, done);
       } else if (aReply.mOutcome == store_outcome::Done) {
-        done(RightOf(aReply.mObject));
+        done(GrantOf(aReply.mObject));
       } else {
         done(std::nullopt);
       }
@@ -110,15 +110,15 @@
   const auto take = [done =
                        std::move(aDone)](const objects::object_reply& aReply) {
     done(aReply.mOutcome == store_outcome::Done
-           ? std::optional(RightOf(aReply.mObject))
+           ? std::optional(GrantOf(aReply.mObject))
            : std::nullopt);
   };
   if (aSeen.mEpoch == 0) {
     aStore.mCreate(kGiverKind, aClaimName, EncodeClaim(aGiver, false), take);
     return;
   }
-  // A giver that claims again after a restart may still have to wait for the
-  // one before it.
+  // A controller that restarts and claims again may still have to wait for the
+  // last order of the controller before it.
   const bool isTakenOver = aSeen.mIsTakenOver || aSeen.mGiver != aGiver;
   aStore.mReplace(kGiverKind,
                   aClaimName,
--- a/Duties/Versions/GiverClaim.h
+++ b/Duties/Versions/GiverClaim.h
@@ -8,27 +8,29 @@
 #include <optional>
 #include <string>
 
-/** Who gives a backend server its orders. Each server has one giver at a time,
- * by an object of the store that only a conditional write changes: the agent
- * beside it, or an entry where there is none or it is gone. The object's
- * revision is the giver's epoch, so epochs grow from one giver to the next. */
+/** Claims on backend servers. The holder of a server's claim is its controller,
+ * the only process that may send it orders: the agent on the server's instance,
+ * or an entry if there is no agent or the agent is gone. The claim is an object
+ * in the store that is changed only by conditional writes. The object's
+ * revision is the claim's epoch, so epochs grow with each new claim. */
 namespace lavender::versions {
 
 constexpr char kGiverKind[] = "ordergivers";
 
-/** Name of the object for the server at an address. */
+/** Returns the name of the claim object of the server at that address. */
 std::string
 ClaimName(const edge::endpoint& aServer);
 
 struct giver_claim
 {
   std::string mGiver;
-  /** Another giver had it before, whose last order may still be on its way. */
+  /** Another controller held the claim before, and its last order may still be
+   * in transit. */
   bool mIsTakenOver = false;
   objects::revision_number mEpoch = 0;
 };
 
-/** All claims that are known here, by the objects' names. */
+/** All claims known to this process, by name of the claim object. */
 using claim_table = std::map<std::string, giver_claim>;
 
 giver_claim
@@ -40,22 +42,22 @@
 void
 TakeClaimEvent(claim_table& aTable, const objects::object_event& aEvent);
 
-/** Whether a later claim than the asker's is known. */
+/** Whether a later claim on the server is known than the requester's. */
 bool
 IsSuperseded(const claim_table& aTable,
              const std::string& aClaimName,
-             const giver_claim& aAsker);
-
-/** A giver orders only this long after an entry has last told it what its
- * server shall hold: entries tell it to the one that holds the claim. */
-constexpr milliseconds kAnswerHolds{ 2000 };
-/** A giver that took a claim from another one waits this long before its first
- * order: until all entries have heard of it (a watch, its loss and a listing
- * take 4.6 s), what they said before has lapsed, and an order on its way has
- * arrived or is lost. */
-constexpr milliseconds kFirstOrderAfter{ 8000 };
-
-/** The right to give orders from some time on. */
+             const giver_claim& aRequester);
+
+/** A controller may send orders for this long after it received target
+ * versions. Entries send them only to the holder of the claim. */
+constexpr milliseconds kAssignmentValidity{ 2000 };
+/** A controller that took a claim over waits this long before its first order.
+ * By then all entries know of the new claim (losing a watch and listing again
+ * takes 4.6 s), assignments to the previous controller have expired, and its
+ * last order has arrived or is lost. */
+constexpr milliseconds kTakeoverDelay{ 8000 };
+
+/** Permission to send orders with that epoch, from some time on. */
 struct order_right
 {
   std::int64_t mEpoch = 0;
@@ -64,15 +66,16 @@
 
 using claim_done = std::function<void(std::optional<order_right>)>;
 
-/** Claims a server for a giver whoever has it; none when the store can't be
- * asked or another one was faster. */
+/** Claims a server, whoever holds its claim. Passes none to the callback if the
+ * store gave no answer or the claim was changed concurrently. */
 void
 ClaimServer(const objects::object_store& aStore,
             const std::string& aClaimName,
             const std::string& aGiver,
             claim_done aDone);
 
-/** The same if the claim is still as seen; 0 for a server without claim. */
+/** Claims a server if its claim is still the one that was seen.
+ * @param aSeen with epoch 0 if the server had no claim */
 void
 ClaimIfStill(const objects::object_store& aStore,
              const std::string& aClaimName,
--- a/Duties/Versions/OrderDecision.h
+++ b/Duties/Versions/OrderDecision.h
@@ -7,30 +7,33 @@
 #include <optional>
 #include <string>
 
-/** Brings model servers to the versions of the weights that trainers name. */
+/** Makes model servers load the versions of the weights that trainers
+ * announce. */
 namespace lavender::versions {
 
+/** What happens to running requests when a server replaces weights. */
 enum class swap_mode
 {
   FinishRunsFirst,
   CutRuns,
-  /** Runs go on under the new version. */
+  /** Runs continue with the new version. */
   KeepRunning
 };
 
-/** What a server says of itself when asked. */
+/** Status that a model server reports. */
 struct server_report
 {
   std::string mServerId;
   std::map<std::string, std::int64_t> mVersions;
-  /** An order is being carried out. */
+  /** Whether the server is carrying out an order. */
   bool mIsBusy = false;
-  /** Orders accepted since its start. */
+  /** Orders that the server has accepted since its start. */
   std::int64_t mAcceptedOrders = 0;
   int mRunning = 0;
   int mWaiting = 0;
 };
 
+/** Tells a server to load a version of a model's weights. */
 struct weight_order
 {
   std::string mServerId;
@@ -38,18 +41,19 @@
   std::int64_t mVersion = 0;
   swap_mode mMode = swap_mode::KeepRunning;
   std::string mHolder;
-  /** Grows from one life of the order's giver to the next. */
+  /** Epoch of the sender's claim; grows with each new claim. */
   std::int64_t mEpoch = 0;
-  /** The server carries the order out only while it has accepted this many: an
-   * order that was delayed on its way finds another number and does nothing. */
+  /** The server rejects the order if its count of accepted orders differs from
+   * this number, so a delayed order has no effect. */
   std::int64_t mAcceptedOrders = 0;
 };
 
-/** Versions that a server shall hold. */
+/** Version that a server shall hold, by model. */
 using wanted_versions = std::map<std::string, std::int64_t>;
 
-/** The order to give now, if the report shows that one is due: never while
- * another is carried out, never to an older version. */
+/** Returns the next order that brings the server to the target versions.
+ * Returns none while the server carries out another order, and never orders an
+ * older version than the server holds. */
 std::optional<weight_order>
 DecideOrder(const server_report& aReport, const wanted_versions& aWanted);
 
--- a/Duties/Versions/OrderDuty.cpp
+++ b/Duties/Versions/OrderDuty.cpp
@@ -10,14 +10,16 @@
 namespace {
 
 constexpr milliseconds kRetryPause = 500ms;
-/** When no entry answers, as in an outage of the store: the list of entries is
- * a priced call. */
+/** Pause after no entry answered, as in an outage of the store. Longer than
+ * kRetryPause because the next step lists the entries, which is a billed
+ * call. */
 constexpr milliseconds kAllSilentPause = 1000ms;
-/** An entry holds a question for eight seconds; probes on the connection find
- * one that was dropped on the way. */
+/** An entry holds a request for up to eight seconds; probes detect a connection
+ * that was lost meanwhile. */
 constexpr milliseconds kAskTimeout = 10s;
 constexpr milliseconds kServerTimeout = 1s;
-/** All givers should ask one entry: it knows who is alive, and all loads. */
+/** All controllers should ask the same entry, because it can then see which of
+ * them are alive and which servers are loading. */
 constexpr milliseconds kPreferredAgainAfter = 10s;
 
 bool
@@ -47,7 +49,7 @@
 }
 
 void
-order_duty::After(milliseconds aPause, void (order_duty::*aStep)())
+order_duty::ScheduleStep(milliseconds aPause, void (order_duty::*aStep)())
 {
   mTimer.expires_after(aPause);
   mTimer.async_wait([this, aStep](const auto& aError) {
@@ -62,16 +64,16 @@
 {
   mParts.mClaim([this](std::optional<order_right> aRight) {
     if (!aRight) {
-      After(kRetryPause, &order_duty::Claim);
+      ScheduleStep(kRetryPause, &order_duty::Claim);
       return;
     }
-    mRight = *aRight;
+    mGrant = *aRight;
     mWanted.clear();
     events::line("server_claimed")
       .With("server", mParts.mServer.Text())
-      .With("epoch", mRight.mEpoch)
+      .With("epoch", mGrant.mEpoch)
       .With("first_order_in_ms",
-            std::chrono::duration_cast<milliseconds>(mRight.mNotBefore -
+            std::chrono::duration_cast<milliseconds>(mGrant.mNotBefore -
                                                      boot_clock::now()));
     FindEntries();
   });
@@ -81,51 +83,52 @@
 order_duty::FindEntries()
 {
   mParts.mEntries([this](std::vector<edge::endpoint> aEntries) {
-    // What was known stays in use while the list can't be had.
+    // Keep the previous list if the entries could not be listed.
     if (!aEntries.empty()) {
       mEntries = std::move(aEntries);
     }
     mEntry = 0;
     if (mEntries.empty()) {
-      After(kRetryPause, &order_duty::FindEntries);
+      ScheduleStep(kRetryPause, &order_duty::FindEntries);
     } else {
-      Ask();
+      RequestAssignment();
     }
   });
 }
 
 void
-order_duty::Ask()
+order_duty::RequestAssignment()
 {
   edge::call_options options;
   options.mSilenceTimeout = kAskTimeout;
   options.mProbesConnection = true;
-  assignment_question question;
-  question.mServer = mParts.mServer;
-  question.mClaim.mGiver = mParts.mName;
-  question.mClaim.mEpoch = mRight.mEpoch;
-  question.mHeld = mHeld;
-  question.mKnown = mWanted;
+  assignment_question request;
+  request.mServer = mParts.mServer;
+  request.mClaim.mGiver = mParts.mName;
+  request.mClaim.mEpoch = mGrant.mEpoch;
+  request.mHeld = mHeld;
+  request.mKnown = mWanted;
   edge::FetchWhole(mParts.mClients,
                    mParts.mLoop,
                    mEntries[mEntry],
-                   EncodeQuestion(question),
+                   EncodeQuestion(request),
                    options,
                    kAskTimeout,
                    64 << 10,
                    [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                     TakeAnswer(aEnd, aAnswer);
+                     OnAssignmentResponse(aEnd, aAnswer);
                    });
 }
 
 void
-order_duty::TakeAnswer(edge::call_end aEnd, const edge::response& aAnswer)
+order_duty::OnAssignmentResponse(edge::call_end aEnd,
+                                 const edge::response& aAnswer)
 {
   const bool isComplete = aEnd == edge::call_end::Complete;
   if (isComplete && aAnswer.mStatus == kNotGiver) {
     events::line("claim_lost")
       .With("server", mParts.mServer.Text())
-      .With("epoch", mRight.mEpoch);
+      .With("epoch", mGrant.mEpoch);
     Claim();
     return;
   }
@@ -137,19 +140,19 @@
     ++mEntry;
     mPreferredAgainAt = boot_clock::now() + kPreferredAgainAfter;
     if (mEntry >= mEntries.size()) {
-      After(kAllSilentPause, &order_duty::FindEntries);
+      ScheduleStep(kAllSilentPause, &order_duty::FindEntries);
     } else {
-      After(50ms, &order_duty::Ask);
+      ScheduleStep(50ms, &order_duty::RequestAssignment);
     }
     return;
   }
   mWanted = *wanted;
-  mToldAt = boot_clock::now();
-  if (mEntry != 0 && mToldAt >= mPreferredAgainAt) {
+  mAssignedAt = boot_clock::now();
+  if (mEntry != 0 && mAssignedAt >= mPreferredAgainAt) {
     mEntry = 0;
   }
   if (mWanted.empty()) {
-    Ask();
+    RequestAssignment();
   } else {
     ReadReport();
   }
@@ -172,48 +175,49 @@
                                            ? mParts.mDecodeReport(aAnswer)
                                            : std::nullopt;
                      if (report) {
-                       TakeReport(*report);
+                       OnReport(*report);
                        return;
                      }
-                     // The server may be away for long; the entry decides anew.
+                     // The server may be unreachable for long, so ask the entry
+                     // again for the target versions.
                      mWanted.clear();
-                     After(kRetryPause, &order_duty::Ask);
+                     ScheduleStep(kRetryPause, &order_duty::RequestAssignment);
                    });
 }
 
 void
-order_duty::TakeReport(const server_report& aReport)
+order_duty::OnReport(const server_report& aReport)
 {
   mHeld = aReport.mVersions;
   if (HoldsAll(aReport, mWanted)) {
-    Ask();
+    RequestAssignment();
     return;
   }
   auto order = DecideOrder(aReport, mWanted);
   if (!order) {
-    After(mParts.mLoadLook, &order_duty::ReadReport);
+    ScheduleStep(mParts.mLoadPollInterval, &order_duty::ReadReport);
     return;
   }
   const auto now = boot_clock::now();
-  if (now < mRight.mNotBefore) {
-    // Until then another giver's last order may arrive.
+  if (now < mGrant.mNotBefore) {
+    // Until then the last order of the previous controller may still arrive.
     mWanted.clear();
-    After(std::chrono::ceil<milliseconds>(mRight.mNotBefore - now),
-          &order_duty::Ask);
+    ScheduleStep(std::chrono::ceil<milliseconds>(mGrant.mNotBefore - now),
+                 &order_duty::RequestAssignment);
     return;
   }
-  if (now - mToldAt > kAnswerHolds) {
+  if (now - mAssignedAt > kAssignmentValidity) {
     mWanted.clear();
-    Ask();
+    RequestAssignment();
     return;
   }
   order->mHolder = mParts.mName;
-  order->mEpoch = mRight.mEpoch;
-  Give(*order);
+  order->mEpoch = mGrant.mEpoch;
+  SendOrder(*order);
 }
 
 void
-order_duty::Give(const weight_order& aOrder)
+order_duty::SendOrder(const weight_order& aOrder)
 {
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
@@ -234,12 +238,13 @@
         .With("expect", aOrder.mAcceptedOrders)
         .With("end", edge::WordFor(aEnd))
         .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
-      // The report tells what became of it, with or without an answer. One that
-      // was turned down isn't sent again at once: the reason lasts.
-      const bool isTurnedDown =
+      // The server's report shows whether the order was carried out, even if
+      // the response was lost. A rejected order isn't repeated at once, because
+      // the reason for its rejection usually still holds.
+      const bool isRejected =
         aEnd == edge::call_end::Complete && aAnswer.mStatus >= 300;
-      After(isTurnedDown ? kRetryPause : mParts.mLoadLook,
-            &order_duty::ReadReport);
+      ScheduleStep(isRejected ? kRetryPause : mParts.mLoadPollInterval,
+                   &order_duty::ReadReport);
     });
 }
 
--- a/Duties/Versions/OrderDuty.h
+++ b/Duties/Versions/OrderDuty.h
@@ -16,23 +16,25 @@
   edge::client_pool& mClients;
   edge::endpoint mServer;
   std::string mName;
-  /** Entries to ask, the preferred one first; told through the callback. */
+  /** Looks up the entries to ask, the preferred one first, and passes them to
+   * the callback. */
   std::function<void(std::function<void(std::vector<edge::endpoint>)>)>
     mEntries;
-  /** Claims the server for this giver; none while it can't be had. */
+  /** Claims the server for this controller; passes none to the callback if the
+   * claim failed. */
   std::function<void(claim_done)> mClaim;
   std::function<edge::request()> mEncodeReport;
   std::function<std::optional<server_report>(const edge::response&)>
     mDecodeReport;
   std::function<edge::request(const weight_order&)> mEncodeOrder;
-  /** Pause between two looks at the server's report while it loads. */
-  milliseconds mLoadLook{ 100 };
+  /** Pause between two reads of the server's report while it loads. */
+  milliseconds mLoadPollInterval{ 100 };
 };
 
-/** Gives one model server its orders. Asks an entry which versions are wanted,
- * reads the server's report, and orders what is missing. An entry answers only
- * the one that holds the server's claim; one that is told that it doesn't
- * claims the server anew. */
+/** Sends one model server its orders. Asks an entry for the server's target
+ * versions, reads the server's report, and orders the versions that it lacks.
+ * An entry answers only the controller that holds the server's claim; if an
+ * entry rejects this one as superseded, it claims the server again. */
 class order_duty
 {
 public:
@@ -43,22 +45,22 @@
 private:
   void Claim();
   void FindEntries();
-  void Ask();
-  void TakeAnswer(edge::call_end aEnd, const edge::response& aAnswer);
+  void RequestAssignment();
+  void OnAssignmentResponse(edge::call_end aEnd, const edge::response& aAnswer);
   void ReadReport();
-  void TakeReport(const server_report& aReport);
-  void Give(const weight_order& aOrder);
-  void After(milliseconds aPause, void (order_duty::*aStep)());
+  void OnReport(const server_report& aReport);
+  void SendOrder(const weight_order& aOrder);
+  void ScheduleStep(milliseconds aPause, void (order_duty::*aStep)());
 
   order_parts mParts;
   boost::asio::steady_timer mTimer;
   std::vector<edge::endpoint> mEntries;
   std::size_t mEntry = 0;
-  /** When to go back to the preferred entry, while another one is asked. */
+  /** When to ask the preferred entry again, while another one is asked. */
   time_point mPreferredAgainAt;
-  order_right mRight;
-  /** When an entry last told what is wanted. */
-  time_point mToldAt;
+  order_right mGrant;
+  /** When an entry last sent the target versions. */
+  time_point mAssignedAt;
   wanted_versions mWanted;
   std::map<std::string, std::int64_t> mHeld;
 };
--- a/Duties/Versions/Placement.cpp
+++ b/Duties/Versions/Placement.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-/** The model of which the server holds a version that was named; the first
- * versions of all models are there from the start and say nothing. */
+/** Returns the model of which the server holds the most recent announced
+ * version. Every server holds version 1 of all models from its start, so
+ * version 1 is ignored. */
 std::optional<std::string>
 HeldModel(const placed_server& aServer,
           const std::vector<std::string>& aModels,
@@ -88,9 +89,9 @@
   for (const auto& [model, work] : aWork) {
     const auto weight = weights[model] = sum > 0 ? work / sum : 0;
     const auto before = aBefore.find(model);
-    hasShifted =
-      hasShifted || before == aBefore.end() ||
-      std::abs(before->second - weight) > kShiftOfWeight * before->second;
+    hasShifted = hasShifted || before == aBefore.end() ||
+                 std::abs(before->second - weight) >
+                   kShareChangeThreshold * before->second;
   }
   return hasShifted ? std::optional(weights) : std::nullopt;
 }
@@ -116,8 +117,8 @@
                       : weight->second;
     shares[model] = 0;
   }
-  // One server at a time to the model that is furthest below its part; a model
-  // without any comes first.
+  // Give each server to the model that is furthest below its share. Models
+  // without any server come first.
   for (std::size_t given = 0; given < aServers; ++given) {
     const auto next = std::max_element(
       aModels.begin(),
@@ -166,7 +167,7 @@
   }
   std::sort(free.begin(), free.end());
   for (const auto& server : free) {
-    const auto poorest =
+    const auto neediest =
       std::max_element(aModels.begin(),
                        aModels.end(),
                        [&](const auto& aLeft, const auto& aRight) {
@@ -176,7 +177,7 @@
                          };
                          return lack(aLeft) < lack(aRight);
                        });
-    byModel[*poorest].push_back(server);
+    byModel[*neediest].push_back(server);
   }
   for (const auto& [model, servers] : byModel) {
     for (const auto& server : servers) {
--- a/Duties/Versions/Placement.h
+++ b/Duties/Versions/Placement.h
@@ -9,67 +9,70 @@
 
 namespace lavender::versions {
 
-/** Newest version that a trainer has named, by model. */
+/** Newest version that a trainer has announced, by model. */
 using named_versions = std::map<std::string, std::int64_t>;
 
-/** A server that may hold weights. */
+/** A server and the version that it holds of each model. */
 struct placed_server
 {
   std::string mId;
   std::map<std::string, std::int64_t> mVersions;
 };
 
-/** Part of the servers' work that each model makes; the sum is one. */
+/** Fraction of the servers' work that each model causes; the sum is one. */
 using model_weights = std::map<std::string, double>;
 
-/** A model's part of the work must change by this much of itself to move
- * servers, which load it first: a guess of one batch's work is off by less, and
- * with many models each one's part is small. */
-constexpr double kShiftOfWeight = 0.25;
+/** Servers are moved between models only if some model's share of the work has
+ * changed by more than this fraction of itself, because a moved server must
+ * load weights first. The estimate of one batch's work is off by less. The
+ * threshold is relative because with many models each share is small. */
+constexpr double kShareChangeThreshold = 0.25;
 
-/** The weights that follow from the models' work, if they have clearly shifted.
- * @param aWork of one batch of each model */
+/** Returns the models' shares of the work if some share has changed by more
+ * than kShareChangeThreshold, else none.
+ * @param aWork expected tokens of one batch, by model */
 std::optional<model_weights>
 ShiftedWeights(const std::map<std::string, double>& aWork,
                const model_weights& aBefore);
 
-/** Servers for each model, by its weight; every model has one if there are
- * enough servers. */
+/** Returns the number of servers for each model, in proportion to its share of
+ * the work. Every model gets at least one if there are enough servers. */
 std::map<std::string, std::size_t>
 SharesOf(std::size_t aServers,
          const std::vector<std::string>& aModels,
          const model_weights& aWeights);
 
-/** Model that each server serves, by server.
+/** Returns the model that each server serves, by server.
  *
- * Each model has its own share of the servers: loading every version of every
- * model on all of them would cost as many loads as there are models. A server
- * keeps the model of which it holds a named version; only what the shares are
- * out of balance by moves. Depends on the arguments alone, so that entries
- * with the same view agree. */
+ * Each model has its own servers: loading every model on every server would
+ * multiply the loads by the number of models. A server keeps the model of which
+ * it holds an announced version, unless that model has more servers than its
+ * share. The result depends on the arguments alone, so entries with the same
+ * state agree. */
 std::map<std::string, std::string>
 PlaceModels(const std::vector<placed_server>& aServers,
             const std::vector<std::string>& aModels,
             const named_versions& aNamed,
             const model_weights& aWeights);
 
-/** Servers of one model's share that shall load the newest version, the most
- * outdated first.
+/** Returns those of one model's servers that shall load the newest version, the
+ * most outdated first.
  *
- * A batch that is asked for when version k is named takes tokens of k - lag
- * and newer. Servers below that are of no use to it and must load. Of the
- * others just enough load that each version is on an equal part of the share:
- * then the next version finds most servers fresh enough, and each server loads
- * only every lag + 1 versions. With a lag of one that halves the loads, each
- * of which costs a server about a second. */
+ * A batch that is submitted when version k is the newest accepts tokens of
+ * version k - lag and later. Servers that hold an older version can't serve the
+ * batch and must load. Of the others just enough load that each version is on
+ * an equal part of the servers. Most servers are then still recent enough when
+ * the next version is announced, and each loads only one in lag + 1 versions. A
+ * lag of one thus halves the loads, each of which takes a server about a
+ * second. */
 std::vector<std::string>
 DueServers(const std::vector<placed_server>& aShare,
            const std::string& aModel,
            std::int64_t aNamed,
            std::int64_t aLag);
 
-/** Servers that load at the same time without slowing each other much: a
- * fifth of the fleet, at least two. */
+/** Returns how many servers may load at the same time without slowing each
+ * other much: a fifth of the servers, at least two. */
 std::size_t
 LoadsAtOnce(std::size_t aServers);
 
--- a/Duties/Versions/SubstituteGiver.cpp
+++ b/Duties/Versions/SubstituteGiver.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr milliseconds kLookEach = 1000ms;
-/** Each report of a server on another instance is priced. */
-constexpr milliseconds kRemoteLook = 400ms;
+constexpr milliseconds kCheckInterval = 1000ms;
+/** Longer than an agent's interval, because each report that is read from a
+ * server on another instance is billed. */
+constexpr milliseconds kRemotePollInterval = 400ms;
 
 bool
 HasLastedFor(const std::optional<time_point>& aSince,
@@ -28,13 +29,13 @@
                 time_point aNow)
 {
   if (!aView.mClaim) {
-    return aNow - aView.mKnownSince >= kAgentStarts;
+    return aNow - aView.mKnownSince >= kAgentStartTime;
   }
   if (aView.mClaim->mGiver == aSelf) {
     return false;
   }
-  const auto lastSign = aView.mLastAsked.value_or(aView.mKnownSince);
-  return aNow - lastSign >= kGiverSilence &&
+  const auto lastHeard = aView.mLastAsked.value_or(aView.mKnownSince);
+  return aNow - lastHeard >= kControllerSilence &&
          HasLastedFor(aView.mLoadingSince, kLoadOverdue, aNow);
 }
 
@@ -47,17 +48,17 @@
 void
 substitute_giver::Start()
 {
-  PlanLook();
+  ScheduleCheck();
 }
 
 void
-substitute_giver::PlanLook()
+substitute_giver::ScheduleCheck()
 {
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (!aError) {
-      Look();
-      PlanLook();
+      CheckServers();
+      ScheduleCheck();
     }
   });
 }
@@ -74,9 +75,9 @@
 }
 
 giver_view
-substitute_giver::ViewOf(const std::string& aClaimName,
-                         const std::string& aServerId,
-                         time_point aNow)
+substitute_giver::StatusOf(const std::string& aClaimName,
+                           const std::string& aServerId,
+                           time_point aNow)
 {
   giver_view view;
   if (const auto known = mParts.mClaims.find(aClaimName);
@@ -90,42 +91,42 @@
 }
 
 void
-substitute_giver::Look()
+substitute_giver::CheckServers()
 {
   if (!mParts.mMayClaim()) {
     mKnownSince.clear();
     mReplaceable.clear();
     return;
   }
-  mParts.mAssignments.Look();
+  mParts.mAssignments.Evaluate();
   const auto now = boot_clock::now();
   for (const auto& [id, row] : mParts.mDirectory.mRows) {
     if (row.mServer.mIsLeaving || !HasEngine(row.mServer)) {
       continue;
     }
     const auto name = ClaimName(row.mServer.mAddress);
-    const auto view = ViewOf(name, id, now);
+    const auto view = StatusOf(name, id, now);
     const bool isOwn = view.mClaim && view.mClaim->mGiver == mParts.mName;
     const bool needsSubstitute = NeedsSubstitute(view, mParts.mName, now);
     if (needsSubstitute) {
       mReplaceable[name] = view.mClaim.value_or(giver_claim{});
     }
     if (isOwn || needsSubstitute) {
-      GiveOrdersOf(row.mServer.mAddress);
+      StartController(row.mServer.mAddress);
     }
   }
 }
 
 void
-substitute_giver::GiveOrdersOf(const edge::endpoint& aServer)
+substitute_giver::StartController(const edge::endpoint& aServer)
 {
   const auto name = ClaimName(aServer);
-  auto& giver = mGivers[name];
-  if (giver) {
+  auto& controller = mControllers[name];
+  if (controller) {
     return;
   }
   events::line("orders_without_agent").With("server", aServer.Text());
-  giver = std::make_unique<order_duty>(order_parts{
+  controller = std::make_unique<order_duty>(order_parts{
     mParts.mLoop,
     mParts.mClients,
     aServer,
@@ -138,8 +139,8 @@
     mParts.mEncodeReport,
     mParts.mDecodeReport,
     mParts.mEncodeOrder,
-    kRemoteLook });
-  giver->Start();
+    kRemotePollInterval });
+  controller->Start();
 }
 
 void
@@ -150,7 +151,7 @@
     ClaimIfStill(mParts.mStore, aClaimName, known->second, mParts.mName, aDone);
     return;
   }
-  // Without leave from a look the claim stays with whom it is.
+  // The claim is replaced only if a check has found that it may be.
   const auto replaceable = mReplaceable.find(aClaimName);
   if (replaceable == mReplaceable.end()) {
     aDone(std::nullopt);
--- a/Duties/Versions/SubstituteGiver.h
+++ b/Duties/Versions/SubstituteGiver.h
@@ -5,28 +5,33 @@
 
 namespace lavender::versions {
 
-/** What the entry that watches the store knows of one server's giver. */
+/** What the entry that watches the store knows of one server's controller. */
 struct giver_view
 {
-  /** Who holds the claim; none when nobody ever claimed the server. */
+  /** None if the server was never claimed. */
   std::optional<giver_claim> mClaim;
-  /** Since when this entry has known the server, and looked after it. */
+  /** Since when this entry has known the server and has been the one that
+   * claims servers. */
   time_point mKnownSince;
-  /** When the giver last asked what is wanted. */
+  /** When the controller last requested the target versions here. */
   std::optional<time_point> mLastAsked;
-  /** Since when the server has been due for a load that didn't come. */
+  /** Since when the server has been due to load a version that it doesn't
+   * hold. */
   std::optional<time_point> mLoadingSince;
 };
 
-/** An agent claims its server within a second of its start. */
-constexpr milliseconds kAgentStarts{ 5000 };
-/** A giver that lives asks this entry at least this often. */
-constexpr milliseconds kGiverSilence{ 20000 };
-/** A load takes about a second, a few when runs go first. */
+/** A server without a claim is left to its agent for this long. An agent claims
+ * its server within a second of its start. */
+constexpr milliseconds kAgentStartTime{ 5000 };
+/** A controller that sent no request for this long counts as silent; a live one
+ * asks this entry more often. */
+constexpr milliseconds kControllerSilence{ 20000 };
+/** A load that takes longer is overdue. A load takes about a second, or a few
+ * seconds if runs finish first. */
 constexpr milliseconds kLoadOverdue{ 10000 };
 
-/** Whether an entry should claim a server: it has no giver, or its giver has
- * been silent for long and a load is overdue. */
+/** Whether the entry should claim the server, because the server has no
+ * controller, or a silent one and an overdue load. */
 bool
 NeedsSubstitute(const giver_view& aView,
                 const std::string& aSelf,
@@ -38,13 +43,14 @@
   edge::client_pool& mClients;
   const objects::object_store& mStore;
   std::string mName;
-  /** Where this entry takes questions of givers. */
+  /** Address at which this entry serves controllers' requests. */
   edge::endpoint mSelf;
   const site::server_directory& mDirectory;
   const site::configuration_ptr& mConfiguration;
   const claim_table& mClaims;
   assignments& mAssignments;
-  /** Whether this entry watches the store for the others. */
+  /** Whether this entry may claim servers: it watches the store for the other
+   * entries. */
   std::function<bool()> mMayClaim;
   std::function<edge::request()> mEncodeReport;
   std::function<std::optional<server_report>(const edge::response&)>
@@ -52,10 +58,11 @@
   std::function<edge::request(const weight_order&)> mEncodeOrder;
 };
 
-/** Gives the orders of servers that have no agent, or lost theirs.
+/** Sends orders to servers that have no agent or whose agent is gone.
  *
- * The entry that watches the store claims them. One that has claimed a server
- * goes on, whoever watches, until another giver takes the claim. */
+ * The entry that watches the store claims such servers. An entry that has
+ * claimed a server stays its controller until another one takes the claim over,
+ * even if it no longer watches the store. */
 class substitute_giver
 {
 public:
@@ -64,22 +71,24 @@
   void Start();
 
 private:
-  void PlanLook();
-  void Look();
+  void ScheduleCheck();
+  void CheckServers();
   bool HasEngine(const site::backend_server& aServer) const;
-  giver_view ViewOf(const std::string& aClaimName,
-                    const std::string& aServerId,
-                    time_point aNow);
-  void GiveOrdersOf(const edge::endpoint& aServer);
+  giver_view StatusOf(const std::string& aClaimName,
+                      const std::string& aServerId,
+                      time_point aNow);
+  void StartController(const edge::endpoint& aServer);
   void Claim(const std::string& aClaimName, const claim_done& aDone);
 
   substitute_parts mParts;
   boost::asio::steady_timer mTimer;
-  /** By the names of claims. */
+  /** By claim name. */
   std::map<std::string, time_point> mKnownSince;
-  /** Claims that this entry may replace, as they were seen. */
+  /** Claims that this entry may replace, as seen at the last check, by claim
+   * name. */
   std::map<std::string, giver_claim> mReplaceable;
-  std::map<std::string, std::unique_ptr<order_duty>> mGivers;
+  /** By claim name. */
+  std::map<std::string, std::unique_ptr<order_duty>> mControllers;
 };
 
 } // namespace lavender::versions
