--- a/Duties/Feed/FeedOrder.cpp
+++ b/Duties/Feed/FeedOrder.cpp
@@ -4,15 +4,15 @@
 
 namespace {
 
-/** Entries that ask one other: a question each half second from so many takes
- * one or two percent of the smallest instance's processor. 360 entries are
- * three steps deep. */
-constexpr std::size_t kFollowersOfOne = 16;
+/** Children of each entry in the tree. Requests each half second from so many
+ * take one or two percent of the smallest instance's processor, and a tree of
+ * 360 entries is three levels deep. */
+constexpr std::size_t kFollowersPerEntry = 16;
 
 } // namespace
 
 std::size_t
-PlaceOf(const std::vector<feed_candidate>& aAll, const std::string& aName)
+RankOf(const std::vector<feed_candidate>& aAll, const std::string& aName)
 {
   std::size_t place = 0;
   while (place < aAll.size() && aAll[place].mName < aName) {
@@ -24,11 +24,11 @@
 std::vector<feed_candidate>
 FeedOrder(const std::vector<feed_candidate>& aAll, const std::string& aName)
 {
-  const auto own = PlaceOf(aAll, aName);
+  const auto own = RankOf(aAll, aName);
   std::vector<feed_candidate> order;
   std::vector<bool> isTaken(own, false);
   for (auto place = own; place > 0;) {
-    place = (place - 1) / kFollowersOfOne;
+    place = (place - 1) / kFollowersPerEntry;
     order.push_back(aAll[place]);
     isTaken[place] = true;
   }
--- a/Duties/Feed/FeedOrder.h
+++ b/Duties/Feed/FeedOrder.h
@@ -7,22 +7,22 @@
 
 namespace lavender::feed {
 
-/** An entry that may watch for others. */
+/** An entry that another entry may follow. */
 struct feed_candidate
 {
   std::string mName;
   edge::endpoint mAddress;
 };
 
-/** Entries whose names come before that one.
- * @param aAll all entries in the order of their names */
+/** Returns the number of entries whose names sort before that one.
+ * @param aAll all entries, sorted by name */
 std::size_t
-PlaceOf(const std::vector<feed_candidate>& aAll, const std::string& aName);
+RankOf(const std::vector<feed_candidate>& aAll, const std::string& aName);
 
-/** Whom an entry asks, in this order, before it watches the store itself: the
- * one above it in a tree of entries by name, those above that one up to the
- * first, then the others whose names come before its own.
- * @param aAll all entries in the order of their names */
+/** Returns the entries that an entry tries to follow, in this order, before it
+ * watches the store itself: its ancestors in a tree of the entries sorted by
+ * name, parent first, then the other entries whose names sort before its own.
+ * @param aAll all entries, sorted by name */
 std::vector<feed_candidate>
 FeedOrder(const std::vector<feed_candidate>& aAll, const std::string& aName);
 
--- a/Duties/Feed/FeedState.cpp
+++ b/Duties/Feed/FeedState.cpp
@@ -99,14 +99,14 @@
 
 object_map
 MergeListing(const object_map& aKnown,
-             const object_map& aTold,
-             objects::revision_number aToldUpTo)
+             const object_map& aReceived,
+             objects::revision_number aReceivedRevision)
 {
-  auto merged = aTold;
+  auto merged = aReceived;
   for (const auto& [name, object] : aKnown) {
-    const auto told = aTold.find(name);
-    const bool isNewer = told == aTold.end()
-                           ? object.mRevision > aToldUpTo
+    const auto told = aReceived.find(name);
+    const bool isNewer = told == aReceived.end()
+                           ? object.mRevision > aReceivedRevision
                            : object.mRevision > told->second.mRevision;
     if (isNewer) {
       merged[name] = object;
@@ -116,9 +116,9 @@
 }
 
 bool
-IsNews(const feed_state& aState,
-       const std::string& aKind,
-       const objects::object_event& aEvent)
+IsNewer(const feed_state& aState,
+        const std::string& aKind,
+        const objects::object_event& aEvent)
 {
   const auto kind = aState.mKinds.find(aKind);
   if (kind == aState.mKinds.end()) {
--- a/Duties/Feed/FeedState.h
+++ b/Duties/Feed/FeedState.h
@@ -6,25 +6,27 @@
 #include <map>
 #include <optional>
 
-/** One entry watches the platform's store and passes on what it hears, so that
- * a change costs one priced call instead of one for each entry. */
+/** One entry watches the platform's store and forwards the changes to the other
+ * entries, so that a change costs one billed call instead of one per entry. */
 namespace lavender::feed {
 
 using feed_number = std::int64_t;
 using object_map = std::map<std::string, objects::stored_object>;
 
-/** A change as it is passed on: encoded once for all that ask. */
+/** A change, encoded once for all requesters. */
 struct feed_change
 {
   feed_number mNumber = 0;
   std::string mJson;
 };
 
-/** Up to which revision of the store each kind is known. */
+/** Revision of the store up to which all changes of a kind are known, by
+ * kind. */
 using kind_revisions = std::map<std::string, objects::revision_number>;
 
-/** What the watching entry has heard. Changes bear numbers of its own, since
- * kinds are watched apart and their revisions come out of order. */
+/** All objects of the followed kinds and the latest changes. Changes have
+ * sequence numbers of this process, because the kinds are watched separately
+ * and so their revisions arrive out of order. */
 struct feed_state
 {
   std::map<std::string, object_map> mKinds;
@@ -33,10 +35,11 @@
   feed_number mNewest = 0;
 };
 
-/** Changes kept for those that ask again; who is further behind gets all. */
+/** Number of changes kept. A requester that is further behind gets the full
+ * state. */
 constexpr std::size_t kKeptChanges = 512;
 
-/** Takes a listing: what differs from before becomes a change. */
+/** Replaces the objects of a kind, and appends a change for each difference. */
 void
 TakeListing(feed_state& aState,
             const std::string& aKind,
@@ -47,52 +50,57 @@
           const std::string& aKind,
           const objects::object_event& aEvent);
 
-/** The kind is known up to that revision at least. */
+/** Raises the revision up to which the kind is known; never lowers it. */
 void
 NoteRevision(feed_state& aState,
              const std::string& aKind,
              objects::revision_number aRevision);
 
-/** What another entry tells of a kind, put together with what is known here:
- * nothing goes back when that entry knows less.
- * @param aToldUpTo revision up to which the other one knows the kind */
+/** Merges a kind's objects received from another entry with those known here.
+ * Objects that are newer here are kept, so that a source that lags behind
+ * undoes no change.
+ * @param aReceivedRevision revision up to which the other entry knows the
+ * kind */
 object_map
 MergeListing(const object_map& aKnown,
-             const object_map& aTold,
-             objects::revision_number aToldUpTo);
+             const object_map& aReceived,
+             objects::revision_number aReceivedRevision);
 
-/** Whether an event says more than what is known here. */
+/** Whether an event is at least as recent as the object known here. */
 bool
-IsNews(const feed_state& aState,
-       const std::string& aKind,
-       const objects::object_event& aEvent);
+IsNewer(const feed_state& aState,
+        const std::string& aKind,
+        const objects::object_event& aEvent);
 
-/** From whom knowledge comes and how old it is, wherever it is passed on. */
+/** Origin and age of a feed's state, kept up as the state is forwarded. */
 struct feed_proof
 {
   /** Name of the entry that watches the store. */
   std::string mOrigin;
-  /** How long before the answer all that is told was the store's state. */
+  /** Time from when the state was last confirmed to match the store until the
+   * response. */
   milliseconds mAge{ 0 };
-  /** How long the question waited for the answer. */
+  /** How long the request was held before the response. */
   milliseconds mHeld{ 0 };
 };
 
-/** Changes as they are written into a body: the same for all that have
- * everything up to one number. */
+/** Encoded changes; the same for all requesters that have the same sequence
+ * number. */
 struct encoded_changes
 {
+  /** Whether these are all objects instead of changes. */
   bool mIsWhole = false;
-  /** Elements of a JSON array. */
+  /** Elements of a JSON array, without its brackets. */
   std::string mJson;
 };
 
-/** Changes after a number; everything when it is unknown or too old. */
+/** Encodes the changes after a sequence number, or the full state if the number
+ * is missing, unknown or older than the changes kept. */
 encoded_changes
 EncodeChanges(const feed_state& aState, std::optional<feed_number> aSince);
 
-/** Body of an answer.
- * @param aLife tells this process's numbers from those of others */
+/** Encodes the body of a response.
+ * @param aLife identifies the process whose sequence numbers these are */
 std::string
 EncodeFeed(const feed_state& aState,
            const std::string& aLife,
@@ -115,6 +123,7 @@
   std::vector<decoded_change> mChanges;
 };
 
+/** Returns none if the body isn't a feed. */
 std::optional<decoded_feed>
 DecodeFeed(const std::string& aBody);
 
--- a/Duties/Feed/HeldQuestions.cpp
+++ b/Duties/Feed/HeldQuestions.cpp
@@ -11,18 +11,21 @@
 constexpr char kLifeField[] = "Lavender-Life";
 constexpr char kSinceField[] = "Lavender-Since";
 constexpr char kAgeField[] = "Lavender-Age-Ms";
-/** By less a proof is the same one: the ways between entries make it older. */
-constexpr milliseconds kLaterProof = 100ms;
-/** A question is answered after this at the latest, so that silence beyond it
- * shows that this entry is gone. In health the next proof comes before. */
-constexpr milliseconds kHold = 700ms;
-
-/** An entry that starts, or finds another source, knows the state within some
- * tens of ms. One that doesn't sends those that ask it elsewhere after this. */
-constexpr milliseconds kHoldWaiting = 300ms;
-
-/** The answer of one that doesn't know the store's state. */
-constexpr unsigned kNoStore = 503;
+/** A confirmation that is later by less counts as the same one, because the
+ * transfer between entries makes a confirmation appear older. */
+constexpr milliseconds kMinimumProofAdvance = 100ms;
+/** A request is answered after this time at the latest, so a requester that
+ * waits longer knows that this entry is gone. Normally the next confirmation
+ * comes earlier. */
+constexpr milliseconds kMaximumHold = 700ms;
+
+/** An entry that starts or changes its source has the state within some tens of
+ * milliseconds. After this time it rejects the requests, so that the requesters
+ * try other entries. */
+constexpr milliseconds kMaximumWaitForSource = 300ms;
+
+/** Status of a rejection by an entry that the store doesn't answer. */
+constexpr unsigned kStoreUnavailable = 503;
 
 milliseconds
 Between(time_point aFrom, time_point aTo)
@@ -42,14 +45,14 @@
 }
 
 edge::request
-EncodeQuestion(const feed_question& aQuestion)
+EncodeQuestion(const feed_question& aFeedRequest)
 {
   edge::request request;
   request.mMethod = "GET";
   request.mTarget = kFeedPath;
-  request.mHeaders.Add(kLifeField, aQuestion.mLife);
-  request.mHeaders.Add(kSinceField, std::to_string(aQuestion.mSince));
-  request.mHeaders.Add(kAgeField, std::to_string(aQuestion.mAge.count()));
+  request.mHeaders.Add(kLifeField, aFeedRequest.mLife);
+  request.mHeaders.Add(kSinceField, std::to_string(aFeedRequest.mSince));
+  request.mHeaders.Add(kAgeField, std::to_string(aFeedRequest.mAge.count()));
   return request;
 }
 
@@ -61,106 +64,113 @@
            milliseconds(aRequest.mHeaders.Integer(kAgeField).value_or(0)) };
 }
 
-held_questions::held_questions(scheduler aScheduler,
-                               std::function<void()> aAnswerAll)
+held_requests::held_requests(scheduler aScheduler,
+                             std::function<void()> aAnswerHeldRequests)
   : mScheduler(std::move(aScheduler))
-  , mAnswerAll(std::move(aAnswerAll))
+  , mAnswerHeldRequests(std::move(aAnswerHeldRequests))
 {
 }
 
 void
-held_questions::Hold(const feed_question& aQuestion,
-                     feed_asker aAsker,
-                     const feed_knowledge& aKnown)
+held_requests::Hold(const feed_question& aFeedRequest,
+                    feed_asker aRequester,
+                    const feed_snapshot& aSnapshot)
 {
-  held question;
-  question.mAsker = std::move(aAsker);
-  question.mAskedAt = mScheduler.mNow();
-  question.mProven = question.mAskedAt - aQuestion.mAge;
-  if (aQuestion.mLife == aKnown.mLife) {
-    question.mSince = aQuestion.mSince;
+  held_request held;
+  held.mRequester = std::move(aRequester);
+  held.mReceivedAt = mScheduler.mNow();
+  held.mRequesterProvenAt = held.mReceivedAt - aFeedRequest.mAge;
+  if (aFeedRequest.mLife == aSnapshot.mLife) {
+    held.mSince = aFeedRequest.mSince;
   }
-  mHeld.push_back(std::move(question));
+  mHeld.push_back(std::move(held));
 }
 
 bool
-held_questions::IsDue(const held& aHeld, const feed_knowledge& aKnown) const
+held_requests::IsDue(const held_request& aHeld,
+                     const feed_snapshot& aSnapshot) const
 {
-  return !aHeld.mSince || *aHeld.mSince < aKnown.mState.mNewest ||
-         aHeld.mProven + kLaterProof < aKnown.mProvenAt ||
-         mScheduler.mNow() >= aHeld.mAskedAt + kHold;
+  return !aHeld.mSince || *aHeld.mSince < aSnapshot.mState.mNewest ||
+         aHeld.mRequesterProvenAt + kMinimumProofAdvance <
+           aSnapshot.mProvenAt ||
+         mScheduler.mNow() >= aHeld.mReceivedAt + kMaximumHold;
 }
 
 time_point
-held_questions::WaitsUntil(const held& aHeld) const
+held_requests::WaitDeadline(const held_request& aHeld) const
 {
-  return std::max(aHeld.mAskedAt, mWaitingSince.value_or(aHeld.mAskedAt)) +
-         kHoldWaiting;
+  return std::max(aHeld.mReceivedAt,
+                  mWaitingForSourceSince.value_or(aHeld.mReceivedAt)) +
+         kMaximumWaitForSource;
 }
 
 void
-held_questions::Answer(const feed_knowledge& aKnown)
+held_requests::Answer(const feed_snapshot& aSnapshot)
 {
   const auto now = mScheduler.mNow();
-  if (aKnown.mRefusal != refusal::Waiting) {
-    mWaitingSince.reset();
-  } else if (!mWaitingSince) {
-    mWaitingSince = now;
+  if (aSnapshot.mRefusal != refusal::WaitingForSource) {
+    mWaitingForSourceSince.reset();
+  } else if (!mWaitingForSourceSince) {
+    mWaitingForSourceSince = now;
   }
-  std::vector<held> kept;
-  // Many that have just started ask for everything at once.
+  std::vector<held_request> kept;
+  // Encode once per sequence number: many entries that start at the same time
+  // request the full state.
   std::map<std::optional<feed_number>, encoded_changes> encoded;
-  for (auto& question : std::exchange(mHeld, {})) {
-    if (question.mAsker.mHasLeft()) {
+  for (auto& held : std::exchange(mHeld, {})) {
+    if (held.mRequester.mHasDisconnected()) {
       continue;
     }
-    if (aKnown.mRefusal == refusal::Waiting && now < WaitsUntil(question)) {
-      kept.push_back(std::move(question));
-    } else if (aKnown.mRefusal != refusal::None) {
-      const auto status =
-        aKnown.mRefusal == refusal::NoStore ? kNoStore : kNotYet;
-      question.mAsker.mAnswer({ status, {}, {} });
-    } else if (IsDue(question, aKnown)) {
-      const feed_proof proof{ aKnown.mOrigin,
-                              Between(aKnown.mProvenAt, now),
+    if (aSnapshot.mRefusal == refusal::WaitingForSource &&
+        now < WaitDeadline(held)) {
+      kept.push_back(std::move(held));
+    } else if (aSnapshot.mRefusal != refusal::None) {
+      const auto status = aSnapshot.mRefusal == refusal::StoreUnavailable
+                            ? kStoreUnavailable
+                            : kRetryLater;
+      held.mRequester.mAnswer({ status, {}, {} });
+    } else if (IsDue(held, aSnapshot)) {
+      const feed_proof proof{ aSnapshot.mOrigin,
+                              Between(aSnapshot.mProvenAt, now),
                               std::chrono::floor<milliseconds>(
-                                now - question.mAskedAt) };
-      auto changes = encoded.find(question.mSince);
+                                now - held.mReceivedAt) };
+      auto changes = encoded.find(held.mSince);
       if (changes == encoded.end()) {
-        changes = encoded
-                    .emplace(question.mSince,
-                             EncodeChanges(aKnown.mState, question.mSince))
-                    .first;
+        changes =
+          encoded
+            .emplace(held.mSince, EncodeChanges(aSnapshot.mState, held.mSince))
+            .first;
       }
-      question.mAsker.mAnswer(
+      held.mRequester.mAnswer(
         { 200,
           {},
-          EncodeFeed(aKnown.mState, aKnown.mLife, changes->second, proof) });
+          EncodeFeed(
+            aSnapshot.mState, aSnapshot.mLife, changes->second, proof) });
     } else {
-      kept.push_back(std::move(question));
+      kept.push_back(std::move(held));
     }
   }
   mHeld = std::move(kept);
-  PlanAnswer(aKnown);
+  ScheduleAnswer(aSnapshot);
 }
 
 void
-held_questions::PlanAnswer(const feed_knowledge& aKnown)
+held_requests::ScheduleAnswer(const feed_snapshot& aSnapshot)
 {
   if (mHeld.empty()) {
     mNextAnswer.reset();
     return;
   }
   auto next = time_point::max();
-  for (const auto& question : mHeld) {
-    next =
-      std::min(next,
-               aKnown.mRefusal == refusal::Waiting ? WaitsUntil(question)
-                                                   : question.mAskedAt + kHold);
+  for (const auto& held : mHeld) {
+    next = std::min(next,
+                    aSnapshot.mRefusal == refusal::WaitingForSource
+                      ? WaitDeadline(held)
+                      : held.mReceivedAt + kMaximumHold);
   }
   const auto wait = Between(mScheduler.mNow(), next);
   mNextAnswer =
-    mScheduler.mAfter(std::max<milliseconds>(wait, 1ms), mAnswerAll);
+    mScheduler.mAfter(std::max<milliseconds>(wait, 1ms), mAnswerHeldRequests);
 }
 
 } // namespace lavender::feed
--- a/Duties/Feed/HeldQuestions.h
+++ b/Duties/Feed/HeldQuestions.h
@@ -6,96 +6,102 @@
 
 namespace lavender::feed {
 
-/** Where the answer to another entry's question goes. */
+/** Sends the response to another entry's request. */
 struct feed_asker
 {
   std::function<void(edge::response)> mAnswer;
-  std::function<bool()> mHasLeft;
+  std::function<bool()> mHasDisconnected;
 };
 
 feed_asker
 AskerOf(const edge::exchange_ptr& aExchange);
 
-/** What another entry asks: all changes after the last that it has from one
- * life of this process, and proof that is later than its own. */
+/** Another entry's request for the changes after the last one that it has, or
+ * for a later confirmation of an unchanged state. */
 struct feed_question
 {
+  /** Process that assigned mSince. */
   std::string mLife;
+  /** Sequence number of the last change that the requester has. */
   feed_number mSince = 0;
-  /** How long ago what it knows was known to be the store's state. */
+  /** How long ago the requester's state was confirmed to match the store. */
   milliseconds mAge{ 0 };
 };
 
 edge::request
-EncodeQuestion(const feed_question& aQuestion);
+EncodeQuestion(const feed_question& aFeedRequest);
 feed_question
 DecodeQuestion(const edge::request& aRequest);
 
-/** Path of the questions between entries. */
+/** Path of the requests between entries. */
 constexpr char kFeedPath[] = "/feed";
 
-/** Status of a refusal by an entry that may know in a moment. */
-constexpr unsigned kNotYet = 421;
+/** Status of a rejection that the requester should retry soon. */
+constexpr unsigned kRetryLater = 421;
 
-/** Why an entry refuses to answer, and what the one that asks makes of it. */
+/** Why an entry doesn't answer with its state. */
 enum class refusal
 {
   None,
-  /** It hears from another entry and should know in a moment, until when the
-   * question waits. */
-  Waiting,
-  /** It may know in a moment: ask again. */
-  NotYet,
-  /** The store doesn't answer it: ask another one. */
-  NoStore
+  /** The entry follows another one and should have a recent state soon.
+   * Requests are held until then. */
+  WaitingForSource,
+  /** The entry's state is too old but may be confirmed soon; the requester
+   * retries. */
+  RetryLater,
+  /** The store doesn't answer this entry; the requester tries another one. */
+  StoreUnavailable
 };
 
-/** What this entry can say at one moment. */
-struct feed_knowledge
+/** The state from which requests are answered at one moment. */
+struct feed_snapshot
 {
   const feed_state& mState;
   const std::string& mLife;
   std::string mOrigin;
-  /** A time at which all that is known was the store's state. */
+  /** Time at which the state was last confirmed to match the store. */
   time_point mProvenAt;
   refusal mRefusal = refusal::None;
 };
 
-/** Questions of other entries that wait for news. */
-class held_questions
+/** Long polls of other entries, held until there is something new to send. */
+class held_requests
 {
 public:
-  /** @param aAnswerAll called when a question has waited long enough */
-  held_questions(scheduler aScheduler, std::function<void()> aAnswerAll);
-
-  void Hold(const feed_question& aQuestion,
-            feed_asker aAsker,
-            const feed_knowledge& aKnown);
-  /** Answers those for which there is news, a later proof, or a refusal. */
-  void Answer(const feed_knowledge& aKnown);
+  /** @param aAnswerHeldRequests called when some request must be answered;
+   * shall call Answer() */
+  held_requests(scheduler aScheduler,
+                std::function<void()> aAnswerHeldRequests);
+
+  void Hold(const feed_question& aFeedRequest,
+            feed_asker aRequester,
+            const feed_snapshot& aSnapshot);
+  /** Answers the requests for which there are changes or a later confirmation,
+   * whose hold is over, or which must be rejected. */
+  void Answer(const feed_snapshot& aSnapshot);
   bool IsEmpty() const { return mHeld.empty(); }
 
 private:
-  struct held
+  struct held_request
   {
-    feed_asker mAsker;
-    /** None when all is asked for. */
+    feed_asker mRequester;
+    /** None if the full state is needed. */
     std::optional<feed_number> mSince;
-    time_point mAskedAt;
-    /** Of what the one that asks knows. */
-    time_point mProven;
+    time_point mReceivedAt;
+    /** When the requester's state was last confirmed to match the store. */
+    time_point mRequesterProvenAt;
   };
 
-  bool IsDue(const held& aHeld, const feed_knowledge& aKnown) const;
-  /** Until when a question waits for what this entry can't tell yet. */
-  time_point WaitsUntil(const held& aHeld) const;
-  void PlanAnswer(const feed_knowledge& aKnown);
+  bool IsDue(const held_request& aHeld, const feed_snapshot& aSnapshot) const;
+  /** Until when a request is held while this entry waits for its own source. */
+  time_point WaitDeadline(const held_request& aHeld) const;
+  void ScheduleAnswer(const feed_snapshot& aSnapshot);
 
   const scheduler mScheduler;
-  const std::function<void()> mAnswerAll;
-  std::vector<held> mHeld;
-  /** Since when this entry can't tell what it will know in a moment. */
-  std::optional<time_point> mWaitingSince;
+  const std::function<void()> mAnswerHeldRequests;
+  std::vector<held_request> mHeld;
+  /** Since when this entry has been waiting for its own source. */
+  std::optional<time_point> mWaitingForSourceSince;
   planned_action mNextAnswer;
 };
 
--- a/Duties/Feed/StoreFeed.cpp
+++ b/Duties/Feed/StoreFeed.cpp
@@ -12,40 +12,45 @@
 
 namespace {
 
-/** Longer than another entry holds a question. */
-constexpr milliseconds kAnswerTimeout = 900ms;
-/** A live entry accepts a connection within some ms. An instance that was taken
- * away stays in the list for twenty seconds, and is asked first when its name
- * is first; each entry that starts would wait for it. */
+/** Longer than another entry holds a request. */
+constexpr milliseconds kResponseTimeout = 900ms;
+/** A live entry accepts a connection within some milliseconds. An instance that
+ * was removed stays in the list for twenty seconds, and if its name sorts
+ * first, each entry that starts would wait for it. */
 constexpr milliseconds kConnectTimeout = 150ms;
-/** An entry whose knowledge is older watches the store itself. With a listing
- * this stays below the two seconds within which a configuration must be in
- * force; in health the age stays below a probe's pause and timeout. */
-constexpr milliseconds kMostAge = 1500ms;
-/** In health knowledge is younger. Past this the first entries by name begin to
- * watch the store, one step after the other, so that the rest hears from one of
- * them before it reaches the greatest age. */
+/** An entry whose state is older watches the store itself. Including the time
+ * of a listing this stays below the two seconds within which a configuration
+ * must be in force. Normally the age stays below a probe's interval and
+ * timeout. */
+constexpr milliseconds kMaximumAge = 1500ms;
+/** Normally the state is more recent. At this age the first kStandbys entries
+ * by name start to watch the store, each kStandbyStep after the one before, so
+ * that the other entries can follow one of them before they reach kMaximumAge.
+ */
 constexpr milliseconds kStandbyAge = 950ms;
 constexpr milliseconds kStandbyStep = 80ms;
 constexpr std::size_t kStandbys = 6;
-/** An entry that was silent isn't asked again for this long. */
-constexpr milliseconds kAvoidSilent = 5000ms;
-/** One that refused may know soon. Longer than it takes to ask all others, or
- * two that refuse would be asked in turn and a third one never. */
-constexpr milliseconds kAvoidRefusing = 1500ms;
-/** How often an entry that watches out of turn looks for the one whose turn
- * it is. */
-constexpr milliseconds kLookForBetter = 3000ms;
-/** Others that are asked, one after the other, each time. */
-constexpr int kLooksInARow = 3;
-/** Of those whom it may follow, the tree and the first ones come first. */
-constexpr std::size_t kSameForAll = 3;
-/** An entry that has just lost its own source is asked again after this. */
-constexpr milliseconds kPause = 200ms;
-constexpr int kMostPauses = 3;
-/** Entries that one without the store asks between two probes. In an outage for
- * all, hundreds would keep one another busy. */
-constexpr int kMostAskedAProbe = 8;
+/** An entry that didn't respond isn't tried again for this long. */
+constexpr milliseconds kSilentBackoff = 5000ms;
+/** An entry that rejected a request isn't tried again for this long, since it
+ * may have a recent state soon. Longer than it takes to try all other entries:
+ * else two that reject would be tried in turn and a third one never. */
+constexpr milliseconds kRefusalBackoff = 1500ms;
+/** How often an entry that watches, though another one should, searches for
+ * that one. */
+constexpr milliseconds kSourceSearchInterval = 3000ms;
+/** Entries that are tried, one after the other, in each search. */
+constexpr int kTriesPerSearch = 3;
+/** The first candidates, which a search tries in their order; it rotates the
+ * others. */
+constexpr std::size_t kCommonCandidates = 3;
+/** An entry that has just lost its own source is tried again after this. */
+constexpr milliseconds kRetryPause = 200ms;
+constexpr int kMaximumRetries = 3;
+/** Entries that one without access to the store tries between two probes. In an
+ * outage of the store for all, hundreds of entries would overload each other
+ * with requests. */
+constexpr int kMaximumTriesPerProbe = 8;
 
 } // namespace
 
@@ -53,7 +58,7 @@
   : mParts(std::move(aParts))
   , mKinds(std::move(aKinds))
   , mLife(MakeRandomName())
-  , mHeld(mParts.mScheduler, [this] { AnswerAll(); })
+  , mHeld(mParts.mScheduler, [this] { AnswerHeldRequests(); })
   , mProvenAt(Now())
 {
 }
@@ -62,8 +67,8 @@
 store_feed::Start()
 {
   mProvenAt = Now();
-  PlanAgeLimit();
-  Choose();
+  ScheduleAgeCheck();
+  ChooseSource();
 }
 
 bool
@@ -105,7 +110,7 @@
 std::size_t
 store_feed::Rank() const
 {
-  return PlaceOf(mParts.mCandidates(), mParts.mName);
+  return RankOf(mParts.mCandidates(), mParts.mName);
 }
 
 milliseconds
@@ -113,22 +118,22 @@
 {
   const auto rank = Rank();
   return rank == 0 || rank > kStandbys
-           ? kMostAge
+           ? kMaximumAge
            : kStandbyAge + kStandbyStep * static_cast<int>(rank - 1);
 }
 
 void
-store_feed::PlanAgeLimit()
+store_feed::ScheduleAgeCheck()
 {
   const auto limit = AgeLimit();
   const auto left = std::chrono::ceil<milliseconds>(mProvenAt + limit - Now());
-  mAgeLimit =
+  mAgeCheck =
     mParts.mScheduler.mAfter(std::max<milliseconds>(left, 1ms), [this, limit] {
       if (mIsWatching) {
         return;
       }
       if (Age() < limit) {
-        PlanAgeLimit();
+        ScheduleAgeCheck();
         return;
       }
       events::line("feed_too_old")
@@ -143,7 +148,7 @@
     });
 }
 
-// Whom to ask
+// Choosing a source
 
 void
 store_feed::Avoid(const std::string& aName, milliseconds aTime)
@@ -184,63 +189,64 @@
 }
 
 void
-store_feed::Choose()
+store_feed::ChooseSource()
 {
   if (const auto candidate = NextCandidate(Candidates())) {
-    AskCandidate(*candidate);
+    RequestFrom(*candidate);
   } else {
     WatchStore();
   }
 }
 
 void
-store_feed::LookForBetter()
+store_feed::ScheduleSourceSearch()
 {
-  mLooksLeft = kLooksInARow;
-  mNextLook = mParts.mScheduler.mAfter(kLookForBetter, [this] {
+  mSearchTriesLeft = kTriesPerSearch;
+  mNextSearch = mParts.mScheduler.mAfter(kSourceSearchInterval, [this] {
     if (mIsWatching) {
-      LookNow();
+      SearchSource();
     }
   });
 }
 
 void
-store_feed::LookNow()
+store_feed::SearchSource()
 {
   auto candidates = Candidates();
   const auto same =
-    static_cast<std::ptrdiff_t>(std::min(kSameForAll, candidates.size()));
+    static_cast<std::ptrdiff_t>(std::min(kCommonCandidates, candidates.size()));
   if (const auto rest = candidates.begin() + same; rest != candidates.end()) {
-    // Each begins at another one: the first by name may all be silent.
+    // Each entry begins at another candidate, because the first ones by name
+    // may all be unresponsive.
     const auto places = static_cast<std::uint64_t>(candidates.end() - rest);
     const auto shift = RendezvousHash(mParts.mName, mLife) % places;
     std::rotate(
       rest, rest + static_cast<std::ptrdiff_t>(shift), candidates.end());
   }
   const auto candidate = NextCandidate(candidates);
-  if (candidate && mLooksLeft > 0) {
-    --mLooksLeft;
-    AskCandidate(*candidate);
+  if (candidate && mSearchTriesLeft > 0) {
+    --mSearchTriesLeft;
+    RequestFrom(*candidate);
   } else {
-    LookForBetter();
+    ScheduleSourceSearch();
   }
 }
 
 void
-store_feed::FollowAnyone()
+store_feed::TryAnySource()
 {
-  // The store may turn this instance away and serve the others.
+  // The store may refuse this instance but serve others.
   const auto candidate = NextCandidate(AllCandidates());
-  if (candidate && mAskedSinceProbe < kMostAskedAProbe) {
-    ++mAskedSinceProbe;
-    AskCandidate(*candidate);
+  if (candidate && mTriedSinceProbe < kMaximumTriesPerProbe) {
+    ++mTriedSinceProbe;
+    RequestFrom(*candidate);
     return;
   }
-  mNextLook = mParts.mScheduler.mAfter(kPause, [this] {
+  mNextSearch = mParts.mScheduler.mAfter(kRetryPause, [this] {
     if (mIsWatching && !mDoesStoreAnswer) {
-      FollowAnyone();
+      TryAnySource();
     } else if (mIsWatching) {
-      LookForBetter();
+      ScheduleSourceSearch();
     }
   });
 }
@@ -248,76 +254,78 @@
 // Following another entry
 
 void
-store_feed::AskCandidate(const feed_candidate& aCandidate)
+store_feed::RequestFrom(const feed_candidate& aCandidate)
 {
   mSourceName = aCandidate.mName;
   mSource = aCandidate.mAddress;
-  Ask();
+  SendRequest();
 }
 
 void
-store_feed::Ask()
+store_feed::SendRequest()
 {
   edge::call_options options;
   options.mConnectTimeout = kConnectTimeout;
-  options.mSilenceTimeout = kAnswerTimeout;
-  const question asked{ ++mQuestion, mSourceName, Now() };
-  mIsAsking = true;
+  options.mSilenceTimeout = kResponseTimeout;
+  const sent_request sent{ ++mRequestNumber, mSourceName, Now() };
+  mIsRequestOutstanding = true;
   mParts.mCall(
     mSource,
     EncodeQuestion({ mSourceLife, mSourceNumber, Age() }),
     options,
-    kAnswerTimeout,
-    [this, asked](edge::call_end aEnd, const edge::response& aAnswer) {
-      TakeAnswer(asked, aEnd, aAnswer);
+    kResponseTimeout,
+    [this, sent](edge::call_end aEnd, const edge::response& aAnswer) {
+      OnResponse(sent, aEnd, aAnswer);
     });
 }
 
 void
-store_feed::TakeAnswer(const question& aQuestion,
+store_feed::OnResponse(const sent_request& aSent,
                        edge::call_end aEnd,
                        const edge::response& aAnswer)
 {
-  if (aQuestion.mNumber != mQuestion) {
+  if (aSent.mNumber != mRequestNumber) {
     return;
   }
-  mIsAsking = false;
+  mIsRequestOutstanding = false;
   const bool isComplete = aEnd == edge::call_end::Complete;
   const auto feed = isComplete && aAnswer.mStatus == 200
                       ? DecodeFeed(aAnswer.mBody)
                       : std::nullopt;
-  std::string reason = isComplete ? "refused" : "no answer";
+  std::string reason = isComplete ? "rejected" : "no response";
   if (feed) {
-    // The time on the way back isn't known, so the answer is taken to have been
-    // given as early as it can have been.
+    // The duration of the transfer isn't known, so the response is assumed to
+    // have been sent at the earliest possible time.
     const auto provenAt =
-      aQuestion.mAskedAt + feed->mProof.mHeld - feed->mProof.mAge;
+      aSent.mSentAt + feed->mProof.mHeld - feed->mProof.mAge;
     reason = ReasonToReject(*feed, provenAt);
     if (reason.empty()) {
-      Accept(*feed, aQuestion.mEntry, provenAt);
+      Accept(*feed, aSent.mEntry, provenAt);
       return;
     }
   }
-  const bool mayKnowSoon = isComplete && (feed || aAnswer.mStatus == kNotYet);
-  if (mayKnowSoon && !mIsWatching && mPauses < kMostPauses &&
+  const bool mayKnowSoon =
+    isComplete && (feed || aAnswer.mStatus == kRetryLater);
+  if (mayKnowSoon && !mIsWatching && mRetries < kMaximumRetries &&
       Age() < kStandbyAge) {
-    ++mPauses;
-    mNextLook = mParts.mScheduler.mAfter(kPause, [this] { Choose(); });
+    ++mRetries;
+    mNextSearch =
+      mParts.mScheduler.mAfter(kRetryPause, [this] { ChooseSource(); });
     return;
   }
   events::line("feed_lost")
-    .With("entry", aQuestion.mEntry)
+    .With("entry", aSent.mEntry)
     .With("end", edge::WordFor(aEnd))
     .With("status", static_cast<std::int64_t>(aAnswer.mStatus))
     .With("reason", reason)
     .With("known_ms_ago", Age());
-  // One that has followed this entry may watch for itself in a moment.
+  // An entry that follows this one may start to watch the store soon.
   const bool isAskedAgainSoon = mayKnowSoon && mIsWatching && !mDoesStoreAnswer;
-  Avoid(aQuestion.mEntry,
-        !isComplete        ? kAvoidSilent
-        : isAskedAgainSoon ? kPause
-                           : kAvoidRefusing);
-  AskAnother();
+  Avoid(aSent.mEntry,
+        !isComplete        ? kSilentBackoff
+        : isAskedAgainSoon ? kRetryPause
+                           : kRefusalBackoff);
+  TryNextSource();
 }
 
 std::string
@@ -325,13 +333,13 @@
                            time_point aProvenAt) const
 {
   if (aFeed.mProof.mOrigin == mParts.mName) {
-    return "own knowledge";
+    return "state comes from this entry";
   }
-  if (Now() - aProvenAt > kMostAge) {
-    return "knowledge too old";
+  if (Now() - aProvenAt > kMaximumAge) {
+    return "state too old";
   }
   if (mIsWatching && !mDoesStoreAnswer && aProvenAt <= ProvenAt()) {
-    return "knows no more";
+    return "state no more recent than own";
   }
   return "";
 }
@@ -341,7 +349,7 @@
                    const std::string& aEntry,
                    time_point aProvenAt)
 {
-  mPauses = 0;
+  mRetries = 0;
   mProvenAt = std::max(ProvenAt(), aProvenAt);
   mOrigin = aFeed.mProof.mOrigin;
   if (mIsWatching) {
@@ -350,43 +358,44 @@
       .With("origin", mOrigin)
       .With("known_ms_ago", Age());
     StopWatching();
-    mFollowsSince = Now();
-    PlanAgeLimit();
+    mFollowingSince = Now();
+    ScheduleAgeCheck();
   }
-  if (aEntry > mParts.mName && Now() - mFollowsSince > kLookForBetter) {
-    mFollowsSince = Now();
-    LookWhetherStoreAnswers();
+  if (aEntry > mParts.mName &&
+      Now() - mFollowingSince > kSourceSearchInterval) {
+    mFollowingSince = Now();
+    CheckDirectAccess();
   }
-  Apply(aFeed);
+  ApplyFeed(aFeed);
   SetReachable(true);
-  AnswerAll();
-  Ask();
+  AnswerHeldRequests();
+  SendRequest();
 }
 
 void
-store_feed::AskAnother()
+store_feed::TryNextSource()
 {
   if (!mIsWatching) {
-    Choose();
+    ChooseSource();
   } else if (mDoesStoreAnswer) {
-    LookNow();
+    SearchSource();
   } else {
-    FollowAnyone();
+    TryAnySource();
   }
 }
 
 void
-store_feed::Apply(const decoded_feed& aFeed)
+store_feed::ApplyFeed(const decoded_feed& aFeed)
 {
   mSourceLife = aFeed.mLife;
   mSourceNumber = aFeed.mNewest;
   if (aFeed.mIsWhole) {
-    ApplyWhole(aFeed);
+    ApplyFullState(aFeed);
   } else {
     for (const auto& change : aFeed.mChanges) {
       for (const auto& kind : mKinds) {
         if (kind.mKind == change.mKind &&
-            IsNews(mState, change.mKind, change.mEvent)) {
+            IsNewer(mState, change.mKind, change.mEvent)) {
           TakeEvent(mState, change.mKind, change.mEvent);
           kind.mOnEvent(change.mEvent);
         }
@@ -399,7 +408,7 @@
 }
 
 void
-store_feed::ApplyWhole(const decoded_feed& aFeed)
+store_feed::ApplyFullState(const decoded_feed& aFeed)
 {
   std::map<std::string, object_map> told;
   for (const auto& change : aFeed.mChanges) {
--- a/Duties/Feed/StoreFeed.h
+++ b/Duties/Feed/StoreFeed.h
@@ -7,13 +7,14 @@
 
 namespace lavender::feed {
 
-/** By what an entry that watches a kind knows that it is up to date. */
+/** How an entry that watches a kind decides that its state is current. */
 enum class kind_proof
 {
-  /** Each answer to a watch proves it anew; changes must be known in time. */
+  /** The state is confirmed by each response to a watch. For kinds whose
+   * changes must become known in time. */
   EachAnswer,
-  /** The watch isn't known to be lost. Its waits may be longer, as each answer
-   * is priced. */
+  /** The state counts as current unless the watch is known to be lost. Allows
+   * longer watches, and each response to a watch is billed. */
   WatchNotLost
 };
 
@@ -30,9 +31,10 @@
 {
   scheduler mScheduler;
   const objects::object_store& mStore;
-  /** The same store without other entries' help: whether it serves this one. */
+  /** The same store, but never through other entries; shows whether the store
+   * serves this entry. */
   const objects::object_store& mDirectStore;
-  /** Calls another entry; the deadline is of the whole call. */
+  /** Calls another entry; the deadline covers the whole call. */
   std::function<void(const edge::endpoint&,
                      const edge::request&,
                      const edge::call_options&,
@@ -40,46 +42,51 @@
                      edge::whole_answer)>
     mCall;
   std::string mName;
-  /** An object of this entry's own, read to learn whether the store answers. */
+  /** Kind of this entry's own object, which is read to check whether the store
+   * answers. */
   std::string mProbeKind;
-  /** All entries in the order of their names, this one included. */
+  /** Returns all entries sorted by name, including this one. */
   std::function<std::vector<feed_candidate>()> mCandidates;
-  /** The store's state is known again, or can't be learned from anybody. */
+  /** Called when the store's state becomes known again, or can no longer be
+   * obtained from the store or any entry. */
   std::function<void(bool aIsReachable)> mOnContact;
 };
 
-/** Keeps this entry up to date about some kinds of objects.
+/** Keeps this entry's copy of some kinds of objects up to date.
  *
- * The first entry by name watches the store; the others ask it, or one that
- * asks it, and learn of a change as soon as that one does. Each answer tells
- * when its knowledge was last proven to be the store's state, by the entry that
- * watches; passing it on makes it no younger. An entry whose own knowledge is
- * older than kMostAge watches the store itself, whoever answers it. So the loss
- * of any other entry delays a change by that much at most, and being cut off
- * from the store but not from the other entries delays nothing. */
+ * The first entry by name watches the store. The others follow it, directly or
+ * through other entries, by long polls, and receive a change as soon as their
+ * source does. Each response tells when the entry that watches last confirmed
+ * the state; forwarding doesn't change that time. An entry whose state was last
+ * confirmed more than kMaximumAge ago watches the store itself, even if its
+ * source still answers. The loss of any other entry thus delays a change by
+ * kMaximumAge at most, and an entry that reaches the other entries but not the
+ * store has no delay. */
 class store_feed
 {
 public:
   store_feed(feed_parts aParts, std::vector<followed_kind> aKinds);
 
   void Start();
-  /** Another entry's question. */
-  void Serve(const edge::request& aQuestion, feed_asker aAsker);
-  /** Every kind has been listed at least once. */
+  /** Handles another entry's request. */
+  void Serve(const edge::request& aRequest, feed_asker aRequester);
+  /** Whether every kind has been listed at least once. */
   bool HasListed() const;
   bool IsReachable() const { return mIsReachable; }
-  /** This entry watches the store, and the store answers it. */
+  /** Whether this entry watches the store and the store answers it. */
   bool IsWatching() const { return mIsWatching && mDoesStoreAnswer; }
-  /** How long ago what is known here was known to be the store's state. */
+  /** Returns how long ago the state here was confirmed to match the store. */
   milliseconds Age() const
   {
     return std::chrono::duration_cast<milliseconds>(Now() - ProvenAt());
   }
-  /** Name of the entry that this one hears from, or "store". */
+  /** Returns the name of the entry that this one follows, or "store". */
   std::string SourceName() const { return mIsWatching ? "store" : mSourceName; }
-  /** Name of the entry whose watch tells of changes here. */
+  /** Returns the name of the entry that watches the store and from which the
+   * state here comes. */
   const std::string& Origin() const { return mOrigin; }
-  /** The entry that this one hears from, unless it watches itself. */
+  /** Returns the address of the entry that this one follows; none if it watches
+   * the store itself or no entry has answered yet. */
   std::optional<edge::endpoint> Source() const
   {
     return mIsWatching || mSourceNumber == 0 ? std::nullopt
@@ -87,98 +94,105 @@
   }
 
 private:
-  struct question
+  /** A request to another entry. */
+  struct sent_request
   {
     std::uint64_t mNumber = 0;
     std::string mEntry;
-    time_point mAskedAt;
+    time_point mSentAt;
   };
 
   time_point Now() const { return mParts.mScheduler.mNow(); }
   time_point ProvenAt() const;
-  /** Whom this entry may follow for long, in the order in which it asks. */
+  /** Returns the entries that this one may follow permanently, preferred ones
+   * first. */
   std::vector<feed_candidate> Candidates() const;
-  /** Those, then all others, for one that the store doesn't serve. */
+  /** Returns Candidates() and then all other entries; for an entry that the
+   * store doesn't serve. */
   std::vector<feed_candidate> AllCandidates() const;
   std::optional<feed_candidate> NextCandidate(
     const std::vector<feed_candidate>& aCandidates) const;
   void Avoid(const std::string& aName, milliseconds aTime);
-  void Choose();
-  void AskCandidate(const feed_candidate& aCandidate);
-  void Ask();
-  void TakeAnswer(const question& aQuestion,
+  void ChooseSource();
+  void RequestFrom(const feed_candidate& aCandidate);
+  void SendRequest();
+  void OnResponse(const sent_request& aSent,
                   edge::call_end aEnd,
                   const edge::response& aAnswer);
+  /** Returns why the feed isn't accepted; empty if it is. */
   std::string ReasonToReject(const decoded_feed& aFeed,
                              time_point aProvenAt) const;
   void Accept(const decoded_feed& aFeed,
               const std::string& aEntry,
               time_point aProvenAt);
-  void AskAnother();
-  void LookWhetherStoreAnswers();
-  void Apply(const decoded_feed& aFeed);
-  void ApplyWhole(const decoded_feed& aFeed);
-  /** Entries whose names come before this one's. */
+  void TryNextSource();
+  void CheckDirectAccess();
+  void ApplyFeed(const decoded_feed& aFeed);
+  void ApplyFullState(const decoded_feed& aFeed);
+  /** Returns the number of entries whose names sort before this one's. */
   std::size_t Rank() const;
-  /** Age of its knowledge at which this entry watches the store itself. */
+  /** Returns the age of the state at which this entry watches the store
+   * itself. */
   milliseconds AgeLimit() const;
-  void PlanAgeLimit();
+  void ScheduleAgeCheck();
   void WatchStore();
-  /** Looks for somebody who knows, and whether the store answers, before it
-   * watches anything. */
+  /** Looks for an entry to follow and probes the store, without watching
+   * anything yet. */
   void SeekSource();
-  void AddMirrors();
-  void AddMirror(const followed_kind& aKind);
-  void NoteListing(const followed_kind& aKind, const object_map& aObjects);
+  void StartMirrors();
+  void StartMirror(const followed_kind& aKind);
+  void OnListing(const followed_kind& aKind, const object_map& aObjects);
   bool HaveMirrorsListed() const;
   void StopWatching();
-  void Probe(milliseconds aPause);
-  void TakeFirstAnswer();
-  void TakeProbe(const objects::object_reply& aReply);
-  /** Plans to look for an entry to follow, while this one watches. */
-  void LookForBetter();
-  void LookNow();
-  void FollowAnyone();
-  refusal Refusal() const;
-  void NoteRefusal(refusal aRefusal);
-  feed_knowledge Knowledge() const;
-  void AnswerAll();
+  void ScheduleProbe(milliseconds aPause);
+  void OnFirstAnswer();
+  void OnProbeResult(const objects::object_reply& aReply);
+  /** Schedules a search for an entry to follow, while this one watches. */
+  void ScheduleSourceSearch();
+  void SearchSource();
+  void TryAnySource();
+  refusal CurrentRefusal() const;
+  void LogRefusal(refusal aRefusal);
+  feed_snapshot Snapshot() const;
+  void AnswerHeldRequests();
   void SetReachable(bool aIsReachable);
 
   feed_parts mParts;
   std::vector<followed_kind> mKinds;
   feed_state mState;
   const std::string mLife;
-  held_questions mHeld;
+  held_requests mHeld;
   std::vector<std::shared_ptr<objects::mirror>> mMirrors;
   std::map<std::string, time_point> mAvoidedUntil;
   std::map<std::string, bool> mIsListed;
-  planned_action mNextLook;
+  planned_action mNextSearch;
   planned_action mNextProbe;
-  planned_action mMirrorsSoon;
-  planned_action mAgeLimit;
+  planned_action mDelayedMirrorStart;
+  planned_action mAgeCheck;
   edge::endpoint mSource;
   std::string mSourceName;
   std::string mSourceLife;
   std::string mOrigin;
   feed_number mSourceNumber = 0;
-  std::uint64_t mQuestion = 0;
-  /** An answer to the newest question may still come. */
-  bool mIsAsking = false;
-  /** Pauses for a source that may know in a moment, since the last answer. */
-  int mPauses = 0;
-  int mAskedSinceProbe = 0;
-  int mLooksLeft = 0;
-  time_point mFollowsSince;
-  /** Of what was known when this entry last heard from another one. */
+  std::uint64_t mRequestNumber = 0;
+  /** Whether the newest request may still be answered. */
+  bool mIsRequestOutstanding = false;
+  /** Retries since the last accepted response, at sources that may have a
+   * recent state soon. */
+  int mRetries = 0;
+  int mTriedSinceProbe = 0;
+  int mSearchTriesLeft = 0;
+  time_point mFollowingSince;
+  /** When the state was confirmed to match the store, according to the last
+   * accepted response of another entry. */
   time_point mProvenAt;
   bool mIsWatching = false;
-  /** It watches nothing yet, as others should know more. */
+  /** Whether this entry looks for a source before it starts any watch. */
   bool mIsSeeking = false;
   bool mDoesStoreAnswer = true;
   bool mIsReachable = true;
-  /** What the log last said of it. */
-  refusal mNotedRefusal = refusal::None;
+  /** Refusal in the last log line about refusals. */
+  refusal mLoggedRefusal = refusal::None;
 };
 
 } // namespace lavender::feed
--- a/Duties/Feed/StoreFeedAnswers.cpp
+++ b/Duties/Feed/StoreFeedAnswers.cpp
@@ -2,15 +2,16 @@
 
 #include "Libraries/EventLog/EventLog.h"
 
-/** What an entry tells those that follow it. */
+/** Responses of an entry to those that follow it. */
 namespace lavender::feed {
 
 using namespace std::chrono_literals;
 
 namespace {
 
-/** Older knowledge isn't passed on: who gets it has time left to ask others. */
-constexpr milliseconds kMostAgePassedOn = 1200ms;
+/** An older state isn't sent, so that requesters have time left to try other
+ * entries. */
+constexpr milliseconds kMaximumServedAge = 1200ms;
 
 const char*
 WordFor(refusal aRefusal)
@@ -18,11 +19,11 @@
   switch (aRefusal) {
     case refusal::None:
       return "none";
-    case refusal::Waiting:
-      return "waits for another entry";
-    case refusal::NotYet:
-      return "knowledge too old";
-    case refusal::NoStore:
+    case refusal::WaitingForSource:
+      return "waiting for another entry";
+    case refusal::RetryLater:
+      return "state too old";
+    case refusal::StoreUnavailable:
       break;
   }
   return "store doesn't answer";
@@ -31,24 +32,24 @@
 } // namespace
 
 refusal
-store_feed::Refusal() const
+store_feed::CurrentRefusal() const
 {
   if (mIsWatching && !mDoesStoreAnswer) {
-    return refusal::NoStore;
+    return refusal::StoreUnavailable;
   }
   if (!HasListed()) {
-    return refusal::Waiting;
+    return refusal::WaitingForSource;
   }
-  if (Age() <= kMostAgePassedOn) {
+  if (Age() <= kMaximumServedAge) {
     return refusal::None;
   }
-  return mIsWatching ? refusal::NotYet : refusal::Waiting;
+  return mIsWatching ? refusal::RetryLater : refusal::WaitingForSource;
 }
 
 void
-store_feed::NoteRefusal(refusal aRefusal)
+store_feed::LogRefusal(refusal aRefusal)
 {
-  if (aRefusal == mNotedRefusal) {
+  if (aRefusal == mLoggedRefusal) {
     return;
   }
   std::string lost;
@@ -62,33 +63,33 @@
     .With("origin", mOrigin)
     .With("known_ms_ago", Age())
     .With("lost", lost);
-  mNotedRefusal = aRefusal;
+  mLoggedRefusal = aRefusal;
 }
 
-feed_knowledge
-store_feed::Knowledge() const
+feed_snapshot
+store_feed::Snapshot() const
 {
-  return { mState, mLife, mOrigin, ProvenAt(), Refusal() };
+  return { mState, mLife, mOrigin, ProvenAt(), CurrentRefusal() };
 }
 
 void
-store_feed::Serve(const edge::request& aQuestion, feed_asker aAsker)
+store_feed::Serve(const edge::request& aRequest, feed_asker aRequester)
 {
-  mHeld.Hold(DecodeQuestion(aQuestion), std::move(aAsker), Knowledge());
-  AnswerAll();
+  mHeld.Hold(DecodeQuestion(aRequest), std::move(aRequester), Snapshot());
+  AnswerHeldRequests();
 }
 
 void
-store_feed::AnswerAll()
+store_feed::AnswerHeldRequests()
 {
   if (mIsWatching) {
     for (const auto& mirror : mMirrors) {
       NoteRevision(mState, mirror->Kind(), mirror->Revision());
     }
   }
-  const auto known = Knowledge();
+  const auto known = Snapshot();
   if (!mHeld.IsEmpty()) {
-    NoteRefusal(known.mRefusal);
+    LogRefusal(known.mRefusal);
   }
   mHeld.Answer(known);
 }
--- a/Duties/Feed/StoreFeedWatching.cpp
+++ b/Duties/Feed/StoreFeedWatching.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-/** How often the watching entry makes sure that the store answers, and how
- * long it waits for that. */
-constexpr milliseconds kProbeEach = 500ms;
+/** Interval and timeout of the reads by which the watching entry checks that
+ * the store answers. */
+constexpr milliseconds kProbeInterval = 500ms;
 constexpr milliseconds kProbeTimeout = 600ms;
-/** Other entries look for somebody who knows before they watch. The first
- * probe is early, since the store may serve them and none of the others. */
+/** Entries past the standbys look for a source before they watch. The first
+ * probe is early, because the store may serve only them. */
 constexpr milliseconds kFirstProbe = 100ms;
-constexpr milliseconds kSeekingProbeEach = 1000ms;
-/** After an outage the first entries know the state within a probe's pause and
- * a listing. */
-constexpr milliseconds kOthersList = 700ms;
+constexpr milliseconds kSeekingProbeInterval = 1000ms;
+/** Time that the first entries by name need after an outage to have the state:
+ * a probe's interval and a listing. */
+constexpr milliseconds kOthersListingTime = 700ms;
 
 /** Whether the store answered a read, whatever it found. */
 bool
@@ -40,9 +40,9 @@
   }
   mIsWatching = true;
   mDoesStoreAnswer = true;
-  AddMirrors();
-  Probe(kProbeEach);
-  LookForBetter();
+  StartMirrors();
+  ScheduleProbe(kProbeInterval);
+  ScheduleSourceSearch();
 }
 
 void
@@ -51,45 +51,45 @@
   mIsWatching = true;
   mIsSeeking = true;
   mDoesStoreAnswer = false;
-  mAskedSinceProbe = 0;
-  ++mQuestion;
-  mIsAsking = false;
-  Probe(kFirstProbe);
-  FollowAnyone();
+  mTriedSinceProbe = 0;
+  ++mRequestNumber;
+  mIsRequestOutstanding = false;
+  ScheduleProbe(kFirstProbe);
+  TryAnySource();
 }
 
 void
-store_feed::AddMirrors()
+store_feed::StartMirrors()
 {
   mIsSeeking = false;
   events::line("feed_watches_store").With("known_ms_ago", Age());
   for (const auto& kind : mKinds) {
-    AddMirror(kind);
+    StartMirror(kind);
   }
 }
 
 void
-store_feed::AddMirror(const followed_kind& aKind)
+store_feed::StartMirror(const followed_kind& aKind)
 {
   objects::mirror_options options = aKind.mOptions;
   options.mKind = aKind.mKind;
   options.mMayCall = [this] { return mDoesStoreAnswer; };
   objects::mirror_events heard;
   heard.mOnListed = [this, &aKind](const object_map& aObjects) {
-    NoteListing(aKind, aObjects);
+    OnListing(aKind, aObjects);
   };
   heard.mOnEvent = [this, &aKind](const objects::object_event& aEvent) {
     TakeEvent(mState, aKind.mKind, aEvent);
     aKind.mOnEvent(aEvent);
   };
-  heard.mOnProven = [this] { AnswerAll(); };
+  heard.mOnProven = [this] { AnswerHeldRequests(); };
   mMirrors.push_back(std::make_shared<objects::mirror>(
     mParts.mScheduler, mParts.mStore, options, heard));
   mMirrors.back()->Start();
 }
 
 void
-store_feed::NoteListing(const followed_kind& aKind, const object_map& aObjects)
+store_feed::OnListing(const followed_kind& aKind, const object_map& aObjects)
 {
   TakeListing(mState, aKind.mKind, aObjects);
   mIsListed[aKind.mKind] = true;
@@ -97,7 +97,7 @@
     mOrigin = mParts.mName;
   }
   aKind.mOnListed(aObjects);
-  AnswerAll();
+  AnswerHeldRequests();
 }
 
 void
@@ -105,7 +105,7 @@
 {
   mIsWatching = false;
   mIsSeeking = false;
-  mMirrorsSoon.reset();
+  mDelayedMirrorStart.reset();
   for (const auto& mirror : mMirrors) {
     mirror->Stop();
   }
@@ -114,7 +114,7 @@
 }
 
 void
-store_feed::Probe(milliseconds aPause)
+store_feed::ScheduleProbe(milliseconds aPause)
 {
   mNextProbe = mParts.mScheduler.mAfter(aPause, [this] {
     if (!mIsWatching) {
@@ -123,7 +123,7 @@
     const auto answered = std::make_shared<bool>(false);
     const auto take = [this, answered](const objects::object_reply& aReply) {
       if (!std::exchange(*answered, true) && mIsWatching) {
-        TakeProbe(aReply);
+        OnProbeResult(aReply);
       }
     };
     mParts.mStore.mGet(
@@ -135,66 +135,69 @@
 }
 
 void
-store_feed::TakeProbe(const objects::object_reply& aReply)
+store_feed::OnProbeResult(const objects::object_reply& aReply)
 {
-  mAskedSinceProbe = 0;
+  mTriedSinceProbe = 0;
   const bool answers = IsAnswer(aReply);
   const bool isRegained = answers && !mDoesStoreAnswer;
   mDoesStoreAnswer = answers;
   if (isRegained && mIsSeeking) {
-    TakeFirstAnswer();
+    OnFirstAnswer();
   } else if (isRegained) {
-    // Watches from before the silence may never be answered.
+    // Watches that were started before the outage may never be answered.
     for (const auto& mirror : mMirrors) {
       mirror->ListAgain();
     }
-    LookForBetter();
+    ScheduleSourceSearch();
   }
   SetReachable(answers && !mIsSeeking);
-  AnswerAll();
-  // Asking anew would hide for ever that the one asked now is silent.
-  if (!answers && !mIsAsking) {
-    FollowAnyone();
+  AnswerHeldRequests();
+  // A new request now would replace the outstanding one, whose timeout then
+  // would never show that its entry is unresponsive.
+  if (!answers && !mIsRequestOutstanding) {
+    TryAnySource();
   }
-  Probe(mIsSeeking ? kSeekingProbeEach : kProbeEach);
+  ScheduleProbe(mIsSeeking ? kSeekingProbeInterval : kProbeInterval);
 }
 
 void
-store_feed::TakeFirstAnswer()
+store_feed::OnFirstAnswer()
 {
   if (mIsReachable) {
-    AddMirrors();
-    LookForBetter();
+    StartMirrors();
+    ScheduleSourceSearch();
     return;
   }
-  // The store is back for all, and the first entries by name list it now.
+  // The store is back for all entries, and the first ones by name are listing
+  // it now. Wait for them instead of listing as well.
   mDoesStoreAnswer = false;
   mAvoidedUntil.clear();
-  mMirrorsSoon = mParts.mScheduler.mAfter(kOthersList, [this] {
+  mDelayedMirrorStart = mParts.mScheduler.mAfter(kOthersListingTime, [this] {
     if (mIsSeeking) {
       mDoesStoreAnswer = true;
-      AddMirrors();
-      LookForBetter();
+      StartMirrors();
+      ScheduleSourceSearch();
     }
   });
-  if (!mIsAsking) {
-    FollowAnyone();
+  if (!mIsRequestOutstanding) {
+    TryAnySource();
   }
 }
 
 void
-store_feed::LookWhetherStoreAnswers()
+store_feed::CheckDirectAccess()
 {
-  // This entry's turn comes before that of the one it follows, and the store
-  // may have it back. It follows on meanwhile: leaving first, an entry that is
-  // still turned away would know nothing for half a second of every three.
+  // The store may serve this entry again, which then should watch rather than
+  // follow an entry whose name sorts after its own. It keeps following during
+  // the check: otherwise an entry that the store still refuses would get no
+  // changes for half a second out of every three.
   mParts.mDirectStore.mGet(mParts.mProbeKind,
                            mParts.mName,
                            objects::freshness::MayBeStale,
                            [this](const objects::object_reply& aReply) {
                              if (IsAnswer(aReply) && !mIsWatching) {
-                               ++mQuestion;
-                               mIsAsking = false;
+                               ++mRequestNumber;
+                               mIsRequestOutstanding = false;
                                WatchStore();
                              }
                            });
