--- a/Duties/StoreAccess/HelperChoice.cpp
+++ b/Duties/StoreAccess/HelperChoice.cpp
@@ -9,29 +9,30 @@
 namespace {
 
 bool
-IsAvoided(const helper_memory& aMemory,
+IsAvoided(const helper_history& aHistory,
           const std::string& aName,
           time_point aNow)
 {
-  const auto avoided = aMemory.mAvoidedUntil.find(aName);
-  return avoided != aMemory.mAvoidedUntil.end() && aNow < avoided->second;
+  const auto avoided = aHistory.mAvoidedUntil.find(aName);
+  return avoided != aHistory.mAvoidedUntil.end() && aNow < avoided->second;
 }
 
 } // namespace
 
 std::optional<helper>
-ChooseHelper(const helper_memory& aMemory,
+ChooseHelper(const helper_history& aHistory,
              const helper_view& aView,
              const std::set<std::string>& aAsked,
              time_point aNow)
 {
-  // The origin, too, was asked by all others when it refused.
-  const auto* preferred = aAsked.empty() ? &aMemory.mLast : &aView.mOrigin;
+  // The origin may have refused because all other entries ask it too, so it is
+  // subject to the same backoff as the others.
+  const auto* preferred = aAsked.empty() ? &aHistory.mLast : &aView.mOrigin;
   std::vector<weighted_candidate> spread;
   std::optional<helper> chosen;
   for (const auto& entry : aView.mEntries) {
     if (entry.mName == aView.mSelf || aAsked.count(entry.mName) > 0 ||
-        IsAvoided(aMemory, entry.mName, aNow)) {
+        IsAvoided(aHistory, entry.mName, aNow)) {
       continue;
     }
     if (entry.mName == *preferred) {
@@ -49,25 +50,25 @@
 }
 
 void
-NoteHelped(helper_memory& aMemory,
+RecordHelp(helper_history& aHistory,
            const helper_view& aView,
            const std::string& aName)
 {
-  aMemory.mAvoidedUntil.erase(aName);
+  aHistory.mAvoidedUntil.erase(aName);
   if (aName != aView.mOrigin) {
-    aMemory.mLast = aName;
+    aHistory.mLast = aName;
   }
 }
 
 void
-NoteRefused(helper_memory& aMemory,
-            const std::string& aName,
-            milliseconds aAvoidFor,
-            time_point aNow)
+RecordRefusal(helper_history& aHistory,
+              const std::string& aName,
+              milliseconds aAvoidFor,
+              time_point aNow)
 {
-  aMemory.mAvoidedUntil[aName] = aNow + aAvoidFor;
-  if (aMemory.mLast == aName) {
-    aMemory.mLast.clear();
+  aHistory.mAvoidedUntil[aName] = aNow + aAvoidFor;
+  if (aHistory.mLast == aName) {
+    aHistory.mLast.clear();
   }
 }
 
--- a/Duties/StoreAccess/HelperChoice.h
+++ b/Duties/StoreAccess/HelperChoice.h
@@ -9,58 +9,60 @@
 #include <string>
 #include <vector>
 
-/** How an entry's calls reach the platform's store: directly, or through
- * another entry while the store turns this one away and serves others. */
+/** Routes an entry's calls to the platform's store: directly, or through
+ * another entry while the store is unavailable to this one but serves others.
+ */
 namespace lavender::storeaccess {
 
-/** Another entry that may pass a call on. */
+/** An entry that may forward a call to the store. */
 struct helper
 {
   std::string mName;
   edge::endpoint mAddress;
 };
 
-/** Whom this entry may ask at one moment. */
+/** The entries that this one may ask for help at one moment. */
 struct helper_view
 {
   std::string mSelf;
-  /** The entry whose watch of the store this one hears of: the store served it
-   * a moment ago. */
+  /** The entry whose watch of the store provides this one's feed; the store has
+   * thus served it recently. */
   std::string mOrigin;
-  /** All entries; empty while nobody is known whom the store serves. */
+  /** All entries; empty while no entry is known to be served by the store. */
   std::vector<helper> mEntries;
 };
 
-/** What earlier calls showed. */
-struct helper_memory
+/** Results of earlier calls. */
+struct helper_history
 {
-  /** The one that helped last, unless it was the origin. */
+  /** The entry that helped last, unless it was the origin. */
   std::string mLast;
   std::map<std::string, time_point> mAvoidedUntil;
 };
 
-/** The entry to ask next for one call; none when all that may help have been
- * asked or have refused lately.
+/** Returns the entry to ask next for one call; none if all were asked or have
+ * refused recently.
  *
- * First the one that helped last. Without such a one each entry begins at
- * another helper, so that many that are cut off at once spread over all; the
- * origin, which surely reaches the store and is the same for all, comes second.
- * @param aAsked entries asked for this call before */
+ * The entry that helped last is asked first. If there is none, each entry
+ * begins at another helper, which spreads the load when many lose the store at
+ * once. The origin is asked second: it almost certainly reaches the store, but
+ * it is the same for all.
+ * @param aAsked entries already asked for this call */
 std::optional<helper>
-ChooseHelper(const helper_memory& aMemory,
+ChooseHelper(const helper_history& aHistory,
              const helper_view& aView,
              const std::set<std::string>& aAsked,
              time_point aNow);
 
 void
-NoteHelped(helper_memory& aMemory,
+RecordHelp(helper_history& aHistory,
            const helper_view& aView,
            const std::string& aName);
 
 void
-NoteRefused(helper_memory& aMemory,
-            const std::string& aName,
-            milliseconds aAvoidFor,
-            time_point aNow);
+RecordRefusal(helper_history& aHistory,
+              const std::string& aName,
+              milliseconds aAvoidFor,
+              time_point aNow);
 
 } // namespace lavender::storeaccess
--- a/Duties/StoreAccess/StoreAccess.cpp
+++ b/Duties/StoreAccess/StoreAccess.cpp
@@ -12,23 +12,26 @@
 
 constexpr char kHelpMethod[] = "Lavender-Method";
 constexpr char kHelpTarget[] = "Lavender-Target";
-/** A slow store answers within 0.4 s; then another entry is asked as well, and
- * the call's own answer may still come. */
-constexpr milliseconds kPatience = 600ms;
-/** For an entry that helps: the store's answer and the way there and back. A
- * batch's items on a narrow link take some tenths of a second. */
+/** Another entry is asked if the store hasn't answered after this; the direct
+ * response may still arrive. A slow store answers within 0.4 s. */
+constexpr milliseconds kHelpDelay = 600ms;
+/** Timeout of a call through another entry: the store's response and both
+ * transfers. Transferring a batch's items over a slow link takes some tenths of
+ * a second. */
 constexpr milliseconds kHelpTimeout = 700ms;
-/** Asked at most for one call; with a third of all entries cut off, one in
- * eighty calls meets four that are. */
-constexpr std::size_t kMostAsked = 4;
-/** One that is busy may help in a moment; one that is turned away too, or
- * silent, stays so for seconds. */
-constexpr milliseconds kAvoidRefusing = 2000ms;
-constexpr milliseconds kAvoidSilent = 5000ms;
-constexpr milliseconds kTrialEach = 2000ms;
-constexpr milliseconds kTrialTimeout = 1500ms;
-/** A call that fails now and then says nothing of the next one. */
-constexpr milliseconds kLostAfter = 1000ms;
+/** Maximum number of entries asked for one call. If a third of all entries
+ * don't reach the store, one call in eighty meets four of those. */
+constexpr std::size_t kMaximumAsked = 4;
+/** An entry that can't help isn't asked again for this long, or longer if it
+ * didn't respond. One that is busy may help soon; one that doesn't respond or
+ * doesn't reach the store either usually stays so for seconds. */
+constexpr milliseconds kRefusalBackoff = 2000ms;
+constexpr milliseconds kSilentBackoff = 5000ms;
+constexpr milliseconds kProbeInterval = 2000ms;
+constexpr milliseconds kProbeTimeout = 1500ms;
+/** Failures for a shorter time don't count: a single failed call doesn't
+ * predict that the next one fails. */
+constexpr milliseconds kUnreachableAfter = 1000ms;
 
 edge::request
 EncodeHelp(const edge::request& aRequest)
@@ -55,9 +58,9 @@
   return request;
 }
 
-/** Whether a call that ended so may have been carried out. */
+/** Whether a call that ended in this way may have been carried out. */
 bool
-MayHaveHappened(edge::call_end aEnd)
+MayHaveExecuted(edge::call_end aEnd)
 {
   return aEnd != edge::call_end::Complete && aEnd != edge::call_end::NotSent;
 }
@@ -74,8 +77,8 @@
   std::set<std::string> mAsked;
   bool mAwaitsDirect = false;
   bool mAwaitsHelp = false;
-  /** Some try had no answer. */
-  bool mMayHaveHappened = false;
+  /** Whether some attempt that may have been carried out had no response. */
+  bool mMayHaveExecuted = false;
   bool mIsFinished = false;
   edge::call_end mLastEnd = edge::call_end::NotSent;
   edge::response mLastAnswer;
@@ -93,7 +96,8 @@
                    edge::whole_answer aDone)
 {
   if (aOptions.mProbesConnection) {
-    // A watch isn't passed on: the feed between entries replaces it.
+    // A watch isn't sent through other entries: the feed between entries
+    // replaces it.
     mParts.mDirect(aRequest, aDeadline, aOptions, std::move(aDone));
     return;
   }
@@ -102,9 +106,9 @@
   call->mOptions = aOptions;
   call->mUntil = Now() + aDeadline;
   call->mDone = std::move(aDone);
-  if (mTurnedAwaySince && HasHelpers()) {
-    TryDirect();
-    AskNext(call);
+  if (mUnavailableSince && HasHelpers()) {
+    ProbeDirect();
+    TryNextHelper(call);
   } else {
     CallDirect(call);
   }
@@ -120,48 +124,49 @@
                  left,
                  aCall->mOptions,
                  [this, aCall](edge::call_end aEnd, edge::response aAnswer) {
-                   TakeDirect(aCall, aEnd, std::move(aAnswer));
+                   OnDirectResponse(aCall, aEnd, std::move(aAnswer));
                  });
-  RunAfter(mParts.mScheduler, kPatience, [this, aCall] {
+  RunAfter(mParts.mScheduler, kHelpDelay, [this, aCall] {
     if (!aCall->mIsFinished && !aCall->mAwaitsHelp && aCall->mAwaitsDirect) {
-      AskNext(aCall);
+      TryNextHelper(aCall);
     }
   });
 }
 
 void
-store_access::TakeDirect(const call_ptr& aCall,
-                         edge::call_end aEnd,
-                         edge::response aAnswer)
+store_access::OnDirectResponse(const call_ptr& aCall,
+                               edge::call_end aEnd,
+                               edge::response aAnswer)
 {
   aCall->mAwaitsDirect = false;
-  const bool isTurnedAway = mParts.mIsTurnedAway(aEnd, aAnswer.mStatus);
-  NoteDirect(isTurnedAway);
+  const bool isUnavailable = mParts.mIsUnavailable(aEnd, aAnswer.mStatus);
+  RecordDirectResult(isUnavailable);
   if (aCall->mIsFinished) {
     return;
   }
-  if (!isTurnedAway) {
+  if (!isUnavailable) {
     Finish(aCall, aEnd, std::move(aAnswer));
     return;
   }
-  aCall->mMayHaveHappened = aCall->mMayHaveHappened || MayHaveHappened(aEnd);
+  aCall->mMayHaveExecuted = aCall->mMayHaveExecuted || MayHaveExecuted(aEnd);
   aCall->mLastEnd = aEnd;
   aCall->mLastAnswer = std::move(aAnswer);
   if (!aCall->mAwaitsHelp) {
-    // The time that the silent store took is not the helpers'.
+    // Don't let the time that the store took without a response shorten the
+    // helper's.
     aCall->mUntil = std::max(aCall->mUntil, Now() + kHelpTimeout);
-    AskNext(aCall);
+    TryNextHelper(aCall);
   }
 }
 
 void
-store_access::AskNext(const call_ptr& aCall)
+store_access::TryNextHelper(const call_ptr& aCall)
 {
   const auto view = mParts.mView();
   const auto left =
     std::chrono::duration_cast<milliseconds>(aCall->mUntil - Now());
-  const auto chosen = aCall->mAsked.size() < kMostAsked && left > 0ms
-                        ? ChooseHelper(mMemory, view, aCall->mAsked, Now())
+  const auto chosen = aCall->mAsked.size() < kMaximumAsked && left > 0ms
+                        ? ChooseHelper(mHistory, view, aCall->mAsked, Now())
                         : std::nullopt;
   if (!chosen) {
     if (!aCall->mAwaitsDirect) {
@@ -176,51 +181,51 @@
                     std::min(left, kHelpTimeout),
                     [this, aCall, name = chosen->mName](
                       edge::call_end aEnd, edge::response aAnswer) {
-                      TakeHelp(aCall, name, aEnd, std::move(aAnswer));
+                      OnHelpResponse(aCall, name, aEnd, std::move(aAnswer));
                     });
 }
 
 void
-store_access::TakeHelp(const call_ptr& aCall,
-                       const std::string& aName,
-                       edge::call_end aEnd,
-                       edge::response aAnswer)
+store_access::OnHelpResponse(const call_ptr& aCall,
+                             const std::string& aName,
+                             edge::call_end aEnd,
+                             edge::response aAnswer)
 {
   aCall->mAwaitsHelp = false;
   const bool isAnswered = aEnd == edge::call_end::Complete;
   const bool cannotHelp = isAnswered && aAnswer.mStatus == kCannotHelp;
-  const bool hadNoAnswer = isAnswered && aAnswer.mStatus == kNoAnswer;
-  const bool isTurnedAway =
-    cannotHelp || hadNoAnswer || mParts.mIsTurnedAway(aEnd, aAnswer.mStatus);
+  const bool hadNoResponse = isAnswered && aAnswer.mStatus == kNoAnswer;
+  const bool isUnavailable =
+    cannotHelp || hadNoResponse || mParts.mIsUnavailable(aEnd, aAnswer.mStatus);
   events::line("store_helped")
     .With("entry", aName)
     .With("target", aCall->mRequest.mTarget)
     .With("tried", static_cast<std::int64_t>(aCall->mAsked.size()))
     .With("end", edge::WordFor(aEnd))
     .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
-  if (isTurnedAway) {
-    NoteRefused(
-      mMemory, aName, isAnswered ? kAvoidRefusing : kAvoidSilent, Now());
+  if (isUnavailable) {
+    RecordRefusal(
+      mHistory, aName, isAnswered ? kRefusalBackoff : kSilentBackoff, Now());
   } else {
-    NoteHelped(mMemory, mParts.mView(), aName);
+    RecordHelp(mHistory, mParts.mView(), aName);
     if (aCall->mAwaitsDirect) {
-      NoteDirect(true);
+      RecordDirectResult(true);
     }
   }
   if (aCall->mIsFinished) {
     return;
   }
-  if (!isTurnedAway) {
+  if (!isUnavailable) {
     Finish(aCall, aEnd, std::move(aAnswer));
     return;
   }
-  aCall->mMayHaveHappened =
-    aCall->mMayHaveHappened || hadNoAnswer || MayHaveHappened(aEnd);
+  aCall->mMayHaveExecuted =
+    aCall->mMayHaveExecuted || hadNoResponse || MayHaveExecuted(aEnd);
   if (!cannotHelp) {
     aCall->mLastEnd = aEnd;
     aCall->mLastAnswer = std::move(aAnswer);
   }
-  AskNext(aCall);
+  TryNextHelper(aCall);
 }
 
 void
@@ -228,7 +233,7 @@
                      edge::call_end aEnd,
                      edge::response aAnswer)
 {
-  mLostSince.reset();
+  mUnreachableSince.reset();
   aCall->mIsFinished = true;
   const auto done = std::move(aCall->mDone);
   done(aEnd, std::move(aAnswer));
@@ -237,60 +242,61 @@
 void
 store_access::Fail(const call_ptr& aCall)
 {
-  if (!mLostSince) {
-    mLostSince = Now();
-    PlanLook();
+  if (!mUnreachableSince) {
+    mUnreachableSince = Now();
+    ScheduleProbe();
   }
   aCall->mIsFinished = true;
   const auto done = std::move(aCall->mDone);
-  // Ours may have been carried out, or may yet be: that the last one asked
-  // refused doesn't make it undone. Taken for a refusal, it would let a batch
-  // be called "not run" that runs seconds later.
-  done(aCall->mMayHaveHappened ? edge::call_end::TimedOut : aCall->mLastEnd,
+  // An earlier attempt may have been carried out, or may still be, even if the
+  // last helper refused. Reporting that refusal would let a batch be called
+  // "not run" that runs seconds later.
+  done(aCall->mMayHaveExecuted ? edge::call_end::TimedOut : aCall->mLastEnd,
        std::move(aCall->mLastAnswer));
 }
 
 void
-store_access::NoteDirect(bool aIsTurnedAway)
+store_access::RecordDirectResult(bool aIsUnavailable)
 {
-  if (!aIsTurnedAway) {
-    if (mTurnedAwaySince) {
+  if (!aIsUnavailable) {
+    if (mUnavailableSince) {
       events::line("store_takes_back")
         .With(
           "after_ms",
-          std::chrono::duration_cast<milliseconds>(Now() - *mTurnedAwaySince));
+          std::chrono::duration_cast<milliseconds>(Now() - *mUnavailableSince));
     }
-    mTurnedAwaySince.reset();
-    mLostSince.reset();
-  } else if (!mTurnedAwaySince) {
+    mUnavailableSince.reset();
+    mUnreachableSince.reset();
+  } else if (!mUnavailableSince) {
     events::line("store_turns_away");
-    mTurnedAwaySince = Now();
-    mNextTrial = Now() + kTrialEach;
+    mUnavailableSince = Now();
+    mNextProbeAt = Now() + kProbeInterval;
   }
 }
 
 void
-store_access::TryDirect()
+store_access::ProbeDirect()
 {
-  if (Now() < mNextTrial) {
+  if (Now() < mNextProbeAt) {
     return;
   }
-  mNextTrial = Now() + kTrialEach;
-  mParts.mDirect(mParts.mTrial,
-                 kTrialTimeout,
+  mNextProbeAt = Now() + kProbeInterval;
+  mParts.mDirect(mParts.mProbe,
+                 kProbeTimeout,
                  {},
                  [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                   NoteDirect(mParts.mIsTurnedAway(aEnd, aAnswer.mStatus));
+                   RecordDirectResult(
+                     mParts.mIsUnavailable(aEnd, aAnswer.mStatus));
                  });
 }
 
 void
 store_access::Help(const edge::request& aAsked, help_done aDone)
 {
-  if (mTurnedAwaySince) {
-    TryDirect();
+  if (mUnavailableSince) {
+    ProbeDirect();
   }
-  if (mTurnedAwaySince || mHelped >= kMostHelped) {
+  if (mUnavailableSince || mHelped >= kMostHelped) {
     aDone({ kCannotHelp, {}, {} });
     return;
   }
@@ -303,7 +309,8 @@
                  [this, done = std::move(aDone)](edge::call_end aEnd,
                                                  edge::response aAnswer) {
                    --mHelped;
-                   NoteDirect(mParts.mIsTurnedAway(aEnd, aAnswer.mStatus));
+                   RecordDirectResult(
+                     mParts.mIsUnavailable(aEnd, aAnswer.mStatus));
                    if (aEnd == edge::call_end::NotSent) {
                      done({ kCannotHelp, {}, {} });
                    } else if (aEnd != edge::call_end::Complete) {
@@ -315,24 +322,26 @@
 }
 
 void
-store_access::PlanLook()
+store_access::ScheduleProbe()
 {
-  // An entry that is spared work makes no calls that would show it can work.
-  mNextLook = mParts.mScheduler.mAfter(kTrialEach, [this] {
-    if (!mLostSince) {
+  // An entry that is given no work because of CanStore() makes no calls of its
+  // own that could succeed, so it must probe.
+  mNextProbe = mParts.mScheduler.mAfter(kProbeInterval, [this] {
+    if (!mUnreachableSince) {
       return;
     }
     if (HasHelpers()) {
-      Call(mParts.mTrial, kTrialTimeout, {}, [](edge::call_end, auto) {});
+      Call(mParts.mProbe, kProbeTimeout, {}, [](edge::call_end, auto) {});
     }
-    PlanLook();
+    ScheduleProbe();
   });
 }
 
 bool
 store_access::CanStore() const
 {
-  return !mLostSince || !HasHelpers() || Now() - *mLostSince < kLostAfter;
+  return !mUnreachableSince || !HasHelpers() ||
+         Now() - *mUnreachableSince < kUnreachableAfter;
 }
 
 } // namespace lavender::storeaccess
--- a/Duties/StoreAccess/StoreAccess.h
+++ b/Duties/StoreAccess/StoreAccess.h
@@ -9,8 +9,8 @@
 
 namespace lavender::storeaccess {
 
-/** One call to the store and its answer as HTTP messages; their meaning is the
- * adapter's. */
+/** Sends one call to the store as an HTTP request. The platform's adapter
+ * defines the meaning of request and response. */
 using store_transport = std::function<void(const edge::request&,
                                            milliseconds aDeadline,
                                            edge::call_options,
@@ -20,31 +20,31 @@
 {
   scheduler mScheduler;
   store_transport mDirect;
-  /** Calls another entry; the deadline is of the whole call. */
+  /** Calls another entry; the deadline covers the whole call. */
   std::function<void(const edge::endpoint&,
                      const edge::request&,
                      milliseconds aDeadline,
                      edge::whole_answer)>
     mCallEntry;
   std::function<helper_view()> mView;
-  /** Whether the store did nothing for this instance, or gave no answer, where
-   * it may serve another one. */
-  std::function<bool(edge::call_end, unsigned aStatus)> mIsTurnedAway;
+  /** Whether the store did not serve this instance, or gave no response, though
+   * it may serve another instance. */
+  std::function<bool(edge::call_end, unsigned aStatus)> mIsUnavailable;
   /** A cheap read that shows whether the store answers. */
-  edge::request mTrial;
+  edge::request mProbe;
 };
 
-/** Where another entry's answer goes. */
+/** Receives the response to another entry's request for help. */
 using help_done = std::function<void(edge::response)>;
 
-/** The way of one entry's calls to the store, and its help for others.
+/** Makes one entry's calls to the store, and forwards calls of other entries.
  *
- * A call that the store doesn't answer soon, or refuses, goes through other
- * entries, one after the other within the call's deadline. While the store
- * turns this entry away its calls begin there, and a trial now and then shows
- * whether the store has it back. A call without any answer may have been
- * carried out; all writes are conditional, so one that was shows as a conflict
- * when it is made again. */
+ * A call that the store refuses, or doesn't answer soon, is sent through other
+ * entries, one after the other within the call's deadline. While the store is
+ * unavailable to this entry, its calls go to other entries at once, and
+ * periodic probes detect when the store is available again. A call without any
+ * response may have been carried out. All writes are conditional, so repeating
+ * one that was carried out yields a conflict. */
 class store_access
 {
 public:
@@ -54,11 +54,12 @@
             milliseconds aDeadline,
             const edge::call_options& aOptions,
             edge::whole_answer aDone);
-  /** Another entry's call, made directly or not at all: help isn't passed on
-   * twice. */
+  /** Makes a call for another entry. Uses only the direct connection to the
+   * store, so that no call is forwarded twice. */
   void Help(const edge::request& aAsked, help_done aDone);
-  /** False when no call has come through for a while, by no way, though other
-   * entries reach the store. When nobody does, there is nobody better. */
+  /** False if for a while no call has succeeded, directly or through another
+   * entry, though other entries reach the store. True if no entry reaches the
+   * store, because then no other entry could do the work either. */
   bool CanStore() const;
 
 private:
@@ -68,41 +69,42 @@
   time_point Now() const { return mParts.mScheduler.mNow(); }
   bool HasHelpers() const { return !mParts.mView().mEntries.empty(); }
   void CallDirect(const call_ptr& aCall);
-  void TakeDirect(const call_ptr& aCall,
-                  edge::call_end aEnd,
-                  edge::response aAnswer);
-  void AskNext(const call_ptr& aCall);
-  void TakeHelp(const call_ptr& aCall,
-                const std::string& aName,
-                edge::call_end aEnd,
-                edge::response aAnswer);
+  void OnDirectResponse(const call_ptr& aCall,
+                        edge::call_end aEnd,
+                        edge::response aAnswer);
+  void TryNextHelper(const call_ptr& aCall);
+  void OnHelpResponse(const call_ptr& aCall,
+                      const std::string& aName,
+                      edge::call_end aEnd,
+                      edge::response aAnswer);
   void Finish(const call_ptr& aCall,
               edge::call_end aEnd,
               edge::response aAnswer);
   void Fail(const call_ptr& aCall);
-  void NoteDirect(bool aIsTurnedAway);
-  void TryDirect();
-  void PlanLook();
+  void RecordDirectResult(bool aIsUnavailable);
+  void ProbeDirect();
+  void ScheduleProbe();
 
   access_parts mParts;
-  helper_memory mMemory;
-  /** Since when the store has turned this entry away. */
-  std::optional<time_point> mTurnedAwaySince;
-  /** Since when no call has come through by any way. */
-  std::optional<time_point> mLostSince;
-  time_point mNextTrial;
-  planned_action mNextLook;
+  helper_history mHistory;
+  /** Since when the store has been unavailable to this entry directly. */
+  std::optional<time_point> mUnavailableSince;
+  /** Since when no call has succeeded, directly or through another entry. */
+  std::optional<time_point> mUnreachableSince;
+  time_point mNextProbeAt;
+  planned_action mNextProbe;
   int mHelped = 0;
 };
 
 /** Path at which entries ask each other for help. */
 constexpr char kHelpPath[] = "/store";
-/** The asked entry sent nothing to the store: it is busy, or turned away. */
+/** Status if the helper sent nothing to the store, because it is busy or the
+ * store is unavailable to it too. */
 constexpr unsigned kCannotHelp = 421;
-/** The asked entry got no answer from the store. */
+/** Status if the helper got no response from the store. */
 constexpr unsigned kNoAnswer = 502;
-/** Calls of others that an entry has under way; more would take a small
- * instance's processor and link from its own callers. */
+/** Maximum number of concurrent calls for other entries. More would take too
+ * much of a small instance's processor and bandwidth from its own callers. */
 constexpr int kMostHelped = 16;
 
 } // namespace lavender::storeaccess
