--- a/Duties/Site/EntryKind.h
+++ b/Duties/Site/EntryKind.h
@@ -2,8 +2,8 @@
 
 namespace lavender::site {
 
-/** Kind of the objects in which entries tell each other, and the agents, their
- * address and availability zone; named like the entry. */
+/** Kind of the objects in which entries publish their address and availability
+ * zone for other entries and agents. An object has the name of its entry. */
 constexpr char kEntryKind[] = "entries";
 
 } // namespace lavender::site
--- a/Duties/Site/ServerChanges.h
+++ b/Duties/Site/ServerChanges.h
@@ -4,10 +4,10 @@
 
 namespace lavender::site {
 
-/** What became of one server's entry in the list. */
+/** Change of one server's record in the platform's list. */
 enum class server_change
 {
-  /** Registered, or changed while it serves, as with new weights. */
+  /** Registered, or changed while it serves, as after loading weights. */
   Ready,
   Leaving,
   Removed
@@ -16,9 +16,9 @@
 const char*
 WordFor(server_change aChange);
 
-/** Changes of servers' entries since the last line of the log about them. All
- * entries hear of each change; a line for each would be entries times
- * servers. */
+/** Counts of server changes since the last log line about them. Every entry
+ * receives every change, so a line per change would be entries times servers
+ * lines. */
 struct server_changes
 {
   std::int64_t mReady = 0;
@@ -26,14 +26,15 @@
   std::int64_t mRemoved = 0;
 };
 
-/** A line is due this long after the first change that it tells of. */
+/** Time from the first change until the log line that counts it. */
 constexpr milliseconds kSumChangesFor{ 5000 };
 
-/** @return whether it is the first one, so that a line must be planned */
+/** Counts a change.
+ * @return whether it is the first one, so that a log line must be scheduled */
 bool
 NoteChange(server_changes& aChanges, server_change aChange);
 
-/** All changes up to now; none are left. */
+/** Returns the counts and resets them. */
 server_changes
 TakeChanges(server_changes& aChanges);
 
--- a/Duties/Site/ServerDirectory.cpp
+++ b/Duties/Site/ServerDirectory.cpp
@@ -9,7 +9,7 @@
 {
   auto& row = aDirectory.mRows[aServer.mId];
   row.mServer = std::move(aServer);
-  row.mGoneAt.reset();
+  row.mRemoveAt.reset();
 }
 
 void
@@ -21,10 +21,10 @@
   if (found == aDirectory.mRows.end()) {
     return;
   }
-  if (aDirectory.mLenientUntil && aNow < *aDirectory.mLenientUntil &&
+  if (aDirectory.mGraceUntil && aNow < *aDirectory.mGraceUntil &&
       !found->second.mServer.mIsLeaving) {
-    if (!found->second.mGoneAt) {
-      found->second.mGoneAt = aDirectory.mLenientUntil;
+    if (!found->second.mRemoveAt) {
+      found->second.mRemoveAt = aDirectory.mGraceUntil;
     }
     return;
   }
@@ -53,7 +53,7 @@
 void
 NoteOutageEnded(server_directory& aDirectory, time_point aNow)
 {
-  aDirectory.mLenientUntil = aNow + kRenewalAfterOutage;
+  aDirectory.mGraceUntil = aNow + kRenewalAfterOutage;
 }
 
 std::optional<time_point>
@@ -61,13 +61,13 @@
 {
   std::optional<time_point> next;
   for (auto row = aDirectory.mRows.begin(); row != aDirectory.mRows.end();) {
-    const auto goneAt = row->second.mGoneAt;
-    if (goneAt && *goneAt <= aNow) {
+    const auto removeAt = row->second.mRemoveAt;
+    if (removeAt && *removeAt <= aNow) {
       row = aDirectory.mRows.erase(row);
       continue;
     }
-    if (goneAt) {
-      next = next ? std::min(*next, *goneAt) : *goneAt;
+    if (removeAt) {
+      next = next ? std::min(*next, *removeAt) : *removeAt;
     }
     ++row;
   }
--- a/Duties/Site/ServerDirectory.h
+++ b/Duties/Site/ServerDirectory.h
@@ -10,65 +10,67 @@
 
 namespace lavender::site {
 
-/** What a backend server says of itself in the platform's list. */
+/** A backend server's own record in the platform's list. */
 struct backend_server
 {
-  /** Name of this start of the server; another start mostly bears another. */
+  /** Usually changes when the server restarts. */
   std::string mId;
-  /** Start of the server: tells two starts under one id apart. */
+  /** Start time; distinguishes two starts under the same id. */
   std::int64_t mStartedAt = 0;
   std::string mPool;
   edge::endpoint mAddress;
   std::string mAvailabilityZone;
   int mSlots = 1;
   bool mIsLeaving = false;
-  /** Version of the weights by model. */
+  /** Version of the weights that the server holds, by model. */
   std::map<std::string, std::int64_t> mVersions;
 };
 
-/** A server with what this process knows beyond the entry. */
+/** A server and when it is dropped from the directory. */
 struct directory_row
 {
   backend_server mServer;
-  /** Set while the entry is missing from the list, though the server may just
-   * have been unable to renew it; when it is taken as gone. */
-  std::optional<time_point> mGoneAt;
+  /** When the server is dropped. Set while its record is missing from the list
+   * though the server may only have been unable to renew it. */
+  std::optional<time_point> mRemoveAt;
 };
 
 struct server_directory
 {
   std::map<std::string, directory_row> mRows;
-  /** End of the time after an outage of the store in which a missing entry
-   * says nothing: servers renew theirs within two seconds. */
-  std::optional<time_point> mLenientUntil;
+  /** Until when a missing record doesn't mean that its server is gone. After an
+   * outage of the store servers renew their records within two seconds. */
+  std::optional<time_point> mGraceUntil;
 };
 
-/** Entries that lapsed during an outage are back this long after its end, by
- * the platform's word. */
+/** Records that expired during an outage of the store are renewed within this
+ * time after its end, as the platform specifies. */
 constexpr milliseconds kRenewalAfterOutage{ 2000 };
 
 void
 TakeServer(server_directory& aDirectory, backend_server aServer);
 
-/** An entry was removed. Right after an outage the server is kept for a
- * moment, else it is gone at once. */
+/** Handles the removal of a server's record. Drops the server at once, except
+ * right after an outage, when a server that isn't leaving is kept until
+ * mGraceUntil. */
 void
 TakeRemoval(server_directory& aDirectory,
             const std::string& aId,
             time_point aNow);
 
-/** Takes a whole listing: servers that it lacks count as removed. */
+/** Applies a complete listing: servers that it lacks count as removed. */
 void
 TakeListing(server_directory& aDirectory,
             const std::map<std::string, backend_server>& aListed,
             time_point aNow);
 
-/** The store answers again after it didn't. */
+/** Starts the grace period for missing records, as the store answers again
+ * after an outage. */
 void
 NoteOutageEnded(server_directory& aDirectory, time_point aNow);
 
-/** Drops the servers whose grace is over.
- * @return when to look again, if any is left waiting */
+/** Drops the servers whose grace period is over.
+ * @return when to call this again; none if no server is in its grace period */
 std::optional<time_point>
 DropGone(server_directory& aDirectory, time_point aNow);
 
--- a/Duties/Site/ServerProtocol.h
+++ b/Duties/Site/ServerProtocol.h
@@ -9,27 +9,27 @@
 
 namespace lavender::site {
 
-/** What a caller's request says beside its path and body. */
+/** Metadata in the header fields of a caller's request. */
 struct caller_facts
 {
-  /** Names this attempt of the caller; a repeat bears another id. */
+  /** Id of this attempt of the caller; each repeat has another id. */
   std::string mAttemptId;
-  /** How long the caller waits, from the request's arrival. */
+  /** How long the caller waits for the response, from the request's arrival. */
   std::optional<milliseconds> mPatience;
 };
 
-/** One sending of a request to one server. */
+/** One attempt to run a request at one server. */
 struct attempt
 {
-  /** Id of the attempt where the request bears none. */
+  /** Used as the attempt's id if the request has none. */
   std::string mAttemptId;
   std::string mServerId;
-  /** Empty where the site has no customers. */
+  /** Empty if the site has no customers. */
   std::string mCustomer;
   milliseconds mTimeLeft{ 0 };
-  /** 0 to 9, less is served first. */
+  /** 0 to 9; lower values are served first. */
   std::optional<int> mUrgency;
-  /** Goes on after this event of a stream. */
+  /** Event of a stream after which the stream shall be resumed. */
   std::optional<std::int64_t> mAfterEvent;
 };
 
@@ -40,7 +40,7 @@
   int mSlots = 0;
 };
 
-/** What the head of a server's answer says. */
+/** Metadata in the header fields of a server's response. */
 struct answer_facts
 {
   std::string mAttemptId;
@@ -48,22 +48,24 @@
   /** The server states that it did not run the request. */
   bool mIsNotExecuted = false;
   std::optional<server_load> mLoad;
-  /** Proof that the server made the answer; empty when it bears none. */
+  /** Proves that the server created the response; empty if there is none. */
   std::string mSignature;
-  /** Version of the weights behind the first event. */
+  /** Version of the weights that generated the first event. */
   std::optional<std::int64_t> mVersion;
 };
 
-/** How callers and servers write these facts; the adapter fills it in. */
+/** Conversion between this metadata and the messages of callers and servers;
+ * implemented by the platform's adapter. */
 struct exchange_protocol
 {
   std::function<caller_facts(const edge::request&)> mReadCaller;
   std::function<const std::string*(const edge::request&)> mFindKey;
-  /** The request as it goes to a server: without the caller's key and the
-   * fields of its connection. */
+  /** Returns the request as it is sent to a server, without the caller's key
+   * and the header fields that concern only its connection. */
   std::function<edge::request(const edge::request&, const attempt&)> mAddress;
   std::function<answer_facts(const edge::response&)> mReadAnswer;
-  /** The version that a line of an event names, if it names one. */
+  /** Returns the version of the weights in a line of an event, if there is
+   * one. */
   std::function<std::optional<std::int64_t>(std::string_view)> mReadVersionLine;
 };
 
--- a/Duties/Site/SiteConfiguration.cpp
+++ b/Duties/Site/SiteConfiguration.cpp
@@ -19,7 +19,7 @@
     return nullptr;
   }
   std::string path(aTarget.substr(0, aTarget.find('?')));
-  // Prefixes end with a slash, so only places of slashes can match.
+  // Prefixes end with a slash, so only the positions of slashes can match.
   for (auto slash = path.rfind('/'); slash != std::string::npos;
        slash = path.rfind('/', slash - 1)) {
     path.resize(slash + 1);
--- a/Duties/Site/SiteConfiguration.h
+++ b/Duties/Site/SiteConfiguration.h
@@ -11,17 +11,20 @@
 #include <unordered_map>
 #include <vector>
 
-/** What an entry knows of its site: the operator's configuration and the
- * backend servers. Plain types, filled in by the adapter of the platform. */
+/** The operator's configuration of a site and the site's backend servers, as
+ * plain types that the platform's adapter fills in. */
 namespace lavender::site {
 
-/** What may be done with a request whose outcome is unknown. */
+/** Whether a request whose outcome is unknown may be repeated. */
 enum class repetition
 {
+  /** It may be repeated. */
   Idempotent,
+  /** It must not be repeated. */
   AtMostOnce
 };
 
+/** A pool and its relative share of a route's requests. */
 struct weighted_pool
 {
   std::string mPool;
@@ -35,30 +38,32 @@
   /** Begins and ends with a slash. */
   std::string mPathPrefix;
   repetition mRepetition = repetition::AtMostOnce;
-  /** Requests come in batches that are run later. */
+  /** Whether requests are submitted in batches that are run later. */
   bool mTakesBatches = false;
-  /** Answers are series of events. */
+  /** Whether responses are streams of events. */
   bool mIsStream = false;
-  /** A stream may go on at another server after its last event. */
+  /** Whether another server may resume a stream after its last event. */
   bool mIsResumable = false;
   bool mNeedsKey = true;
-  /** All tokens of a result must come from one version of the weights. */
+  /** Whether one version of the weights must generate all tokens of a result.
+   */
   bool mIsSingleVersion = false;
-  /** Longest time that a caller is kept waiting; none when not set. */
+  /** Longest time that a caller is kept waiting; none if unlimited. */
   std::optional<milliseconds> mTimeout;
-  /** Time within which an answer is worth most. */
+  /** Time within which a response is worth most. */
   milliseconds mTargetLatency{ 1000 };
   /** 0 is the most urgent. */
   int mPriority = 5;
   int mMaximumAttempts = 1;
   /** Pools that share the route's requests. */
   std::vector<weighted_pool> mPools;
-  /** An item of a batch may be given up this long after the submission. */
+  /** Time from a batch's submission after which its items may be abandoned. */
   milliseconds mMaximumQueueing{ 60000 };
-  /** All results of a batch are due this long after the submission. */
+  /** Time from a batch's submission within which all results are due. */
   milliseconds mDue{ 60000 };
 };
 
+/** Properties of a pool of model engines. */
 struct engine_pool
 {
   int mSlots = 1;
@@ -69,37 +74,37 @@
 {
   std::string mName;
   int mMaximumConnections = 100;
-  /** Present for pools of model engines. */
+  /** None if the pool's servers are no model engines. */
   std::optional<engine_pool> mEngine;
 };
 
 struct customer
 {
   std::string mName;
-  /** Goes before the route's priority when set. */
+  /** Overrides the route's priority if set. */
   std::optional<int> mPriority;
 };
 
-/** One version of the operator's configuration, prepared for look-ups. */
+/** One version of the operator's configuration, indexed for look-ups. */
 struct site_configuration
 {
   std::int64_t mVersion = 0;
-  /** Routes by host, then by prefix. */
+  /** Routes by host, then by path prefix. */
   std::unordered_map<
     std::string,
     std::unordered_map<std::string, std::shared_ptr<const route>>>
     mRoutes;
   std::map<std::string, server_pool> mPools;
   bool mHasCustomers = false;
-  /** By the hash of the key: keys themselves are not kept. */
+  /** By hash of the customer's key; the keys themselves are not kept. */
   std::unordered_map<std::string, std::shared_ptr<const customer>> mKeys;
   edge::listener_limits mLimits;
 };
 
 using configuration_ptr = std::shared_ptr<const site_configuration>;
 
-/** The route of that host with the longest prefix that begins the path; null
- * when there is none. A port in the host is ignored. */
+/** Returns the host's route with the longest matching path prefix; null if
+ * there is none. A port in the host is ignored. */
 std::shared_ptr<const route>
 FindRoute(const site_configuration& aConfiguration,
           std::string_view aHost,
@@ -118,15 +123,17 @@
   std::shared_ptr<const customer> mCustomer;
 };
 
-/** Looks the key up that the header field bears. */
+/** Looks up the key in the Authorization header field.
+ * @param aAuthorization null if the request has no such field */
 key_check
 CheckKey(const site_configuration& aConfiguration,
          const route& aRoute,
          const std::string* aAuthorization);
 
-/** Takes a configuration in unless it is older than the one in force: versions
- * only grow, and a late answer must not bring an old one back.
- * @return true when it is in force now */
+/** Puts a configuration into force unless it is null or no newer than the one
+ * in force. Versions only grow, so a delayed response can't restore an old
+ * configuration.
+ * @return whether it is in force now */
 bool
 TakeConfiguration(configuration_ptr& aInForce, configuration_ptr aArrived);
 
--- a/Duties/Site/TestServerChanges.cpp
+++ b/Duties/Site/TestServerChanges.cpp
@@ -7,8 +7,8 @@
 
 BOOST_AUTO_TEST_SUITE(TestServerChanges)
 
-// A roll-out fills the logs of the whole fleet: each entry writes a line for
-// each server at each change.
+// Guards against a roll-out that floods the logs of the whole fleet, because
+// each entry writes a line for each change of each server.
 BOOST_AUTO_TEST_CASE(ManyChangesMakeOneLine)
 {
   server_changes changes;
