--- a/Tests/Site/TestFeed.cpp
+++ b/Tests/Site/TestFeed.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** One entry that follows the kind "things", and what it has heard. */
+/** One entry that follows the kind "things", and the objects it knows. */
 struct follower
 {
   follower(test_loop& aLoop,
@@ -70,7 +70,7 @@
                 std::make_shared<edge::listener_limits>(),
                 [this](const auto& aExchange) {
                   if (mIsSilent) {
-                    mHeld.push_back(aExchange);
+                    mUnanswered.push_back(aExchange);
                   } else {
                     mFeed.Serve(aExchange->mRequest, feed::AskerOf(aExchange));
                   }
@@ -96,8 +96,9 @@
   bool mIsReachable = true;
   /** How often the store's state became unknown here. */
   int mLosses = 0;
+  /** Whether this entry leaves requests unanswered. */
   bool mIsSilent = false;
-  std::vector<edge::exchange_ptr> mHeld;
+  std::vector<edge::exchange_ptr> mUnanswered;
   feed::store_feed mFeed;
   edge::listener mListener;
 };
@@ -107,8 +108,8 @@
   test_loop mLoop;
   std::shared_ptr<edge::client_pool> mClients =
     std::make_shared<edge::client_pool>(mLoop.mLoop);
-  /** Each entry has its own view of one store, so that the store can turn one
-   * of them away. */
+  /** The store. An entry that shall be refused gets a store state of its own.
+   */
   standin::memory_store_state mState;
   std::map<std::string, edge::endpoint> mPeers;
 
@@ -123,7 +124,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestFeed)
 
-BOOST_AUTO_TEST_CASE(OneEntryWatchesAndAllHear)
+BOOST_AUTO_TEST_CASE(OneEntryWatchesAndAllReceiveChanges)
 {
   feed_site site;
   site.Put(1);
@@ -141,14 +142,14 @@
     return first.Value("x") == 2 && second.Value("x") == 2 &&
            third.Value("x") == 2;
   }));
-  // The watch that told of it and the next one; a probe may fall in between.
+  // The watch that returned the change, the next watch, and maybe a probe.
   BOOST_TEST(site.mState.mCalls - before <= 3);
 }
 
-/** At the size planned for, nobody answers more than a few, everyone is a few
- * steps from the first, and whom one asks always comes before oneself: there
- * are no circles. */
-BOOST_AUTO_TEST_CASE(TheTreeOfEntriesIsFlatAndHasNoCircle)
+/** With 360 entries each one has at most 16 followers and a depth of at most 3
+ * in the tree. There are no cycles, because an entry follows only entries whose
+ * names sort before its own. */
+BOOST_AUTO_TEST_CASE(TheTreeOfEntriesIsFlatAndHasNoCycle)
 {
   std::vector<feed::feed_candidate> all;
   for (int i = 0; i < 360; ++i) {
@@ -175,9 +176,9 @@
   }
 }
 
-// An operator's change is in force late at most entries. The entry that
-// watches the store for all dies silently; the others must hear of a change
-// that comes right after all the same.
+// Guards against an operator's change that is in force late at most entries:
+// the entry that watches the store for all stops responding without closing its
+// connections, right before the change.
 BOOST_AUTO_TEST_CASE(TheLossOfTheWatchingEntryDelaysAChangeBriefly)
 {
   feed_site site;
@@ -196,9 +197,10 @@
     [&] { return second.Value("x") == 2 && third.Value("x") == 2; }));
 }
 
-// Callers at one entry get answers by an old configuration while the store
-// turns this one entry away and serves the others. It must hear from them.
-BOOST_AUTO_TEST_CASE(AnEntryThatTheStoreTurnsAwayHearsFromAnother)
+// Guards against an entry that serves callers with an old configuration while
+// the store refuses it but serves the others. The entry must follow another
+// one.
+BOOST_AUTO_TEST_CASE(AnEntryThatTheStoreRefusesFollowsAnother)
 {
   feed_site site;
   site.Put(1);
@@ -217,11 +219,12 @@
   BOOST_TEST(first.mFeed.IsReachable());
 }
 
-// An entry that the store turns away for long answers agents and trainers with
-// "unknown" for half a second out of every few. It left the entry that it
-// follows each time to see whether the store had it back. It must look without
-// leaving, and come back when the store does answer.
-BOOST_AUTO_TEST_CASE(AnEntryThatIsStillTurnedAwayStaysWithTheOneItFollows)
+// Guards against an entry that the store refuses for long and that answers
+// agents and trainers with "unknown" for half a second out of every few: it
+// stopped following its source whenever it checked whether the store serves it
+// again. It must check while it follows, and watch again once the store
+// answers.
+BOOST_AUTO_TEST_CASE(AnEntryThatIsStillRefusedKeepsFollowing)
 {
   feed_site site;
   site.Put(1);
@@ -246,8 +249,9 @@
   BOOST_TEST(site.mLoop.RunUntil([&] { return first.Value("x") == 9; }));
 }
 
-// After an outage of the store with a silent watch, an entry knows nothing of
-// what was changed meanwhile, though the store answers again.
+// Guards against an entry that never learns of the changes made during an
+// outage of the store, because its watch from before the outage is never
+// answered.
 BOOST_AUTO_TEST_CASE(AWatchThatWasLostInAnOutageIsReplaced)
 {
   feed_site site;
@@ -262,9 +266,9 @@
   BOOST_TEST(site.mLoop.RunUntil([&] { return only.Value("x") == 2; }));
 }
 
-/** Whatever is listed, changed and removed, one that asks from any number on
- * ends up with the same objects. */
-BOOST_AUTO_TEST_CASE(AnyPlaceToAskFromGivesTheSameObjects)
+/** For any listings, changes and removals, a requester ends up with the same
+ * objects from whichever sequence number it requests changes. */
+BOOST_AUTO_TEST_CASE(ChangesSinceAnyNumberGiveTheSameObjects)
 {
   BOOST_TEST(rc::check("feeds agree", [] {
     feed::feed_state state;
--- a/Tests/Site/TestFeedFaults.cpp
+++ b/Tests/Site/TestFeedFaults.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/** A confirmed change must be in force everywhere within this. */
+/** A confirmed change must be in force at all entries within this time. */
 constexpr milliseconds kInForceWithin = 2000ms;
 
-/** Entries "a" to the last letter, all of which know the value 1. */
+/** Starts entries "a" to aLast, and checks that all of them know the value 1.
+ */
 void
 StartEntries(simulated_site& aSite, char aLast)
 {
@@ -26,7 +27,8 @@
   }
 }
 
-/** Names of a large fleet, in the order of their numbers. */
+/** Returns the name of an entry of a large fleet; names sort like the numbers.
+ */
 std::string
 FleetName(int aNumber)
 {
@@ -54,9 +56,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestFeedFaults)
 
-// Two entries watch the store, know the newest change and refuse all others for
-// as long as a kind whose watch was cut has no event.
-BOOST_AUTO_TEST_CASE(EntriesWhoseWatchesWereCutPassChangesOn)
+// Guards against two entries that watch the store and know the newest change,
+// but reject all followers until each kind whose watch was closed has an event.
+BOOST_AUTO_TEST_CASE(EntriesWhoseWatchesWereCutForwardChanges)
 {
   simulated_site site;
   StartEntries(site, 'd');
@@ -65,7 +67,7 @@
   site.At("a").Thaw();
   BOOST_TEST(site.At("a").mFeed->IsWatching());
   BOOST_TEST(site.At("b").mFeed->IsWatching());
-  // Entries that have just started haven't found any other one silent.
+  // Entries that have just started have no backoff for an unresponsive entry.
   site.Add("c").Start();
   site.Add("d").Start();
   site.mClock.RunFor(100ms);
@@ -78,11 +80,13 @@
   }
 }
 
-// An entry that is cut off from the store takes the answer of one that follows
-// it for contact with the store, and believes its old configuration current.
-BOOST_AUTO_TEST_CASE(AnEntryDoesNotHearItsOwnKnowledgeFromAFollower)
+// Guards against an entry that has lost the store and takes its own old state
+// back from one of its followers as a confirmation that its configuration is
+// current.
+BOOST_AUTO_TEST_CASE(AnEntryDoesNotAcceptItsOwnStateFromAFollower)
 {
-  // Whatever the distance between the one's probes and the other's questions.
+  // Try different offsets between the probes of one entry and the requests of
+  // the other.
   for (auto distance = 0ms; distance < 500ms; distance += 20ms) {
     simulated_site site;
     StartEntries(site, 'a');
@@ -98,8 +102,9 @@
   }
 }
 
-// A confirmed change is in force 27 s late everywhere: the answer to the watch
-// that waits is lost, while the store answers every other call.
+// Guards against a confirmed change that is in force 27 s late at all entries:
+// the response to the waiting watch is lost, while the store answers every
+// other call.
 BOOST_AUTO_TEST_CASE(AWatchWhoseAnswerIsLostIsNoticed)
 {
   simulated_site site;
@@ -112,9 +117,10 @@
   }
 }
 
-// An entry that the store turns away learns nothing from the others: it asks
-// one that is silent again and again, each time before its silence is noticed.
-BOOST_AUTO_TEST_CASE(AnEntryThatIsTurnedAwayPassesASilentOne)
+// Guards against an entry that the store refuses and that receives nothing from
+// the others either: it sends a new request to an unresponsive entry again and
+// again, each time before the previous request times out.
+BOOST_AUTO_TEST_CASE(AnEntryThatIsRefusedSkipsAnUnresponsiveOne)
 {
   simulated_site site;
   StartEntries(site, 'c');
@@ -127,8 +133,8 @@
   BOOST_TEST(site.At("a").Value(kBusyKind) == 2);
 }
 
-// In an outage of the store each entry asks all others in turn whether they
-// know more, so that hundreds of entries keep one another busy.
+// Guards against hundreds of entries that overload each other in an outage of
+// the store, because each one asks all others in turn for a more recent state.
 BOOST_AUTO_TEST_CASE(AnOutageOfTheStoreDoesNotFloodTheEntries)
 {
   constexpr int kEntries = 60;
@@ -146,9 +152,10 @@
              4 * kEntries * kMostCallsASecond);
 }
 
-// After all entries were killed at once callers are refused for most of a
-// second though the store answers: each entry that knows nothing yet refuses
-// the next ones, which wait before they ask again, level by level.
+// Guards against callers being refused for most of a second after all entries
+// were killed at once, though the store answers: each entry without a state
+// rejects its followers, which wait before they retry, level by level of the
+// tree.
 BOOST_AUTO_TEST_CASE(EntriesThatStartTogetherKnowTheStateAtOnce)
 {
   constexpr int kEntries = 360;
@@ -167,9 +174,9 @@
   BOOST_TEST(site.mClock.RunUntil([&] { return KnowAll(site, 1); }, 150ms));
 }
 
-// A third of a large fleet is cut off from the store, the entry that watches it
-// for all and the next one among them: all others turn to the store at once,
-// and each keeps six watches there for seconds.
+// Guards against a whole fleet that watches the store at once, with six watches
+// per entry for seconds: a third of the entries loses the store, among them the
+// one that watches it for all and the next one by name.
 BOOST_AUTO_TEST_CASE(TheLossOfTheWatchingEntryDoesNotSendAllToTheStore)
 {
   constexpr int kEntries = 360;
@@ -204,10 +211,10 @@
   }
 }
 
-// The first entries by name freeze, and those that followed them watch the
-// store for ten seconds and more: each looks for a source once in three
-// seconds, and finds another frozen one.
-BOOST_AUTO_TEST_CASE(WhoWatchesForASilentSourceFindsAnotherSoon)
+// Guards against entries that watch the store for ten seconds and more after
+// the first entries by name, their sources, have frozen: each searches for a
+// source once in three seconds and tries another frozen entry.
+BOOST_AUTO_TEST_CASE(FollowersOfFrozenEntriesSoonFindAnotherSource)
 {
   constexpr int kEntries = 360;
   constexpr int kFrozen = 6;
@@ -233,8 +240,8 @@
   BOOST_TEST(watching <= kMostWatching);
 }
 
-// The store comes back from an outage and is flooded: each of hundreds of
-// entries lists all kinds and watches them for seconds.
+// Guards against a store that is flooded with calls after an outage, because
+// each of hundreds of entries lists all kinds and watches them for seconds.
 BOOST_AUTO_TEST_CASE(AnOutageOfTheStoreEndsWithFewCalls)
 {
   constexpr int kEntries = 360;
@@ -260,9 +267,9 @@
   BOOST_TEST(calls - stale + stale * kStalePart <= kEntries * kMostCallsOfOne);
 }
 
-// An entry that has heard of a change forgets it when it asks another one that
-// hasn't yet.
-BOOST_AUTO_TEST_CASE(AListingOfSomebodyWhoKnowsLessTakesNothingBack)
+// Guards against an entry that loses a change when it gets the full state from
+// another entry that doesn't have the change yet.
+BOOST_AUTO_TEST_CASE(AListingFromALaggingEntryRevertsNothing)
 {
   const auto object = [](const std::string& aName,
                          objects::revision_number aRevision) {
@@ -274,8 +281,8 @@
   const feed::object_map known{ object("changed", 7),
                                 object("created", 8),
                                 object("removed", 3) };
-  const feed::object_map told{ object("changed", 2), object("theirs", 5) };
-  const auto merged = feed::MergeListing(known, told, 5);
+  const feed::object_map received{ object("changed", 2), object("theirs", 5) };
+  const auto merged = feed::MergeListing(known, received, 5);
   BOOST_TEST(merged.at("changed").mRevision == 7);
   BOOST_TEST(merged.count("created") == 1);
   BOOST_TEST(merged.count("removed") == 0);
--- a/Tests/Site/TestFeedHistories.cpp
+++ b/Tests/Site/TestFeedHistories.cpp
@@ -8,12 +8,13 @@
 using namespace lavender::tests;
 using namespace std::chrono_literals;
 
-/** Generated histories of a site: entries join, die, freeze and lose the store
- * or one another, the store is down, drops its history or falls deaf. */
+/** Randomly generated histories of a site. Entries join, end, freeze, and lose
+ * the store or each other. The store has outages, drops its history of changes,
+ * or leaves watches without events. */
 namespace {
 
-/** A change is in force this long after its confirmation at entries in touch,
- * which nothing has disturbed for kStable. */
+/** A change must be in force this long after its confirmation, at all entries
+ * that no fault has affected for kStable. */
 constexpr milliseconds kInForceWithin = 2000ms;
 constexpr milliseconds kStable = 3000ms;
 constexpr milliseconds kLength = 24000ms;
@@ -30,7 +31,7 @@
 public:
   explicit history(unsigned aSeed);
 
-  /** @return what was seen that must not be; empty when all held */
+  /** @return a description of the first violation; empty if there was none */
   std::string Play();
 
 private:
@@ -40,27 +41,27 @@
     return milliseconds(Pick(aFrom, aTo));
   }
   std::string PickEntry();
-  void Later(milliseconds aPause, std::function<void()> aAction);
-  void DisturbEntry(const std::string& aName);
-  void DisturbStore();
+  void RunLater(milliseconds aPause, std::function<void()> aAction);
+  void InjectEntryFault(const std::string& aName);
+  void InjectStoreFault();
   void Step();
   void Start(const std::string& aName);
-  /** The entry isn't in touch now, nor for a while after the last call. */
-  void Touch(const std::string& aName)
+  /** Records that a fault affects the entry now. */
+  void MarkFaulty(const std::string& aName)
   {
-    mDisturbed[aName] = mSite.mClock.Now();
+    mLastFault[aName] = mSite.mClock.Now();
   }
-  void TouchStore() { mStoreDisturbed = mSite.mClock.Now(); }
+  void MarkStoreFaulty() { mLastStoreFault = mSite.mClock.Now(); }
   std::string Check() const;
 
   std::mt19937 mRandom;
   simulated_site mSite;
   std::vector<std::string> mNames;
-  std::map<std::string, time_point> mDisturbed;
-  /** Entries that are kept from working until then. */
-  std::map<std::string, time_point> mHeldUntil;
-  time_point mStoreDisturbed;
-  time_point mStoreHeldUntil;
+  std::map<std::string, time_point> mLastFault;
+  /** End of the current fault of each entry. */
+  std::map<std::string, time_point> mFaultyUntil;
+  time_point mLastStoreFault;
+  time_point mStoreFaultyUntil;
   std::vector<confirmed_change> mChanges;
 };
 
@@ -71,11 +72,11 @@
   mChanges.push_back({ 1, mSite.mClock.Now() });
   const int entries = Pick(0, 9) == 0 ? Pick(18, 24) : Pick(2, 8);
   for (int i = 0; i < entries; ++i) {
-    // Every other name stays free for entries that join later.
+    // Leave every other name free for entries that join later.
     mNames.push_back("entry-" + std::to_string(100 + 2 * i));
     Start(mNames.back());
   }
-  TouchStore();
+  MarkStoreFaulty();
 }
 
 int
@@ -88,7 +89,7 @@
 std::string
 history::PickEntry()
 {
-  // Those that come first are the ones that others depend on.
+  // Prefer the first entries by name, because the others depend on them.
   const int last = static_cast<int>(mNames.size()) - 1;
   return mNames[Pick(0, Pick(0, 1) == 0 ? std::min(last, 1) : last)];
 }
@@ -97,47 +98,47 @@
 history::Start(const std::string& aName)
 {
   mSite.Add(aName).Start();
-  Touch(aName);
+  MarkFaulty(aName);
 }
 
 void
-history::Later(milliseconds aPause, std::function<void()> aAction)
+history::RunLater(milliseconds aPause, std::function<void()> aAction)
 {
   RunAfter(mSite.mClock.Scheduler(), aPause, std::move(aAction));
 }
 
 void
-history::DisturbEntry(const std::string& aName)
+history::InjectEntryFault(const std::string& aName)
 {
   const auto now = mSite.mClock.Now();
-  if (mHeldUntil[aName] >= now) {
+  if (mFaultyUntil[aName] >= now) {
     return;
   }
-  Touch(aName);
+  MarkFaulty(aName);
   const auto time = Time(100, 4000);
-  mHeldUntil[aName] = now + time;
+  mFaultyUntil[aName] = now + time;
   auto& entry = mSite.At(aName);
   switch (Pick(0, 5)) {
     case 0:
       entry.Freeze();
-      Later(time, [&entry] { entry.Thaw(); });
+      RunLater(time, [&entry] { entry.Thaw(); });
       return;
     case 1:
       mSite.Kill(aName);
-      Later(time, [this, aName] { Start(aName); });
+      RunLater(time, [this, aName] { Start(aName); });
       return;
     case 2:
       entry.mWay = store_way::Cut;
-      Later(time, [&entry] { entry.mWay = store_way::Open; });
+      RunLater(time, [&entry] { entry.mWay = store_way::Open; });
       return;
     case 3:
       entry.mWay = store_way::TurnedAway;
       entry.BreakCalls();
-      Later(time, [&entry] { entry.mWay = store_way::Open; });
+      RunLater(time, [&entry] { entry.mWay = store_way::Open; });
       return;
     case 4:
       entry.mIsAlone = true;
-      Later(time, [&entry] { entry.mIsAlone = false; });
+      RunLater(time, [&entry] { entry.mIsAlone = false; });
       return;
     default:
       entry.BreakCalls();
@@ -146,42 +147,42 @@
 }
 
 void
-history::DisturbStore()
+history::InjectStoreFault()
 {
   const auto now = mSite.mClock.Now();
-  if (mStoreHeldUntil >= now) {
+  if (mStoreFaultyUntil >= now) {
     return;
   }
-  TouchStore();
+  MarkStoreFaulty();
   const auto time = Time(100, 3000);
-  mStoreHeldUntil = now + time;
+  mStoreFaultyUntil = now + time;
   auto& state = mSite.mState;
   switch (Pick(0, 4)) {
     case 0:
       state.mFault = standin::store_fault::Silent;
-      Later(time, [&state] { state.mFault = standin::store_fault::None; });
+      RunLater(time, [&state] { state.mFault = standin::store_fault::None; });
       return;
     case 1:
       state.mFault = standin::store_fault::Refuse;
-      Later(time, [&state] { state.mFault = standin::store_fault::None; });
+      RunLater(time, [&state] { state.mFault = standin::store_fault::None; });
       return;
     case 2:
-      // The answers of all watches that wait now are lost.
+      // Lose the responses to all waiting watches.
       for (const auto& [name, entry] : mSite.mEntries) {
         entry->SilenceWatches();
       }
-      mStoreHeldUntil = now;
+      mStoreFaultyUntil = now;
       return;
     case 3:
       mSite.CutWatches();
-      mStoreHeldUntil = now;
+      mStoreFaultyUntil = now;
       return;
     default:
-      // Watches hear nothing for a second; then the history is dropped and they
-      // are cut.
+      // Watches get no events for a second. Then the store drops its history
+      // and ends the watches without a response.
       state.mAreWatchesDeaf = true;
-      mStoreHeldUntil = now + 1s;
-      Later(1s, [this, &state] {
+      mStoreFaultyUntil = now + 1s;
+      RunLater(1s, [this, &state] {
         state.mAreWatchesDeaf = false;
         state.mForgottenBefore = state.mRevision;
         mSite.CutWatches();
@@ -200,10 +201,10 @@
     mChanges.push_back({ value, now });
   }
   if (Pick(0, 99) < 3) {
-    DisturbEntry(PickEntry());
+    InjectEntryFault(PickEntry());
   }
   if (Pick(0, 199) < 2) {
-    DisturbStore();
+    InjectStoreFault();
   }
   if (Pick(0, 399) < 2) {
     const auto joined =
@@ -214,13 +215,13 @@
       Start(joined);
     }
   }
-  for (const auto& [name, until] : mHeldUntil) {
+  for (const auto& [name, until] : mFaultyUntil) {
     if (until >= now) {
-      Touch(name);
+      MarkFaulty(name);
     }
   }
-  if (mStoreHeldUntil >= now) {
-    TouchStore();
+  if (mStoreFaultyUntil >= now) {
+    MarkStoreFaulty();
   }
 }
 
@@ -238,9 +239,9 @@
     if (entry->mHasGoneBack) {
       return name + " went back";
     }
-    const bool isInTouch =
-      now - mDisturbed.at(name) > kStable && now - mStoreDisturbed > kStable;
-    if (isInTouch && entry->Value(kBusyKind) < due) {
+    const bool isStable =
+      now - mLastFault.at(name) > kStable && now - mLastStoreFault > kStable;
+    if (isStable && entry->Value(kBusyKind) < due) {
       return name + " has " + std::to_string(entry->Value(kBusyKind)) +
              " where " + std::to_string(due) + " is due";
     }
@@ -276,9 +277,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestFeedHistories)
 
-// A confirmed change isn't in force in time, or goes back, at an entry that
-// nothing has disturbed, whatever happened to the others and the store before.
-// FEED_FIRST_SEED and FEED_HISTORIES choose other histories.
+// Guards against a confirmed change that isn't in force in time, or is
+// reverted, at an entry that no fault has affected recently, for any earlier
+// faults of other entries and the store. The environment variables
+// FEED_FIRST_SEED and FEED_HISTORIES select other histories.
 BOOST_AUTO_TEST_CASE(ChangesAreInForceInTimeAndNeverGoBack)
 {
   const auto first = FromEnvironment("FEED_FIRST_SEED", 1);
--- a/Tests/Site/TestGivers.cpp
+++ b/Tests/Site/TestGivers.cpp
@@ -16,10 +16,11 @@
 
 namespace {
 
-/** A store, one model server, and what entries and agents know of them. */
-struct giver_site
+/** A store, one model server, and the directory and configuration that entries
+ * and agents have. */
+struct controller_site
 {
-  giver_site()
+  controller_site()
   {
     auto known = std::make_shared<site::site_configuration>();
     known->mVersion = 1;
@@ -44,10 +45,10 @@
   site::configuration_ptr mConfiguration;
 };
 
-/** The duties of an entry about orders. */
-struct giving_entry
+/** The part of an entry that answers controllers and acts as one. */
+struct controlling_entry
 {
-  giving_entry(giver_site& aSite, const std::string& aName)
+  controlling_entry(controller_site& aSite, const std::string& aName)
     : mAssignments(
         { aSite.mLoop.mLoop, aSite.mDirectory, aSite.mConfiguration, mClaims })
     , mListener(
@@ -70,52 +71,55 @@
     mMirror = std::make_shared<objects::mirror>(
       edge::LoopScheduler(aSite.mLoop.mLoop), aSite.mStore, options, heard);
     mMirror->Start();
-    mSubstitute.emplace(substitute_parts{ aSite.mLoop.mLoop,
-                                          *aSite.mClients,
-                                          aSite.mStore,
-                                          aName,
-                                          { "127.0.0.1", mListener.Port() },
-                                          aSite.mDirectory,
-                                          aSite.mConfiguration,
-                                          mClaims,
-                                          mAssignments,
-                                          [this] { return mMayClaim; },
-                                          platform::EncodeReportRequest,
-                                          platform::DecodeReport,
-                                          platform::EncodeOrder });
-    mSubstitute->Start();
+    mFallback.emplace(substitute_parts{ aSite.mLoop.mLoop,
+                                        *aSite.mClients,
+                                        aSite.mStore,
+                                        aName,
+                                        { "127.0.0.1", mListener.Port() },
+                                        aSite.mDirectory,
+                                        aSite.mConfiguration,
+                                        mClaims,
+                                        mAssignments,
+                                        [this] { return mMayClaim; },
+                                        platform::EncodeReportRequest,
+                                        platform::DecodeReport,
+                                        platform::EncodeOrder });
+    mFallback->Start();
   }
 
-  ~giving_entry() { mMirror->Stop(); }
+  ~controlling_entry() { mMirror->Stop(); }
 
   bool mMayClaim = true;
   claim_table mClaims;
   assignments mAssignments;
   edge::listener mListener;
   std::shared_ptr<objects::mirror> mMirror;
-  std::optional<substitute_giver> mSubstitute;
+  std::optional<substitute_giver> mFallback;
 };
 
 std::optional<order_right>
-Claim(giver_site& aSite, const std::string& aGiver)
+Claim(controller_site& aSite, const std::string& aController)
 {
-  std::optional<order_right> right;
+  std::optional<order_right> grant;
   bool isDone = false;
-  ClaimServer(
-    aSite.mStore, aSite.Name(), aGiver, [&](std::optional<order_right> aRight) {
-      right = aRight;
-      isDone = true;
-    });
+  ClaimServer(aSite.mStore,
+              aSite.Name(),
+              aController,
+              [&](std::optional<order_right> aGrant) {
+                grant = aGrant;
+                isDone = true;
+              });
   BOOST_TEST(aSite.mLoop.RunUntil([&] { return isDone; }));
-  return right;
+  return grant;
 }
 
-/** Asks what the server shall hold; the answer's status comes later. */
+/** Requests the server's target versions.
+ * @return the response's status, 0 until it arrives */
 std::shared_ptr<unsigned>
-StartAsking(giver_site& aSite,
-            giving_entry& aEntry,
-            const giver_claim& aClaim,
-            const std::map<std::string, std::int64_t>& aHeld)
+StartRequest(controller_site& aSite,
+             controlling_entry& aEntry,
+             const giver_claim& aClaim,
+             const std::map<std::string, std::int64_t>& aHeld)
 {
   const auto status = std::make_shared<unsigned>(0);
   edge::FetchWhole(
@@ -132,11 +136,13 @@
   return status;
 }
 
-/** Status of the answer to a giver's question. */
+/** Returns the status of the response to a controller's request. */
 unsigned
-Ask(giver_site& aSite, giving_entry& aEntry, const giver_claim& aClaim)
+Request(controller_site& aSite,
+        controlling_entry& aEntry,
+        const giver_claim& aClaim)
 {
-  const auto status = StartAsking(aSite, aEntry, aClaim, { { "model", 1 } });
+  const auto status = StartRequest(aSite, aEntry, aClaim, { { "model", 1 } });
   BOOST_TEST(aSite.mLoop.RunUntil([&] { return *status != 0; }));
   return *status;
 }
@@ -145,14 +151,15 @@
 
 BOOST_AUTO_TEST_SUITE(TestGivers)
 
-// Training stops after three steps on a deployment without instances beside its
-// servers: only agents gave orders, so no version but the first was loaded. Two
-// entries take themselves for the one that watches the store; one orders.
+// Guards against servers without an agent getting no orders: they would never
+// load a version after the first one, and training would stop after three
+// steps. Both entries here believe that they are the one that watches the
+// store, but only one may send orders.
 BOOST_AUTO_TEST_CASE(AServerWithoutAgentIsGivenOrdersByOneEntry)
 {
-  giver_site site;
-  giving_entry first(site, "front-1");
-  giving_entry second(site, "front-2");
+  controller_site site;
+  controlling_entry first(site, "front-1");
+  controlling_entry second(site, "front-2");
   first.mAssignments.TakeNamed("model", 2);
   second.mAssignments.TakeNamed("model", 2);
   BOOST_TEST(
@@ -161,19 +168,20 @@
   second.mAssignments.TakeNamed("model", 3);
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return site.mServer.mVersion == 3; }, 5s));
-  std::set<std::string> givers;
-  for (const auto& [epoch, giver] : site.mServer.mOrders) {
-    givers.insert(giver);
+  std::set<std::string> controllers;
+  for (const auto& [epoch, controller] : site.mServer.mOrders) {
+    controllers.insert(controller);
   }
-  BOOST_TEST(givers.size() == 1u);
+  BOOST_TEST(controllers.size() == 1u);
   BOOST_TEST(site.mServer.mOrders.size() == 2u);
 }
 
-// Two give one server orders in turn: an agent starts beside a server that an
-// entry has claimed, and orders while the entry's last order is on its way.
-BOOST_AUTO_TEST_CASE(WhoTakesAClaimWaitsAndHasAHigherEpoch)
+// Guards against orders of two controllers that reach one server in turn: an
+// agent starts on the instance of a server that an entry has claimed, and sends
+// orders while the entry's last order is in transit.
+BOOST_AUTO_TEST_CASE(ATakeoverOfAClaimWaitsAndHasAHigherEpoch)
 {
-  giver_site site;
+  controller_site site;
   const auto entry = Claim(site, "front-1");
   BOOST_REQUIRE(entry);
   BOOST_TEST((entry->mNotBefore <= boot_clock::now()));
@@ -188,10 +196,11 @@
   BOOST_TEST((again->mNotBefore > boot_clock::now() + 7s));
 }
 
-// All servers wait for seconds whenever their agents are restarted.
+// Guards against all servers waiting for seconds whenever their agents restart:
+// an agent that claims its own server again needs no takeover delay.
 BOOST_AUTO_TEST_CASE(AnAgentThatStartsAgainOrdersAtOnce)
 {
-  giver_site site;
+  controller_site site;
   const auto before = Claim(site, "side-1");
   const auto after = Claim(site, "side-1");
   BOOST_REQUIRE(before);
@@ -200,29 +209,31 @@
   BOOST_TEST((after->mNotBefore <= boot_clock::now()));
 }
 
-// A giver that lost its claim goes on ordering: it still asks an entry that
-// tells it what is wanted. Its question may wait there already.
-BOOST_AUTO_TEST_CASE(OnlyTheHolderOfTheClaimIsTold)
+// Guards against a controller that lost its claim but still gets target
+// versions from an entry, and so continues to send orders. Its request may
+// already be held at the entry when the claim changes.
+BOOST_AUTO_TEST_CASE(OnlyTheHolderOfTheClaimIsAnswered)
 {
-  giver_site site;
+  controller_site site;
   const auto entry = Claim(site, "front-1");
   BOOST_REQUIRE(entry);
-  giving_entry asked(site, "front-9");
+  controlling_entry asked(site, "front-9");
   asked.mMayClaim = false;
   const auto status =
-    StartAsking(site, asked, { "front-1", false, entry->mEpoch }, {});
+    StartRequest(site, asked, { "front-1", false, entry->mEpoch }, {});
   const auto agent = Claim(site, "side-1");
   BOOST_REQUIRE(agent);
   BOOST_TEST(site.mLoop.RunUntil([&] { return *status == kNotGiver; }, 5s));
-  BOOST_TEST(Ask(site, asked, { "front-1", false, entry->mEpoch }) ==
+  BOOST_TEST(Request(site, asked, { "front-1", false, entry->mEpoch }) ==
              kNotGiver);
   asked.mAssignments.TakeNamed("model", 2);
-  BOOST_TEST(Ask(site, asked, { "side-1", false, agent->mEpoch }) == 200u);
+  BOOST_TEST(Request(site, asked, { "side-1", false, agent->mEpoch }) == 200u);
 }
 
-// A server keeps its old weights for good after its agent has ended for good.
-// One whose giver lives, or that needs nothing, is left alone.
-BOOST_AUTO_TEST_CASE(ASilentGiverIsReplacedWhenALoadIsOverdue)
+// Guards against a server that keeps its old weights because its agent has
+// ended and nobody replaces it. A controller that is alive, or whose server
+// needs no load, isn't replaced.
+BOOST_AUTO_TEST_CASE(ASilentControllerIsReplacedWhenALoadIsOverdue)
 {
   const auto now = boot_clock::now();
   giver_view view;
--- a/Tests/Site/TestStoreAccess.cpp
+++ b/Tests/Site/TestStoreAccess.cpp
@@ -10,31 +10,31 @@
 
 namespace {
 
-/** What the store does for one entry. */
-enum class way
+/** How the store treats the calls of one entry. */
+enum class store_response
 {
-  Open,
-  /** Calls get no answer. */
+  Served,
+  /** Calls get no response. */
   Silent,
   /** Calls are refused. */
   Refused
 };
 
-/** Entries that reach the store directly or through one another, on simulated
- * time, without any network. */
+/** Entries that call the store directly or through each other, on simulated
+ * time and without a network. */
 struct access_site
 {
   struct entry
   {
     std::unique_ptr<storeaccess::store_access> mAccess;
-    way mWay = way::Open;
-    /** Unreachable for other entries. */
-    bool mIsAlone = false;
+    store_response mStore = store_response::Served;
+    /** Whether the entry is unreachable for other entries. */
+    bool mIsIsolated = false;
     int mDirectCalls = 0;
-    /** Calls made for others that reached the store. */
+    /** Calls for other entries that the store answered. */
     int mHelped = 0;
-    int mHelpedAtOnce = 0;
-    int mMostAtOnce = 0;
+    int mConcurrentlyHelped = 0;
+    int mMaximumConcurrentlyHelped = 0;
   };
 
   explicit access_site(int aEntries)
@@ -87,11 +87,12 @@
   {
     auto& caller = mEntries.at(aName);
     ++caller.mDirectCalls;
-    if (caller.mWay == way::Silent) {
+    if (caller.mStore == store_response::Silent) {
       After(aDeadline, [aDone] { aDone(edge::call_end::TimedOut, {}); });
       return;
     }
-    const unsigned status = caller.mWay == way::Refused ? 503 : 201;
+    const unsigned status =
+      caller.mStore == store_response::Refused ? 503 : 201;
     After(4ms, [aDone, status] {
       aDone(edge::call_end::Complete, { status, {}, {} });
     });
@@ -103,7 +104,7 @@
                  const edge::whole_answer& aDone)
   {
     auto& asked = mEntries.at(aName);
-    if (asked.mIsAlone) {
+    if (asked.mIsIsolated) {
       After(aDeadline, [aDone] { aDone(edge::call_end::TimedOut, {}); });
       return;
     }
@@ -113,10 +114,11 @@
         aDone(edge::call_end::TimedOut, {});
       }
     });
-    asked.mMostAtOnce = std::max(asked.mMostAtOnce, ++asked.mHelpedAtOnce);
+    asked.mMaximumConcurrentlyHelped =
+      std::max(asked.mMaximumConcurrentlyHelped, ++asked.mConcurrentlyHelped);
     asked.mAccess->Help(
       aRequest, [this, &asked, aDone, isAnswered](edge::response aAnswer) {
-        --asked.mHelpedAtOnce;
+        --asked.mConcurrentlyHelped;
         asked.mHelped += aAnswer.mStatus == 201 ? 1 : 0;
         After(2ms, [aDone, isAnswered, aAnswer] {
           if (!std::exchange(*isAnswered, true)) {
@@ -171,15 +173,15 @@
 
 BOOST_AUTO_TEST_SUITE(TestStoreAccess)
 
-// Trainers' batches fail for seconds although most entries reach the store: an
-// entry that is cut off wrote through one that was cut off too, and asked no
-// other one.
-BOOST_AUTO_TEST_CASE(AHelperThatIsCutOffTooIsPassedOver)
+// Guards against trainers' batches that fail for seconds although most entries
+// reach the store: an entry without the store writes through another one that
+// has lost the store too, and asks no third one.
+BOOST_AUTO_TEST_CASE(AHelperThatIsCutOffTooIsSkipped)
 {
-  for (const auto cut : { way::Silent, way::Refused }) {
+  for (const auto cut : { store_response::Silent, store_response::Refused }) {
     access_site site(6);
     for (const char* name : { "entry-1", "entry-2", "entry-3" }) {
-      site.At(name).mWay = cut;
+      site.At(name).mStore = cut;
     }
     for (const char* name : { "entry-1", "entry-2", "entry-3" }) {
       const auto call = site.Call(name);
@@ -189,12 +191,12 @@
   }
 }
 
-// Each write of an entry that is cut off takes seconds: every one waits for the
-// silent store before another entry is asked.
+// Guards against slow writes of an entry that has lost the store: each write
+// would wait for the unresponsive store before another entry is asked.
 BOOST_AUTO_TEST_CASE(AnEntryThatIsCutOffAsksItsHelperAtOnce)
 {
   access_site site(6);
-  site.At("entry-1").mWay = way::Silent;
+  site.At("entry-1").mStore = store_response::Silent;
   site.Call("entry-1");
   for (int i = 0; i < 20; ++i) {
     const auto call = site.Call("entry-1");
@@ -204,8 +206,9 @@
   }
 }
 
-// A third of a large fleet is cut off at once, and all of it writes through the
-// one entry that everybody hears of: that one is overloaded, its callers wait.
+// Guards against the overload of one entry when a third of a large fleet loses
+// the store at once and writes through the entry that all of them know to reach
+// it.
 BOOST_AUTO_TEST_CASE(ManyThatAreCutOffSpreadOverTheOthers)
 {
   constexpr int kEntries = 360;
@@ -213,12 +216,12 @@
   access_site site(kEntries);
   for (int i = 0; i < kCutOff; ++i) {
     site.At("entry-" + std::to_string(1 + 3 * i - (3 * i == 357 ? 1 : 0)))
-      .mWay = way::Silent;
+      .mStore = store_response::Silent;
   }
   const auto callAll = [&] {
     std::vector<std::shared_ptr<access_site::outcome>> calls;
     for (auto& [name, entry] : site.mEntries) {
-      if (entry.mWay == way::Silent) {
+      if (entry.mStore == store_response::Silent) {
         calls.push_back(site.Start(name));
       }
     }
@@ -242,16 +245,17 @@
   int busiest = 0;
   for (const auto& [name, entry] : site.mEntries) {
     busiest = std::max(busiest, entry.mHelped);
-    BOOST_TEST(entry.mMostAtOnce <= storeaccess::kMostHelped + 1);
+    BOOST_TEST(entry.mMaximumConcurrentlyHelped <=
+               storeaccess::kMostHelped + 1);
   }
-  // The mean is half a call of each round.
+  // The mean is half a call per round.
   BOOST_TEST(busiest <= 8 * kRounds);
   BOOST_TEST(site.At(site.mOrigin).mHelped <= 8 * kRounds);
 }
 
-// An entry that helps serves its own callers no more: it takes as many calls of
-// others as come.
-BOOST_AUTO_TEST_CASE(AHelperTakesSoManyCallsAndRefusesTheRest)
+// Guards against a helper that can't serve its own callers, because it accepts
+// any number of calls from other entries.
+BOOST_AUTO_TEST_CASE(AHelperLimitsItsCallsAndRefusesTheRest)
 {
   access_site site(2);
   int refused = 0;
@@ -266,14 +270,14 @@
   BOOST_TEST(refused == 2 * storeaccess::kMostHelped);
 }
 
-// After the store takes an entry back, its calls still go through another one
-// for as long as it has any.
-BOOST_AUTO_TEST_CASE(AnEntryThatIsTakenBackCallsTheStoreItself)
+// Guards against an entry whose calls still go through another one after the
+// store serves it again.
+BOOST_AUTO_TEST_CASE(AnEntryThatIsServedAgainCallsTheStoreItself)
 {
   access_site site(4);
-  site.At("entry-1").mWay = way::Refused;
+  site.At("entry-1").mStore = store_response::Refused;
   site.Call("entry-1");
-  site.At("entry-1").mWay = way::Open;
+  site.At("entry-1").mStore = store_response::Served;
   site.mClock.RunFor(2500ms);
   site.Call("entry-1");
   site.mClock.RunFor(100ms);
@@ -282,55 +286,56 @@
   BOOST_TEST(site.At("entry-1").mDirectCalls == before + 1);
 }
 
-// A trainer is told "not run" and its batch runs: the store was silent to the
-// entry's write, and every helper refused.
+// Guards against a trainer that is told "not run" though its batch runs: the
+// store gave no response to the entry's write, and every helper refused.
 BOOST_AUTO_TEST_CASE(RefusalsOfHelpersDontUndoAWriteWithoutAnswer)
 {
   access_site site(4);
-  site.At("entry-1").mWay = way::Silent;
+  site.At("entry-1").mStore = store_response::Silent;
   for (const char* name : { "entry-0", "entry-2", "entry-3" }) {
-    site.At(name).mWay = way::Refused;
+    site.At(name).mStore = store_response::Refused;
   }
   BOOST_TEST((site.Call("entry-1").mEnd == edge::call_end::TimedOut));
 }
 
-// The same where each of them is refused: nothing was done, and the trainer may
-// come again elsewhere.
-BOOST_AUTO_TEST_CASE(WhatAllAreRefusedHasNotHappened)
+// If the store refuses all entries, the write was certainly not carried out,
+// and the trainer may retry at another entry.
+BOOST_AUTO_TEST_CASE(AWriteThatAllAreRefusedWasNotCarriedOut)
 {
   access_site site(4);
   for (auto& [name, entry] : site.mEntries) {
-    entry.mWay = way::Refused;
+    entry.mStore = store_response::Refused;
   }
   const auto call = site.Call("entry-1");
   BOOST_TEST((call.mEnd == edge::call_end::Complete));
   BOOST_TEST(call.mStatus == 503u);
 }
 
-// An entry that can store nothing keeps its batches and takes new ones.
-BOOST_AUTO_TEST_CASE(AnEntryWithoutAnyWayKnowsItAndLearnsOfTheNextOne)
+// Guards against an entry that keeps its batches and accepts new ones though it
+// can't write to the store by any path.
+BOOST_AUTO_TEST_CASE(AnEntryWithoutAnyPathDetectsItAndTheNextPath)
 {
   access_site site(3);
   auto& cut = site.At("entry-1");
-  cut.mWay = way::Silent;
-  site.At("entry-0").mIsAlone = site.At("entry-2").mIsAlone = true;
+  cut.mStore = store_response::Silent;
+  site.At("entry-0").mIsIsolated = site.At("entry-2").mIsIsolated = true;
   BOOST_TEST(cut.mAccess->CanStore());
   site.Call("entry-1");
   site.mClock.RunFor(1100ms);
   BOOST_TEST(!cut.mAccess->CanStore());
-  site.At("entry-2").mIsAlone = false;
+  site.At("entry-2").mIsIsolated = false;
   site.mClock.RunFor(8s);
   BOOST_TEST(cut.mAccess->CanStore());
 }
 
-// In an outage of the store for all, entries would send their batches to one
-// another for nothing.
-BOOST_AUTO_TEST_CASE(WhenNobodyIsServedNobodyIsBetter)
+// Guards against entries that hand their batches to each other in vain during
+// an outage of the store for all.
+BOOST_AUTO_TEST_CASE(InAnOutageForAllNoEntryGivesUp)
 {
   access_site site(3);
   site.mAddresses.clear();
   auto& cut = site.At("entry-1");
-  cut.mWay = way::Silent;
+  cut.mStore = store_response::Silent;
   site.Call("entry-1");
   site.mClock.RunFor(5s);
   BOOST_TEST(cut.mAccess->CanStore());
--- a/Tests/Site/TestStoreHelp.cpp
+++ b/Tests/Site/TestStoreHelp.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** An entry whose own calls to the store end as the test says, and the entry
+/** An entry whose direct calls to the store have a given result, and the entry
  * that helps it. */
 struct help_site
 {
@@ -25,7 +25,7 @@
     mHelperPort = mHelper.Port();
   }
 
-  /** The word for what the entry concludes of one create. */
+  /** Returns the outcome of one create as the entry sees it. */
   std::string Create()
   {
     const auto direct = [this](const edge::request&,
@@ -90,10 +90,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestStoreHelp)
 
-// A trainer is told that its batch will not run, and it runs. The entry's write
-// to the store got no answer and was carried out seconds later; the entry that
-// helped had meanwhile been turned away too, and its refusal was taken for the
-// whole story.
+// Guards against a trainer that is told that its batch won't run though it
+// does. The entry's write to the store got no response and was carried out
+// seconds later. Meanwhile the store refused the helper too, and that refusal
+// was taken for the outcome of the write.
 BOOST_AUTO_TEST_CASE(ARefusalToTheHelperDoesntUndoAWriteWithoutAnswer)
 {
   for (const auto end : { edge::call_end::TimedOut,
@@ -109,7 +109,7 @@
   }
 }
 
-// The same, with a helper that has just died: nothing was sent to it.
+// The same with a helper that has just ended, so that nothing was sent to it.
 BOOST_AUTO_TEST_CASE(AMissingHelperDoesntUndoAWriteWithoutAnswer)
 {
   help_site site;
@@ -117,8 +117,8 @@
   BOOST_TEST(site.Create() == "unknown");
 }
 
-/** What both were refused has certainly not happened. */
-BOOST_AUTO_TEST_CASE(WhatBothAreRefusedHasNotHappened)
+/** A write that the store refused to both entries was not carried out. */
+BOOST_AUTO_TEST_CASE(AWriteThatBothAreRefusedWasNotCarriedOut)
 {
   help_site site;
   site.mDirectEnd = edge::call_end::Complete;
--- a/Tests/Site/TestVersions.cpp
+++ b/Tests/Site/TestVersions.cpp
@@ -39,9 +39,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestVersions)
 
-// A trainer waits for seconds after all processes were restarted: the agents
-// ask for versions before the entry has listed any server, and their questions
-// are tied to none.
+// Guards against a trainer that waits for seconds after all processes were
+// restarted: the agents request versions before the entry has listed any
+// server, and the entry never matches their requests to servers.
 BOOST_AUTO_TEST_CASE(AnAgentThatAsksBeforeItsServerIsKnownIsAnswered)
 {
   test_loop loop;
@@ -72,13 +72,15 @@
   site::TakeServer(directory, Server("s1", 1));
   assigned.TakeNamed("m", 2);
   BOOST_TEST(loop.RunUntil([&] { return wanted.has_value(); }));
-  // Without the second look the hold ends and the answer is empty.
+  // Without a second look-up of the server the hold ends with an empty
+  // response.
   BOOST_TEST(wanted->count("m") == 1u);
 }
 
-// Steps wait for seconds: the entry that the agents ask is cut off from the
-// store, and they wait there for versions that it never hears of.
-BOOST_AUTO_TEST_CASE(AgentsThatWaitAtACutOffEntryAreSentAway)
+// Guards against training steps that wait for seconds: the entry that the
+// agents ask has lost the store, and holds their requests though it can't learn
+// of new versions.
+BOOST_AUTO_TEST_CASE(AgentsThatWaitAtACutOffEntryAreRejected)
 {
   test_loop loop;
   auto clients = std::make_shared<edge::client_pool>(loop.mLoop);
@@ -113,9 +115,9 @@
   BOOST_TEST(status == 503u);
 }
 
-/** Whatever versions servers hold and trainers name: each server has one
- * model, shares differ by one at most, and those that hold a named version
- * keep their model unless the shares require a move. */
+/** For any versions that servers hold and trainers announce: each server has
+ * one model, each model has its share of the servers, and servers that hold an
+ * announced version keep their model unless the shares require a move. */
 BOOST_AUTO_TEST_CASE(SharesAreEvenAndStable)
 {
   BOOST_TEST(rc::check("shares", [] {
@@ -159,7 +161,7 @@
       sum += shares.at(model);
     }
     RC_ASSERT(sum == static_cast<std::size_t>(count));
-    // The same servers, brought to what they were placed for, stay there.
+    // Servers that have loaded the model assigned to them keep it.
     for (auto& server : servers) {
       server.mVersions = { { "m", 1 }, { "n", 1 }, { "o", 1 } };
       const auto& model = placed.at(server.mId);
@@ -169,8 +171,9 @@
   }));
 }
 
-// One trainer of many is served too slowly for good: its first batch was
-// guessed too small, and its part of the work never changes by a tenth of all.
+// Guards against a trainer that is served too slowly forever, because the work
+// of its first batch was estimated too low: with many models its share of the
+// work is so small that it never changes by a tenth of the total work.
 BOOST_AUTO_TEST_CASE(ASmallModelGetsItsServersAfterABadFirstGuess)
 {
   constexpr int kModels = 17;
@@ -195,9 +198,9 @@
   BOOST_TEST(!ShiftedWeights(work, *known));
 }
 
-/** After each naming and the loads that follow, at least one server in lag + 1
- * holds the newest version and all are fresh enough for the next batch; over
- * many versions a server loads once in lag + 1. */
+/** After each announcement and the loads that follow, at least one server in
+ * lag + 1 holds the newest version, and all are recent enough for the next
+ * batch. Over many versions a server loads one version in lag + 1. */
 BOOST_AUTO_TEST_CASE(LoadsAreSpreadOverTheAllowedLag)
 {
   BOOST_TEST(rc::check("loads", [] {
@@ -229,8 +232,9 @@
   }));
 }
 
-/** An order is never given while another is under way, to an older version, or
- * without the count that keeps a delayed one from being carried out. */
+/** No order is created while the server carries out another one or for an older
+ * version, and each order has the count of accepted orders that keeps it from
+ * being carried out late. */
 BOOST_AUTO_TEST_CASE(OrdersOnlyGoForward)
 {
   BOOST_TEST(rc::check("orders", [] {
