--- a/Duties/Feed/FeedState.cpp
+++ b/Duties/Feed/FeedState.cpp
@@ -104,10 +104,10 @@
 {
   auto merged = aReceived;
   for (const auto& [name, object] : aKnown) {
-    const auto told = aReceived.find(name);
-    const bool isNewer = told == aReceived.end()
+    const auto found = aReceived.find(name);
+    const bool isNewer = found == aReceived.end()
                            ? object.mRevision > aReceivedRevision
-                           : object.mRevision > told->second.mRevision;
+                           : object.mRevision > found->second.mRevision;
     if (isNewer) {
       merged[name] = object;
     }
--- a/Duties/Feed/FeedState.h
+++ b/Duties/Feed/FeedState.h
@@ -77,7 +77,7 @@
 {
   /** Name of the entry that watches the store. */
   std::string mOrigin;
-  /** Time from when the state was last confirmed to match the store until the
+  /** Time from when the state was last verified to match the store until the
    * response. */
   milliseconds mAge{ 0 };
   /** How long the request was held before the response. */
--- a/Duties/Feed/HeldQuestions.cpp
+++ b/Duties/Feed/HeldQuestions.cpp
@@ -11,11 +11,11 @@
 constexpr char kLifeField[] = "Lavender-Life";
 constexpr char kSinceField[] = "Lavender-Since";
 constexpr char kAgeField[] = "Lavender-Age-Ms";
-/** A confirmation that is later by less counts as the same one, because the
- * transfer between entries makes a confirmation appear older. */
+/** A verification that is later by less counts as the same one, because the
+ * transfer between entries makes a verification appear older. */
 constexpr milliseconds kMinimumProofAdvance = 100ms;
 /** A request is answered after this time at the latest, so a requester that
- * waits longer knows that this entry is gone. Normally the next confirmation
+ * waits longer knows that this entry is gone. Normally the next verification
  * comes earlier. */
 constexpr milliseconds kMaximumHold = 700ms;
 
@@ -64,22 +64,22 @@
            milliseconds(aRequest.mHeaders.Integer(kAgeField).value_or(0)) };
 }
 
-held_requests::held_requests(scheduler aScheduler,
-                             std::function<void()> aAnswerHeldRequests)
+pending_requests::pending_requests(scheduler aScheduler,
+                                   std::function<void()> aAnswerHeldRequests)
   : mScheduler(std::move(aScheduler))
   , mAnswerHeldRequests(std::move(aAnswerHeldRequests))
 {
 }
 
 void
-held_requests::Hold(const feed_question& aFeedRequest,
-                    feed_asker aRequester,
-                    const feed_snapshot& aSnapshot)
+pending_requests::Hold(const feed_question& aFeedRequest,
+                       feed_asker aRequester,
+                       const feed_snapshot& aSnapshot)
 {
   held_request held;
   held.mRequester = std::move(aRequester);
   held.mReceivedAt = mScheduler.mNow();
-  held.mRequesterProvenAt = held.mReceivedAt - aFeedRequest.mAge;
+  held.mRequesterVerifiedAt = held.mReceivedAt - aFeedRequest.mAge;
   if (aFeedRequest.mLife == aSnapshot.mLife) {
     held.mSince = aFeedRequest.mSince;
   }
@@ -87,17 +87,17 @@
 }
 
 bool
-held_requests::IsDue(const held_request& aHeld,
-                     const feed_snapshot& aSnapshot) const
+pending_requests::IsDue(const held_request& aHeld,
+                        const feed_snapshot& aSnapshot) const
 {
   return !aHeld.mSince || *aHeld.mSince < aSnapshot.mState.mNewest ||
-         aHeld.mRequesterProvenAt + kMinimumProofAdvance <
+         aHeld.mRequesterVerifiedAt + kMinimumProofAdvance <
            aSnapshot.mProvenAt ||
          mScheduler.mNow() >= aHeld.mReceivedAt + kMaximumHold;
 }
 
 time_point
-held_requests::WaitDeadline(const held_request& aHeld) const
+pending_requests::WaitDeadline(const held_request& aHeld) const
 {
   return std::max(aHeld.mReceivedAt,
                   mWaitingForSourceSince.value_or(aHeld.mReceivedAt)) +
@@ -105,7 +105,7 @@
 }
 
 void
-held_requests::Answer(const feed_snapshot& aSnapshot)
+pending_requests::Answer(const feed_snapshot& aSnapshot)
 {
   const auto now = mScheduler.mNow();
   if (aSnapshot.mRefusal != refusal::WaitingForSource) {
@@ -155,7 +155,7 @@
 }
 
 void
-held_requests::ScheduleAnswer(const feed_snapshot& aSnapshot)
+pending_requests::ScheduleAnswer(const feed_snapshot& aSnapshot)
 {
   if (mHeld.empty()) {
     mNextAnswer.reset();
--- a/Duties/Feed/HeldQuestions.h
+++ b/Duties/Feed/HeldQuestions.h
@@ -17,14 +17,14 @@
 AskerOf(const edge::exchange_ptr& aExchange);
 
 /** Another entry's request for the changes after the last one that it has, or
- * for a later confirmation of an unchanged state. */
+ * for a later verification of an unchanged state. */
 struct feed_question
 {
   /** Process that assigned mSince. */
   std::string mLife;
   /** Sequence number of the last change that the requester has. */
   feed_number mSince = 0;
-  /** How long ago the requester's state was confirmed to match the store. */
+  /** How long ago the requester's state was verified to match the store. */
   milliseconds mAge{ 0 };
 };
 
@@ -46,7 +46,7 @@
   /** The entry follows another one and should have a recent state soon.
    * Requests are held until then. */
   WaitingForSource,
-  /** The entry's state is too old but may be confirmed soon; the requester
+  /** The entry's state is too old but may be verified soon; the requester
    * retries. */
   RetryLater,
   /** The store doesn't answer this entry; the requester tries another one. */
@@ -59,24 +59,24 @@
   const feed_state& mState;
   const std::string& mLife;
   std::string mOrigin;
-  /** Time at which the state was last confirmed to match the store. */
+  /** Time at which the state was last verified to match the store. */
   time_point mProvenAt;
   refusal mRefusal = refusal::None;
 };
 
 /** Long polls of other entries, held until there is something new to send. */
-class held_requests
+class pending_requests
 {
 public:
   /** @param aAnswerHeldRequests called when some request must be answered;
    * shall call Answer() */
-  held_requests(scheduler aScheduler,
-                std::function<void()> aAnswerHeldRequests);
+  pending_requests(scheduler aScheduler,
+                   std::function<void()> aAnswerHeldRequests);
 
   void Hold(const feed_question& aFeedRequest,
             feed_asker aRequester,
             const feed_snapshot& aSnapshot);
-  /** Answers the requests for which there are changes or a later confirmation,
+  /** Answers the requests for which there are changes or a later verification,
    * whose hold is over, or which must be rejected. */
   void Answer(const feed_snapshot& aSnapshot);
   bool IsEmpty() const { return mHeld.empty(); }
@@ -88,8 +88,8 @@
     /** None if the full state is needed. */
     std::optional<feed_number> mSince;
     time_point mReceivedAt;
-    /** When the requester's state was last confirmed to match the store. */
-    time_point mRequesterProvenAt;
+    /** When the requester's state was last verified to match the store. */
+    time_point mRequesterVerifiedAt;
   };
 
   bool IsDue(const held_request& aHeld, const feed_snapshot& aSnapshot) const;
--- a/Duties/Feed/StoreFeed.cpp
+++ b/Duties/Feed/StoreFeed.cpp
@@ -275,14 +275,14 @@
     options,
     kResponseTimeout,
     [this, sent](edge::call_end aEnd, const edge::response& aAnswer) {
-      OnResponse(sent, aEnd, aAnswer);
+      HandleResponse(sent, aEnd, aAnswer);
     });
 }
 
 void
-store_feed::OnResponse(const sent_request& aSent,
-                       edge::call_end aEnd,
-                       const edge::response& aAnswer)
+store_feed::HandleResponse(const sent_request& aSent,
+                           edge::call_end aEnd,
+                           const edge::response& aAnswer)
 {
   if (aSent.mNumber != mRequestNumber) {
     return;
@@ -410,15 +410,15 @@
 void
 store_feed::ApplyFullState(const decoded_feed& aFeed)
 {
-  std::map<std::string, object_map> told;
+  std::map<std::string, object_map> received;
   for (const auto& change : aFeed.mChanges) {
-    told[change.mKind][change.mEvent.mObject.mName] = change.mEvent.mObject;
+    received[change.mKind][change.mEvent.mObject.mName] = change.mEvent.mObject;
   }
   for (const auto& kind : mKinds) {
     const auto toldUpTo = aFeed.mRevisions.find(kind.mKind);
     const auto merged =
       MergeListing(mState.mKinds[kind.mKind],
-                   told[kind.mKind],
+                   received[kind.mKind],
                    toldUpTo == aFeed.mRevisions.end() ? 0 : toldUpTo->second);
     TakeListing(mState, kind.mKind, merged);
     mIsListed[kind.mKind] = true;
--- a/Duties/Feed/StoreFeed.h
+++ b/Duties/Feed/StoreFeed.h
@@ -10,7 +10,7 @@
 /** How an entry that watches a kind decides that its state is current. */
 enum class kind_proof
 {
-  /** The state is confirmed by each response to a watch. For kinds whose
+  /** The state is verified by each response to a watch. For kinds whose
    * changes must become known in time. */
   EachAnswer,
   /** The state counts as current unless the watch is known to be lost. Allows
@@ -56,9 +56,9 @@
  *
  * The first entry by name watches the store. The others follow it, directly or
  * through other entries, by long polls, and receive a change as soon as their
- * source does. Each response tells when the entry that watches last confirmed
+ * source does. Each response tells when the entry that watches last verified
  * the state; forwarding doesn't change that time. An entry whose state was last
- * confirmed more than kMaximumAge ago watches the store itself, even if its
+ * verified more than kMaximumAge ago watches the store itself, even if its
  * source still answers. The loss of any other entry thus delays a change by
  * kMaximumAge at most, and an entry that reaches the other entries but not the
  * store has no delay. */
@@ -75,7 +75,7 @@
   bool IsReachable() const { return mIsReachable; }
   /** Whether this entry watches the store and the store answers it. */
   bool IsWatching() const { return mIsWatching && mDoesStoreAnswer; }
-  /** Returns how long ago the state here was confirmed to match the store. */
+  /** Returns how long ago the state here was verified to match the store. */
   milliseconds Age() const
   {
     return std::chrono::duration_cast<milliseconds>(Now() - ProvenAt());
@@ -116,9 +116,9 @@
   void ChooseSource();
   void RequestFrom(const feed_candidate& aCandidate);
   void SendRequest();
-  void OnResponse(const sent_request& aSent,
-                  edge::call_end aEnd,
-                  const edge::response& aAnswer);
+  void HandleResponse(const sent_request& aSent,
+                      edge::call_end aEnd,
+                      const edge::response& aAnswer);
   /** Returns why the feed isn't accepted; empty if it is. */
   std::string ReasonToReject(const decoded_feed& aFeed,
                              time_point aProvenAt) const;
@@ -141,12 +141,12 @@
   void SeekSource();
   void StartMirrors();
   void StartMirror(const followed_kind& aKind);
-  void OnListing(const followed_kind& aKind, const object_map& aObjects);
+  void HandleListing(const followed_kind& aKind, const object_map& aObjects);
   bool HaveMirrorsListed() const;
   void StopWatching();
   void ScheduleProbe(milliseconds aPause);
-  void OnFirstAnswer();
-  void OnProbeResult(const objects::object_reply& aReply);
+  void HandleFirstAnswer();
+  void HandleProbeResult(const objects::object_reply& aReply);
   /** Schedules a search for an entry to follow, while this one watches. */
   void ScheduleSourceSearch();
   void SearchSource();
@@ -161,7 +161,7 @@
   std::vector<followed_kind> mKinds;
   feed_state mState;
   const std::string mLife;
-  held_requests mHeld;
+  pending_requests mHeld;
   std::vector<std::shared_ptr<objects::mirror>> mMirrors;
   std::map<std::string, time_point> mAvoidedUntil;
   std::map<std::string, bool> mIsListed;
@@ -183,7 +183,7 @@
   int mTriedSinceProbe = 0;
   int mSearchTriesLeft = 0;
   time_point mFollowingSince;
-  /** When the state was confirmed to match the store, according to the last
+  /** When the state was verified to match the store, according to the last
    * accepted response of another entry. */
   time_point mProvenAt;
   bool mIsWatching = false;
--- a/Duties/Feed/StoreFeedWatching.cpp
+++ b/Duties/Feed/StoreFeedWatching.cpp
@@ -74,22 +74,23 @@
   objects::mirror_options options = aKind.mOptions;
   options.mKind = aKind.mKind;
   options.mMayCall = [this] { return mDoesStoreAnswer; };
-  objects::mirror_events heard;
-  heard.mOnListed = [this, &aKind](const object_map& aObjects) {
-    OnListing(aKind, aObjects);
+  objects::mirror_events callbacks;
+  callbacks.mOnListed = [this, &aKind](const object_map& aObjects) {
+    HandleListing(aKind, aObjects);
   };
-  heard.mOnEvent = [this, &aKind](const objects::object_event& aEvent) {
+  callbacks.mOnEvent = [this, &aKind](const objects::object_event& aEvent) {
     TakeEvent(mState, aKind.mKind, aEvent);
     aKind.mOnEvent(aEvent);
   };
-  heard.mOnProven = [this] { AnswerHeldRequests(); };
+  callbacks.mOnProven = [this] { AnswerHeldRequests(); };
   mMirrors.push_back(std::make_shared<objects::mirror>(
-    mParts.mScheduler, mParts.mStore, options, heard));
+    mParts.mScheduler, mParts.mStore, options, callbacks));
   mMirrors.back()->Start();
 }
 
 void
-store_feed::OnListing(const followed_kind& aKind, const object_map& aObjects)
+store_feed::HandleListing(const followed_kind& aKind,
+                          const object_map& aObjects)
 {
   TakeListing(mState, aKind.mKind, aObjects);
   mIsListed[aKind.mKind] = true;
@@ -123,7 +124,7 @@
     const auto answered = std::make_shared<bool>(false);
     const auto take = [this, answered](const objects::object_reply& aReply) {
       if (!std::exchange(*answered, true) && mIsWatching) {
-        OnProbeResult(aReply);
+        HandleProbeResult(aReply);
       }
     };
     mParts.mStore.mGet(
@@ -135,14 +136,14 @@
 }
 
 void
-store_feed::OnProbeResult(const objects::object_reply& aReply)
+store_feed::HandleProbeResult(const objects::object_reply& aReply)
 {
   mTriedSinceProbe = 0;
   const bool answers = IsAnswer(aReply);
   const bool isRegained = answers && !mDoesStoreAnswer;
   mDoesStoreAnswer = answers;
   if (isRegained && mIsSeeking) {
-    OnFirstAnswer();
+    HandleFirstAnswer();
   } else if (isRegained) {
     // Watches that were started before the outage may never be answered.
     for (const auto& mirror : mMirrors) {
@@ -161,7 +162,7 @@
 }
 
 void
-store_feed::OnFirstAnswer()
+store_feed::HandleFirstAnswer()
 {
   if (mIsReachable) {
     StartMirrors();
--- a/Duties/Site/TestServerChanges.cpp
+++ b/Duties/Site/TestServerChanges.cpp
@@ -19,10 +19,10 @@
   NoteChange(changes, server_change::Leaving);
   NoteChange(changes, server_change::Removed);
   BOOST_TEST(lines == 1);
-  const auto told = TakeChanges(changes);
-  BOOST_TEST(told.mReady == 1200);
-  BOOST_TEST(told.mLeaving == 1);
-  BOOST_TEST(told.mRemoved == 1);
+  const auto counts = TakeChanges(changes);
+  BOOST_TEST(counts.mReady == 1200);
+  BOOST_TEST(counts.mLeaving == 1);
+  BOOST_TEST(counts.mRemoved == 1);
   BOOST_TEST(NoteChange(changes, server_change::Leaving));
 }
 
--- a/Duties/StoreAccess/StoreAccess.cpp
+++ b/Duties/StoreAccess/StoreAccess.cpp
@@ -124,7 +124,7 @@
                  left,
                  aCall->mOptions,
                  [this, aCall](edge::call_end aEnd, edge::response aAnswer) {
-                   OnDirectResponse(aCall, aEnd, std::move(aAnswer));
+                   HandleDirectResponse(aCall, aEnd, std::move(aAnswer));
                  });
   RunAfter(mParts.mScheduler, kHelpDelay, [this, aCall] {
     if (!aCall->mIsFinished && !aCall->mAwaitsHelp && aCall->mAwaitsDirect) {
@@ -134,9 +134,9 @@
 }
 
 void
-store_access::OnDirectResponse(const call_ptr& aCall,
-                               edge::call_end aEnd,
-                               edge::response aAnswer)
+store_access::HandleDirectResponse(const call_ptr& aCall,
+                                   edge::call_end aEnd,
+                                   edge::response aAnswer)
 {
   aCall->mAwaitsDirect = false;
   const bool isUnavailable = mParts.mIsUnavailable(aEnd, aAnswer.mStatus);
@@ -181,15 +181,15 @@
                     std::min(left, kHelpTimeout),
                     [this, aCall, name = chosen->mName](
                       edge::call_end aEnd, edge::response aAnswer) {
-                      OnHelpResponse(aCall, name, aEnd, std::move(aAnswer));
+                      HandleHelpResponse(aCall, name, aEnd, std::move(aAnswer));
                     });
 }
 
 void
-store_access::OnHelpResponse(const call_ptr& aCall,
-                             const std::string& aName,
-                             edge::call_end aEnd,
-                             edge::response aAnswer)
+store_access::HandleHelpResponse(const call_ptr& aCall,
+                                 const std::string& aName,
+                                 edge::call_end aEnd,
+                                 edge::response aAnswer)
 {
   aCall->mAwaitsHelp = false;
   const bool isAnswered = aEnd == edge::call_end::Complete;
--- a/Duties/StoreAccess/StoreAccess.h
+++ b/Duties/StoreAccess/StoreAccess.h
@@ -69,14 +69,14 @@
   time_point Now() const { return mParts.mScheduler.mNow(); }
   bool HasHelpers() const { return !mParts.mView().mEntries.empty(); }
   void CallDirect(const call_ptr& aCall);
-  void OnDirectResponse(const call_ptr& aCall,
-                        edge::call_end aEnd,
-                        edge::response aAnswer);
+  void HandleDirectResponse(const call_ptr& aCall,
+                            edge::call_end aEnd,
+                            edge::response aAnswer);
   void TryNextHelper(const call_ptr& aCall);
-  void OnHelpResponse(const call_ptr& aCall,
-                      const std::string& aName,
-                      edge::call_end aEnd,
-                      edge::response aAnswer);
+  void HandleHelpResponse(const call_ptr& aCall,
+                          const std::string& aName,
+                          edge::call_end aEnd,
+                          edge::response aAnswer);
   void Finish(const call_ptr& aCall,
               edge::call_end aEnd,
               edge::response aAnswer);
--- a/Duties/Versions/OrderDuty.cpp
+++ b/Duties/Versions/OrderDuty.cpp
@@ -116,13 +116,13 @@
                    kAskTimeout,
                    64 << 10,
                    [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                     OnAssignmentResponse(aEnd, aAnswer);
+                     HandleAssignmentResponse(aEnd, aAnswer);
                    });
 }
 
 void
-order_duty::OnAssignmentResponse(edge::call_end aEnd,
-                                 const edge::response& aAnswer)
+order_duty::HandleAssignmentResponse(edge::call_end aEnd,
+                                     const edge::response& aAnswer)
 {
   const bool isComplete = aEnd == edge::call_end::Complete;
   if (isComplete && aAnswer.mStatus == kNotGiver) {
@@ -175,7 +175,7 @@
                                            ? mParts.mDecodeReport(aAnswer)
                                            : std::nullopt;
                      if (report) {
-                       OnReport(*report);
+                       HandleReport(*report);
                        return;
                      }
                      // The server may be unreachable for long, so ask the entry
@@ -186,7 +186,7 @@
 }
 
 void
-order_duty::OnReport(const server_report& aReport)
+order_duty::HandleReport(const server_report& aReport)
 {
   mHeld = aReport.mVersions;
   if (HoldsAll(aReport, mWanted)) {
--- a/Duties/Versions/OrderDuty.h
+++ b/Duties/Versions/OrderDuty.h
@@ -46,9 +46,10 @@
   void Claim();
   void FindEntries();
   void RequestAssignment();
-  void OnAssignmentResponse(edge::call_end aEnd, const edge::response& aAnswer);
+  void HandleAssignmentResponse(edge::call_end aEnd,
+                                const edge::response& aAnswer);
   void ReadReport();
-  void OnReport(const server_report& aReport);
+  void HandleReport(const server_report& aReport);
   void SendOrder(const weight_order& aOrder);
   void ScheduleStep(milliseconds aPause, void (order_duty::*aStep)());
 
--- a/Tests/Site/TestGivers.cpp
+++ b/Tests/Site/TestGivers.cpp
@@ -59,17 +59,17 @@
     mListener.Open({ "127.0.0.1", 0 });
     objects::mirror_options options;
     options.mKind = kGiverKind;
-    objects::mirror_events heard;
-    heard.mOnListed = [this](const auto& aObjects) {
+    objects::mirror_events callbacks;
+    callbacks.mOnListed = [this](const auto& aObjects) {
       TakeClaimListing(mClaims, aObjects);
       mAssignments.RefuseSuperseded();
     };
-    heard.mOnEvent = [this](const auto& aEvent) {
+    callbacks.mOnEvent = [this](const auto& aEvent) {
       TakeClaimEvent(mClaims, aEvent);
       mAssignments.RefuseSuperseded();
     };
     mMirror = std::make_shared<objects::mirror>(
-      edge::LoopScheduler(aSite.mLoop.mLoop), aSite.mStore, options, heard);
+      edge::LoopScheduler(aSite.mLoop.mLoop), aSite.mStore, options, callbacks);
     mMirror->Start();
     mFallback.emplace(substitute_parts{ aSite.mLoop.mLoop,
                                         *aSite.mClients,
