--- a/Duties/Feed/HeldQuestions.cpp
+++ b/Duties/Feed/HeldQuestions.cpp
@@ -38,8 +38,8 @@
 feed_asker
 AskerOf(const edge::exchange_ptr& aExchange)
 {
-  return { [aExchange](edge::response aAnswer) {
-            aExchange->Answer(std::move(aAnswer));
+  return { [aExchange](edge::response aResponse) {
+            aExchange->Answer(std::move(aResponse));
           },
            [aExchange] { return aExchange->IsEnded(); } };
 }
--- a/Duties/Feed/StoreFeed.cpp
+++ b/Duties/Feed/StoreFeed.cpp
@@ -274,23 +274,23 @@
     EncodeQuestion({ mSourceLife, mSourceNumber, Age() }),
     options,
     kResponseTimeout,
-    [this, sent](edge::call_end aEnd, const edge::response& aAnswer) {
-      HandleResponse(sent, aEnd, aAnswer);
+    [this, sent](edge::call_end aEnd, const edge::response& aResponse) {
+      HandleResponse(sent, aEnd, aResponse);
     });
 }
 
 void
 store_feed::HandleResponse(const sent_request& aSent,
                            edge::call_end aEnd,
-                           const edge::response& aAnswer)
+                           const edge::response& aResponse)
 {
   if (aSent.mNumber != mRequestNumber) {
     return;
   }
   mIsRequestOutstanding = false;
   const bool isComplete = aEnd == edge::call_end::Complete;
-  const auto feed = isComplete && aAnswer.mStatus == 200
-                      ? DecodeFeed(aAnswer.mBody)
+  const auto feed = isComplete && aResponse.mStatus == 200
+                      ? DecodeFeed(aResponse.mBody)
                       : std::nullopt;
   std::string reason = isComplete ? "rejected" : "no response";
   if (feed) {
@@ -305,7 +305,7 @@
     }
   }
   const bool mayKnowSoon =
-    isComplete && (feed || aAnswer.mStatus == kRetryLater);
+    isComplete && (feed || aResponse.mStatus == kRetryLater);
   if (mayKnowSoon && !mIsWatching && mRetries < kMaximumRetries &&
       Age() < kStandbyAge) {
     ++mRetries;
@@ -316,7 +316,7 @@
   events::line("feed_lost")
     .With("entry", aSent.mEntry)
     .With("end", edge::WordFor(aEnd))
-    .With("status", static_cast<std::int64_t>(aAnswer.mStatus))
+    .With("status", static_cast<std::int64_t>(aResponse.mStatus))
     .With("reason", reason)
     .With("known_ms_ago", Age());
   // An entry that follows this one may start to watch the store soon.
--- a/Duties/Feed/StoreFeed.h
+++ b/Duties/Feed/StoreFeed.h
@@ -118,7 +118,7 @@
   void SendRequest();
   void HandleResponse(const sent_request& aSent,
                       edge::call_end aEnd,
-                      const edge::response& aAnswer);
+                      const edge::response& aResponse);
   /** Returns why the feed isn't accepted; empty if it is. */
   std::string ReasonToReject(const decoded_feed& aFeed,
                              time_point aProvenAt) const;
--- a/Duties/StoreAccess/StoreAccess.cpp
+++ b/Duties/StoreAccess/StoreAccess.cpp
@@ -81,7 +81,7 @@
   bool mMayHaveExecuted = false;
   bool mIsFinished = false;
   edge::call_end mLastEnd = edge::call_end::NotSent;
-  edge::response mLastAnswer;
+  edge::response mLastResponse;
 };
 
 store_access::store_access(access_parts aParts)
@@ -123,8 +123,8 @@
   mParts.mDirect(aCall->mRequest,
                  left,
                  aCall->mOptions,
-                 [this, aCall](edge::call_end aEnd, edge::response aAnswer) {
-                   HandleDirectResponse(aCall, aEnd, std::move(aAnswer));
+                 [this, aCall](edge::call_end aEnd, edge::response aResponse) {
+                   HandleDirectResponse(aCall, aEnd, std::move(aResponse));
                  });
   RunAfter(mParts.mScheduler, kHelpDelay, [this, aCall] {
     if (!aCall->mIsFinished && !aCall->mAwaitsHelp && aCall->mAwaitsDirect) {
@@ -136,21 +136,21 @@
 void
 store_access::HandleDirectResponse(const call_ptr& aCall,
                                    edge::call_end aEnd,
-                                   edge::response aAnswer)
+                                   edge::response aResponse)
 {
   aCall->mAwaitsDirect = false;
-  const bool isUnavailable = mParts.mIsUnavailable(aEnd, aAnswer.mStatus);
+  const bool isUnavailable = mParts.mIsUnavailable(aEnd, aResponse.mStatus);
   RecordDirectResult(isUnavailable);
   if (aCall->mIsFinished) {
     return;
   }
   if (!isUnavailable) {
-    Finish(aCall, aEnd, std::move(aAnswer));
+    Finish(aCall, aEnd, std::move(aResponse));
     return;
   }
   aCall->mMayHaveExecuted = aCall->mMayHaveExecuted || MayHaveExecuted(aEnd);
   aCall->mLastEnd = aEnd;
-  aCall->mLastAnswer = std::move(aAnswer);
+  aCall->mLastResponse = std::move(aResponse);
   if (!aCall->mAwaitsHelp) {
     // Don't let the time that the store took without a response shorten the
     // helper's.
@@ -176,33 +176,34 @@
   }
   aCall->mAsked.insert(chosen->mName);
   aCall->mAwaitsHelp = true;
-  mParts.mCallEntry(chosen->mAddress,
-                    EncodeHelp(aCall->mRequest),
-                    std::min(left, kHelpTimeout),
-                    [this, aCall, name = chosen->mName](
-                      edge::call_end aEnd, edge::response aAnswer) {
-                      HandleHelpResponse(aCall, name, aEnd, std::move(aAnswer));
-                    });
+  mParts.mCallEntry(
+    chosen->mAddress,
+    EncodeHelp(aCall->mRequest),
+    std::min(left, kHelpTimeout),
+    [this, aCall, name = chosen->mName](edge::call_end aEnd,
+                                        edge::response aResponse) {
+      HandleHelpResponse(aCall, name, aEnd, std::move(aResponse));
+    });
 }
 
 void
 store_access::HandleHelpResponse(const call_ptr& aCall,
                                  const std::string& aName,
                                  edge::call_end aEnd,
-                                 edge::response aAnswer)
+                                 edge::response aResponse)
 {
   aCall->mAwaitsHelp = false;
   const bool isAnswered = aEnd == edge::call_end::Complete;
-  const bool cannotHelp = isAnswered && aAnswer.mStatus == kCannotHelp;
-  const bool hadNoResponse = isAnswered && aAnswer.mStatus == kNoAnswer;
-  const bool isUnavailable =
-    cannotHelp || hadNoResponse || mParts.mIsUnavailable(aEnd, aAnswer.mStatus);
+  const bool cannotHelp = isAnswered && aResponse.mStatus == kCannotHelp;
+  const bool hadNoResponse = isAnswered && aResponse.mStatus == kNoAnswer;
+  const bool isUnavailable = cannotHelp || hadNoResponse ||
+                             mParts.mIsUnavailable(aEnd, aResponse.mStatus);
   events::line("store_helped")
     .With("entry", aName)
     .With("target", aCall->mRequest.mTarget)
     .With("tried", static_cast<std::int64_t>(aCall->mAsked.size()))
     .With("end", edge::WordFor(aEnd))
-    .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
+    .With("status", static_cast<std::int64_t>(aResponse.mStatus));
   if (isUnavailable) {
     RecordRefusal(
       mHistory, aName, isAnswered ? kRefusalBackoff : kSilentBackoff, Now());
@@ -216,14 +217,14 @@
     return;
   }
   if (!isUnavailable) {
-    Finish(aCall, aEnd, std::move(aAnswer));
+    Finish(aCall, aEnd, std::move(aResponse));
     return;
   }
   aCall->mMayHaveExecuted =
     aCall->mMayHaveExecuted || hadNoResponse || MayHaveExecuted(aEnd);
   if (!cannotHelp) {
     aCall->mLastEnd = aEnd;
-    aCall->mLastAnswer = std::move(aAnswer);
+    aCall->mLastResponse = std::move(aResponse);
   }
   TryNextHelper(aCall);
 }
@@ -231,12 +232,12 @@
 void
 store_access::Finish(const call_ptr& aCall,
                      edge::call_end aEnd,
-                     edge::response aAnswer)
+                     edge::response aResponse)
 {
   mUnreachableSince.reset();
   aCall->mIsFinished = true;
   const auto done = std::move(aCall->mDone);
-  done(aEnd, std::move(aAnswer));
+  done(aEnd, std::move(aResponse));
 }
 
 void
@@ -252,7 +253,7 @@
   // last helper refused. Reporting that refusal would let a batch be called
   // "not run" that runs seconds later.
   done(aCall->mMayHaveExecuted ? edge::call_end::TimedOut : aCall->mLastEnd,
-       std::move(aCall->mLastAnswer));
+       std::move(aCall->mLastResponse));
 }
 
 void
@@ -284,9 +285,9 @@
   mParts.mDirect(mParts.mProbe,
                  kProbeTimeout,
                  {},
-                 [this](edge::call_end aEnd, const edge::response& aAnswer) {
+                 [this](edge::call_end aEnd, const edge::response& aResponse) {
                    RecordDirectResult(
-                     mParts.mIsUnavailable(aEnd, aAnswer.mStatus));
+                     mParts.mIsUnavailable(aEnd, aResponse.mStatus));
                  });
 }
 
@@ -303,22 +304,22 @@
   ++mHelped;
   edge::call_options options;
   options.mSilenceTimeout = kHelpTimeout;
-  mParts.mDirect(DecodeHelp(aAsked),
-                 kHelpTimeout,
-                 options,
-                 [this, done = std::move(aDone)](edge::call_end aEnd,
-                                                 edge::response aAnswer) {
-                   --mHelped;
-                   RecordDirectResult(
-                     mParts.mIsUnavailable(aEnd, aAnswer.mStatus));
-                   if (aEnd == edge::call_end::NotSent) {
-                     done({ kCannotHelp, {}, {} });
-                   } else if (aEnd != edge::call_end::Complete) {
-                     done({ kNoAnswer, {}, {} });
-                   } else {
-                     done({ aAnswer.mStatus, {}, std::move(aAnswer.mBody) });
-                   }
-                 });
+  mParts.mDirect(
+    DecodeHelp(aAsked),
+    kHelpTimeout,
+    options,
+    [this, done = std::move(aDone)](edge::call_end aEnd,
+                                    edge::response aResponse) {
+      --mHelped;
+      RecordDirectResult(mParts.mIsUnavailable(aEnd, aResponse.mStatus));
+      if (aEnd == edge::call_end::NotSent) {
+        done({ kCannotHelp, {}, {} });
+      } else if (aEnd != edge::call_end::Complete) {
+        done({ kNoAnswer, {}, {} });
+      } else {
+        done({ aResponse.mStatus, {}, std::move(aResponse.mBody) });
+      }
+    });
 }
 
 void
--- a/Duties/StoreAccess/StoreAccess.h
+++ b/Duties/StoreAccess/StoreAccess.h
@@ -71,15 +71,15 @@
   void CallDirect(const call_ptr& aCall);
   void HandleDirectResponse(const call_ptr& aCall,
                             edge::call_end aEnd,
-                            edge::response aAnswer);
+                            edge::response aResponse);
   void TryNextHelper(const call_ptr& aCall);
   void HandleHelpResponse(const call_ptr& aCall,
                           const std::string& aName,
                           edge::call_end aEnd,
-                          edge::response aAnswer);
+                          edge::response aResponse);
   void Finish(const call_ptr& aCall,
               edge::call_end aEnd,
-              edge::response aAnswer);
+              edge::response aResponse);
   void Fail(const call_ptr& aCall);
   void RecordDirectResult(bool aIsUnavailable);
   void ProbeDirect();
--- a/Duties/Versions/Assignments.cpp
+++ b/Duties/Versions/Assignments.cpp
@@ -59,7 +59,7 @@
 void
 assignments::TakeNamed(const std::string& aModel, std::int64_t aVersion)
 {
-  auto& newest = mNamed[aModel];
+  auto& newest = mAnnounced[aModel];
   if (aVersion > newest) {
     newest = aVersion;
     // Only the entry that controllers ask writes the line, not the whole fleet.
@@ -113,8 +113,8 @@
   // A larger difference means that the trainer has fallen behind, not that it
   // allows such a lag.
   constexpr std::int64_t kMaximumLag = 3;
-  const auto named = mNamed.find(aModel);
-  if (named != mNamed.end()) {
+  const auto named = mAnnounced.find(aModel);
+  if (named != mAnnounced.end()) {
     // A batch may become known here before the version that was announced with
     // it; its lag then comes out too small. Hence the last two batches count.
     auto& [before, last] = mLags[aModel];
@@ -168,9 +168,9 @@
 std::map<std::string, wanted_versions>
 assignments::Decide(time_point aNow)
 {
-  std::map<std::string, wanted_versions> wanted;
+  std::map<std::string, wanted_versions> targets;
   if (!mParts.mConfiguration) {
-    return wanted;
+    return targets;
   }
   for (const auto& [name, pool] : mParts.mConfiguration->mPools) {
     if (!pool.mEngine || pool.mEngine->mModels.empty()) {
@@ -178,7 +178,7 @@
     }
     const auto servers = ServersOf(name);
     const auto placed =
-      PlaceModels(servers, pool.mEngine->mModels, mNamed, mModelShares);
+      PlaceModels(servers, pool.mEngine->mModels, mAnnounced, mModelShares);
     const auto due = ServersDueToLoad(servers, pool.mEngine->mModels);
     std::size_t loading = 0;
     for (const auto& server : servers) {
@@ -203,21 +203,21 @@
         mLoadingSince[id] = aNow;
         ++loading;
       }
-      wanted[id][model] = mNamed.at(model);
+      targets[id][model] = mAnnounced.at(model);
     }
   }
-  return wanted;
+  return targets;
 }
 
 std::vector<std::string>
 assignments::ServersDueToLoad(const std::vector<placed_server>& aServers,
                               const std::vector<std::string>& aModels) const
 {
-  const auto placed = PlaceModels(aServers, aModels, mNamed, mModelShares);
+  const auto placed = PlaceModels(aServers, aModels, mAnnounced, mModelShares);
   std::vector<std::string> due;
   for (const auto& model : aModels) {
-    const auto named = mNamed.find(model);
-    if (named == mNamed.end()) {
+    const auto named = mAnnounced.find(model);
+    if (named == mAnnounced.end()) {
       continue;
     }
     std::vector<placed_server> share;
@@ -314,15 +314,15 @@
       mReported[waiting.mServer] = waiting.mHeld;
     }
   }
-  mWanted = Decide(now);
+  mTargetVersions = Decide(now);
   std::vector<waiter> kept;
   for (auto& waiting : mWaiters) {
     if (waiting.mExchange->IsEnded()) {
       continue;
     }
-    const auto wanted = mWanted.find(waiting.mServer);
+    const auto targets = mTargetVersions.find(waiting.mServer);
     const auto versions =
-      wanted == mWanted.end() ? wanted_versions{} : wanted->second;
+      targets == mTargetVersions.end() ? wanted_versions{} : targets->second;
     if ((!versions.empty() && versions != waiting.mKnown) ||
         now >= waiting.mUntil) {
       Answer(waiting, versions);
@@ -359,11 +359,12 @@
 }
 
 void
-assignments::Answer(const waiter& aWaiter, const wanted_versions& aWanted)
+assignments::Answer(const waiter& aWaiter,
+                    const wanted_versions& aTargetVersions)
 {
   edge::response answer{ 200, {}, {} };
   answer.mBody =
-    json::Write(json::object{ { "wanted", EncodeVersions(aWanted) } });
+    json::Write(json::object{ { "wanted", EncodeVersions(aTargetVersions) } });
   aWaiter.mExchange->Answer(std::move(answer));
 }
 
--- a/Duties/Versions/Assignments.h
+++ b/Duties/Versions/Assignments.h
@@ -81,14 +81,14 @@
   std::vector<std::string> ServersDueToLoad(
     const std::vector<placed_server>& aServers,
     const std::vector<std::string>& aModels) const;
-  void Answer(const waiter& aWaiter, const wanted_versions& aWanted);
+  void Answer(const waiter& aWaiter, const wanted_versions& aTargetVersions);
   std::unordered_map<std::string, std::string> ServersByAddress() const;
   void ScheduleEvaluation();
   void UpdateModelShares();
   void LogModelShares() const;
 
   assignment_parts mParts;
-  named_versions mNamed;
+  named_versions mAnnounced;
   /** Lags behind the newest version that the last two batches of a model
    * allowed. */
   std::map<std::string, std::pair<std::int64_t, std::int64_t>> mLags;
@@ -102,7 +102,7 @@
   /** Since when a server has been due to load a version that it doesn't
    * hold. */
   std::map<std::string, time_point> mLoadingSince;
-  std::map<std::string, wanted_versions> mWanted;
+  std::map<std::string, wanted_versions> mTargetVersions;
   std::vector<waiter> mWaiters;
   std::map<std::string, time_point> mLastAsked;
   boost::asio::steady_timer mTimer;
--- a/Duties/Versions/OrderDecision.cpp
+++ b/Duties/Versions/OrderDecision.cpp
@@ -3,12 +3,13 @@
 namespace lavender::versions {
 
 std::optional<weight_order>
-DecideOrder(const server_report& aReport, const wanted_versions& aWanted)
+DecideOrder(const server_report& aReport,
+            const wanted_versions& aTargetVersions)
 {
   if (aReport.mIsBusy) {
     return std::nullopt;
   }
-  for (const auto& [model, version] : aWanted) {
+  for (const auto& [model, version] : aTargetVersions) {
     const auto held = aReport.mVersions.find(model);
     if (held != aReport.mVersions.end() && held->second >= version) {
       continue;
--- a/Duties/Versions/OrderDecision.h
+++ b/Duties/Versions/OrderDecision.h
@@ -55,6 +55,7 @@
  * Returns none while the server carries out another order, and never orders an
  * older version than the server holds. */
 std::optional<weight_order>
-DecideOrder(const server_report& aReport, const wanted_versions& aWanted);
+DecideOrder(const server_report& aReport,
+            const wanted_versions& aTargetVersions);
 
 } // namespace lavender::versions
--- a/Duties/Versions/OrderDuty.cpp
+++ b/Duties/Versions/OrderDuty.cpp
@@ -23,9 +23,9 @@
 constexpr milliseconds kPreferredAgainAfter = 10s;
 
 bool
-HoldsAll(const server_report& aReport, const wanted_versions& aWanted)
+HoldsAll(const server_report& aReport, const wanted_versions& aTargetVersions)
 {
-  for (const auto& [model, version] : aWanted) {
+  for (const auto& [model, version] : aTargetVersions) {
     const auto held = aReport.mVersions.find(model);
     if (held == aReport.mVersions.end() || held->second < version) {
       return false;
@@ -68,7 +68,7 @@
       return;
     }
     mGrant = *aRight;
-    mWanted.clear();
+    mTargetVersions.clear();
     events::line("server_claimed")
       .With("server", mParts.mServer.Text())
       .With("epoch", mGrant.mEpoch)
@@ -107,33 +107,34 @@
   request.mClaim.mGiver = mParts.mName;
   request.mClaim.mEpoch = mGrant.mEpoch;
   request.mHeld = mHeld;
-  request.mKnown = mWanted;
-  edge::FetchWhole(mParts.mClients,
-                   mParts.mLoop,
-                   mEntries[mEntry],
-                   EncodeQuestion(request),
-                   options,
-                   kAskTimeout,
-                   64 << 10,
-                   [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                     HandleAssignmentResponse(aEnd, aAnswer);
-                   });
+  request.mKnown = mTargetVersions;
+  edge::FetchWhole(
+    mParts.mClients,
+    mParts.mLoop,
+    mEntries[mEntry],
+    EncodeQuestion(request),
+    options,
+    kAskTimeout,
+    64 << 10,
+    [this](edge::call_end aEnd, const edge::response& aResponse) {
+      HandleAssignmentResponse(aEnd, aResponse);
+    });
 }
 
 void
 order_duty::HandleAssignmentResponse(edge::call_end aEnd,
-                                     const edge::response& aAnswer)
+                                     const edge::response& aResponse)
 {
   const bool isComplete = aEnd == edge::call_end::Complete;
-  if (isComplete && aAnswer.mStatus == kNotGiver) {
+  if (isComplete && aResponse.mStatus == kNotGiver) {
     events::line("claim_lost")
       .With("server", mParts.mServer.Text())
       .With("epoch", mGrant.mEpoch);
     Claim();
     return;
   }
-  const auto wanted = isComplete ? DecodeAssignment(aAnswer) : std::nullopt;
-  if (!wanted) {
+  const auto target = isComplete ? DecodeAssignment(aResponse) : std::nullopt;
+  if (!target) {
     events::line("entry_silent")
       .With("entry", mEntries[mEntry].Text())
       .With("end", edge::WordFor(aEnd));
@@ -146,12 +147,12 @@
     }
     return;
   }
-  mWanted = *wanted;
+  mTargetVersions = *target;
   mAssignedAt = boot_clock::now();
   if (mEntry != 0 && mAssignedAt >= mPreferredAgainAt) {
     mEntry = 0;
   }
-  if (mWanted.empty()) {
+  if (mTargetVersions.empty()) {
     RequestAssignment();
   } else {
     ReadReport();
@@ -163,37 +164,38 @@
 {
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
-  edge::FetchWhole(mParts.mClients,
-                   mParts.mLoop,
-                   mParts.mServer,
-                   mParts.mEncodeReport(),
-                   options,
-                   kServerTimeout,
-                   256 << 10,
-                   [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                     const auto report = aEnd == edge::call_end::Complete
-                                           ? mParts.mDecodeReport(aAnswer)
-                                           : std::nullopt;
-                     if (report) {
-                       HandleReport(*report);
-                       return;
-                     }
-                     // The server may be unreachable for long, so ask the entry
-                     // again for the target versions.
-                     mWanted.clear();
-                     ScheduleStep(kRetryPause, &order_duty::RequestAssignment);
-                   });
+  edge::FetchWhole(
+    mParts.mClients,
+    mParts.mLoop,
+    mParts.mServer,
+    mParts.mEncodeReport(),
+    options,
+    kServerTimeout,
+    256 << 10,
+    [this](edge::call_end aEnd, const edge::response& aResponse) {
+      const auto report = aEnd == edge::call_end::Complete
+                            ? mParts.mDecodeReport(aResponse)
+                            : std::nullopt;
+      if (report) {
+        HandleReport(*report);
+        return;
+      }
+      // The server may be unreachable for long, so ask the entry
+      // again for the target versions.
+      mTargetVersions.clear();
+      ScheduleStep(kRetryPause, &order_duty::RequestAssignment);
+    });
 }
 
 void
 order_duty::HandleReport(const server_report& aReport)
 {
   mHeld = aReport.mVersions;
-  if (HoldsAll(aReport, mWanted)) {
+  if (HoldsAll(aReport, mTargetVersions)) {
     RequestAssignment();
     return;
   }
-  auto order = DecideOrder(aReport, mWanted);
+  auto order = DecideOrder(aReport, mTargetVersions);
   if (!order) {
     ScheduleStep(mParts.mLoadPollInterval, &order_duty::ReadReport);
     return;
@@ -201,13 +203,13 @@
   const auto now = boot_clock::now();
   if (now < mGrant.mNotBefore) {
     // Until then the last order of the previous controller may still arrive.
-    mWanted.clear();
+    mTargetVersions.clear();
     ScheduleStep(std::chrono::ceil<milliseconds>(mGrant.mNotBefore - now),
                  &order_duty::RequestAssignment);
     return;
   }
   if (now - mAssignedAt > kAssignmentValidity) {
-    mWanted.clear();
+    mTargetVersions.clear();
     RequestAssignment();
     return;
   }
@@ -229,7 +231,7 @@
     options,
     kServerTimeout,
     64 << 10,
-    [this, aOrder](edge::call_end aEnd, const edge::response& aAnswer) {
+    [this, aOrder](edge::call_end aEnd, const edge::response& aResponse) {
       events::line("order_given")
         .With("server", aOrder.mServerId)
         .With("model", aOrder.mModel)
@@ -237,12 +239,12 @@
         .With("epoch", aOrder.mEpoch)
         .With("expect", aOrder.mAcceptedOrders)
         .With("end", edge::WordFor(aEnd))
-        .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
+        .With("status", static_cast<std::int64_t>(aResponse.mStatus));
       // The server's report shows whether the order was carried out, even if
       // the response was lost. A rejected order isn't repeated at once, because
       // the reason for its rejection usually still holds.
       const bool isRejected =
-        aEnd == edge::call_end::Complete && aAnswer.mStatus >= 300;
+        aEnd == edge::call_end::Complete && aResponse.mStatus >= 300;
       ScheduleStep(isRejected ? kRetryPause : mParts.mLoadPollInterval,
                    &order_duty::ReadReport);
     });
--- a/Duties/Versions/OrderDuty.h
+++ b/Duties/Versions/OrderDuty.h
@@ -47,7 +47,7 @@
   void FindEntries();
   void RequestAssignment();
   void HandleAssignmentResponse(edge::call_end aEnd,
-                                const edge::response& aAnswer);
+                                const edge::response& aResponse);
   void ReadReport();
   void HandleReport(const server_report& aReport);
   void SendOrder(const weight_order& aOrder);
@@ -62,7 +62,7 @@
   order_right mGrant;
   /** When an entry last sent the target versions. */
   time_point mAssignedAt;
-  wanted_versions mWanted;
+  wanted_versions mTargetVersions;
   std::map<std::string, std::int64_t> mHeld;
 };
 
--- a/Duties/Versions/Placement.cpp
+++ b/Duties/Versions/Placement.cpp
@@ -15,14 +15,14 @@
 std::optional<std::string>
 HeldModel(const placed_server& aServer,
           const std::vector<std::string>& aModels,
-          const named_versions& aNamed)
+          const named_versions& aAnnounced)
 {
   std::optional<std::string> held;
   std::int64_t leastBehind = 0;
   for (const auto& model : aModels) {
-    const auto named = aNamed.find(model);
+    const auto named = aAnnounced.find(model);
     const auto version = aServer.mVersions.find(model);
-    if (named == aNamed.end() || version == aServer.mVersions.end() ||
+    if (named == aAnnounced.end() || version == aServer.mVersions.end() ||
         version->second < 2) {
       continue;
     }
@@ -40,7 +40,7 @@
 std::vector<std::string>
 DueServers(const std::vector<placed_server>& aShare,
            const std::string& aModel,
-           std::int64_t aNamed,
+           std::int64_t aAnnounced,
            std::int64_t aLag)
 {
   struct row
@@ -57,7 +57,7 @@
   for (const auto& server : aShare) {
     const auto held = server.mVersions.find(aModel);
     const auto version = held == server.mVersions.end() ? 0 : held->second;
-    if (version >= aNamed) {
+    if (version >= aAnnounced) {
       ++fresh;
     } else {
       behind.push_back({ version, server.mId });
@@ -69,7 +69,7 @@
   const std::size_t wanted = (aShare.size() + parts - 1) / parts;
   std::vector<std::string> due;
   for (const auto& [version, id] : behind) {
-    if (version < aNamed - aLag || fresh + due.size() < wanted) {
+    if (version < aAnnounced - aLag || fresh + due.size() < wanted) {
       due.push_back(id);
     }
   }
@@ -140,7 +140,7 @@
 std::map<std::string, std::string>
 PlaceModels(const std::vector<placed_server>& aServers,
             const std::vector<std::string>& aModels,
-            const named_versions& aNamed,
+            const named_versions& aAnnounced,
             const model_weights& aWeights)
 {
   std::map<std::string, std::string> placed;
@@ -151,7 +151,7 @@
   std::map<std::string, std::vector<std::string>> byModel;
   std::vector<std::string> free;
   for (const auto& server : aServers) {
-    if (const auto held = HeldModel(server, aModels, aNamed)) {
+    if (const auto held = HeldModel(server, aModels, aAnnounced)) {
       byModel[*held].push_back(server.mId);
     } else {
       free.push_back(server.mId);
--- a/Duties/Versions/Placement.h
+++ b/Duties/Versions/Placement.h
@@ -52,7 +52,7 @@
 std::map<std::string, std::string>
 PlaceModels(const std::vector<placed_server>& aServers,
             const std::vector<std::string>& aModels,
-            const named_versions& aNamed,
+            const named_versions& aAnnounced,
             const model_weights& aWeights);
 
 /** Returns those of one model's servers that shall load the newest version, the
@@ -68,7 +68,7 @@
 std::vector<std::string>
 DueServers(const std::vector<placed_server>& aShare,
            const std::string& aModel,
-           std::int64_t aNamed,
+           std::int64_t aAnnounced,
            std::int64_t aLag);
 
 /** Returns how many servers may load at the same time without slowing each
