--- a/Duties/Versions/Assignments.cpp
+++ b/Duties/Versions/Assignments.cpp
@@ -113,14 +113,14 @@
   // A larger difference means that the trainer has fallen behind, not that it
   // allows such a lag.
   constexpr std::int64_t kMaximumLag = 3;
-  const auto named = mAnnounced.find(aModel);
-  if (named != mAnnounced.end()) {
+  const auto announced = mAnnounced.find(aModel);
+  if (announced != mAnnounced.end()) {
     // A batch may become known here before the version that was announced with
     // it; its lag then comes out too small. Hence the last two batches count.
     auto& [before, last] = mLags[aModel];
     before = last;
-    last =
-      std::clamp<std::int64_t>(named->second - aMinimumVersion, 0, kMaximumLag);
+    last = std::clamp<std::int64_t>(
+      announced->second - aMinimumVersion, 0, kMaximumLag);
   }
 }
 
@@ -216,8 +216,8 @@
   const auto placed = PlaceModels(aServers, aModels, mAnnounced, mModelShares);
   std::vector<std::string> due;
   for (const auto& model : aModels) {
-    const auto named = mAnnounced.find(model);
-    if (named == mAnnounced.end()) {
+    const auto announced = mAnnounced.find(model);
+    if (announced == mAnnounced.end()) {
       continue;
     }
     std::vector<placed_server> share;
@@ -230,7 +230,7 @@
     const auto lag = lags == mLags.end()
                        ? 0
                        : std::max(lags->second.first, lags->second.second);
-    const auto ids = DueServers(share, model, named->second, lag);
+    const auto ids = DueServers(share, model, announced->second, lag);
     due.insert(due.end(), ids.begin(), ids.end());
   }
   return due;
--- a/Duties/Versions/Placement.cpp
+++ b/Duties/Versions/Placement.cpp
@@ -20,13 +20,13 @@
   std::optional<std::string> held;
   std::int64_t leastBehind = 0;
   for (const auto& model : aModels) {
-    const auto named = aAnnounced.find(model);
+    const auto announced = aAnnounced.find(model);
     const auto version = aServer.mVersions.find(model);
-    if (named == aAnnounced.end() || version == aServer.mVersions.end() ||
+    if (announced == aAnnounced.end() || version == aServer.mVersions.end() ||
         version->second < 2) {
       continue;
     }
-    const auto behind = named->second - version->second;
+    const auto behind = announced->second - version->second;
     if (!held || behind < leastBehind) {
       held = model;
       leastBehind = behind;
