--- a/Bench/BatchOrder.cpp
+++ b/Bench/BatchOrder.cpp
@@ -106,7 +106,7 @@
   std::stable_sort(
     aOrder.begin(), aOrder.end(), [&](std::size_t aLeft, std::size_t aRight) {
       const auto rank = [&](std::size_t aPlace) {
-        return batches::item_rank{
+        return batches::item_priority{
           0, std::llround(aSamples[aPlace].mGuess * kTokensPerEvent)
         };
       };
@@ -226,7 +226,7 @@
 
   std::optional<std::size_t> Choose(const sample& aSample)
   {
-    batches::item_need need;
+    batches::item_requirements need;
     need.mPools = { "pool" };
     need.mGroup = std::to_string(aSample.mGroup);
     if (mPlacement == placement::Random) {
@@ -242,7 +242,7 @@
       return free[std::uniform_int_distribution<std::size_t>(
         0, free.size() - 1)(mRandom)];
     }
-    static const batches::group_homes kNoHomes;
+    static const batches::group_affinities kNoHomes;
     return batches::ChooseEngine(
       mEngines,
       need,
@@ -310,7 +310,7 @@
   std::vector<int> mLeftInGroup;
   /** Groups whose prompt each server has read. */
   std::vector<std::set<int>> mPrompts;
-  batches::group_homes mHomes;
+  batches::group_affinities mHomes;
   int mWholeGroups = 0;
   step_outcome mOutcome;
 };
--- a/Bench/Cost.cpp
+++ b/Bench/Cost.cpp
@@ -139,7 +139,7 @@
 
   void Send(const run& aRequest)
   {
-    const auto chosen = routing::Choose(mTable, {}, mRandom, mNow);
+    const auto chosen = routing::ChooseServer(mTable, {}, mRandom, mNow);
     const auto found = chosen ? mServers.find(*chosen) : mServers.end();
     if (found == mServers.end()) {
       ++mOutcome.mRefused;
@@ -161,8 +161,8 @@
       return;
     }
     mWaiting[aRequest.mId] = aRequest;
-    routing::NoteSent(mTable, *chosen, 0, mNow);
-    routing::NoteEnded(mTable, *chosen, mNow, routing::evidence::Neutral, mNow);
+    routing::RecordSent(mTable, *chosen, 0, mNow);
+    routing::RecordEnd(mTable, *chosen, mNow, routing::evidence::Neutral, mNow);
   }
 
   void Work(server& aServer)
@@ -203,15 +203,15 @@
       report.mSlots = kSlots;
       report.mRequests =
         static_cast<int>(server.mRunning.size() + server.mQueue.mSize);
-      report.mDrainRate = admission::DrainRate(server.mQueue);
-      report.mTakesWork = !server.mIsLeaving && mNow >= server.mReadyAt;
-      report.mMadeAt = mNow;
-      routing::TakeReport(mTable, report, mNow);
+      report.mTokensPerSecond = admission::MeasuredThroughput(server.mQueue);
+      report.mAcceptsRequests = !server.mIsLeaving && mNow >= server.mReadyAt;
+      report.mGeneratedAt = mNow;
+      routing::ApplyReport(mTable, report, mNow);
       const bool isGone = server.mIsLeaving && server.mRunning.empty() &&
                           server.mQueue.mSize == 0;
       if (isGone) {
         mOutcome.mServerSeconds += seconds(mNow - server.mOrderedAt).count();
-        routing::TakeOut(mTable, name);
+        routing::MarkUnavailable(mTable, name);
       }
       one = isGone ? mServers.erase(one) : std::next(one);
     }
@@ -239,7 +239,7 @@
       auto& state = mStates[static_cast<std::size_t>(zone)];
       const auto decision = orders::DecideScale(state, mPolicy, loads, mNow);
       if (decision.mAction == orders::scale_action::Start) {
-        Start(zone, mPolicy.mStartTime);
+        Start(zone, mPolicy.mStartupDuration);
       } else if (decision.mAction == orders::scale_action::Stop) {
         mServers.at(decision.mServer).mIsLeaving = true;
         ++mOutcome.mStops;
@@ -316,7 +316,7 @@
   policy.mMaximum = 4;
   for (const double smoothing : { 1.0, 0.05 }) {
     for (const double lowUse : { 0.5, 0.7 }) {
-      policy.mLowUse = lowUse;
+      policy.mLowUtilisation = lowUse;
       Measure(file,
               "scaled; low use " + Text(lowUse) + "; newest look " +
                 Text(smoothing),
--- a/Bench/Decision.cpp
+++ b/Bench/Decision.cpp
@@ -24,13 +24,13 @@
     report.mAvailabilityZone = "zone-" + std::to_string(i % 16);
     report.mSlots = 16;
     report.mRequests = i % 11;
-    report.mDrainRate = 1000 + i % 7;
-    report.mTakesWork = true;
-    report.mMadeAt = kNow;
+    report.mTokensPerSecond = 1000 + i % 7;
+    report.mAcceptsRequests = true;
+    report.mGeneratedAt = kNow;
     for (int prefix = 0; prefix < 64; ++prefix) {
       report.mCachedPrefixes.push_back(i * 64 + prefix + 1);
     }
-    TakeReport(table, report, kNow);
+    ApplyReport(table, report, kNow);
   }
   return table;
 }
@@ -42,7 +42,7 @@
 {
   std::vector<server_report> usable;
   for (const auto& report : aReports) {
-    if (report.mTakesWork) {
+    if (report.mAcceptsRequests) {
       usable.push_back(report);
     }
   }
@@ -81,9 +81,9 @@
       route_request request;
       request.mPrefix = aPrefix;
       const auto now = kNow + std::chrono::nanoseconds(aNumber + 1);
-      const auto chosen = Choose(table, request, random, now);
-      NoteSent(table, *chosen, 0, now);
-      NoteEnded(table, *chosen, now, evidence::Success, now);
+      const auto chosen = ChooseServer(table, request, random, now);
+      RecordSent(table, *chosen, 0, now);
+      RecordEnd(table, *chosen, now, evidence::Success, now);
     };
     const auto plain =
       Time(kDecisions, [&](int aNumber) { decide(0, aNumber); });
@@ -94,13 +94,13 @@
     for (const auto& row : table.mRows) {
       auto report = row.mReport;
       report.mCachedPrefixes.assign(64, 7);
-      report.mMadeAt = kNow + 1s;
+      report.mGeneratedAt = kNow + 1s;
       reports.push_back(std::move(report));
     }
     const auto report = Time(std::min(servers * 20, 4000), [&](int aNumber) {
       auto& one = reports[static_cast<std::size_t>(aNumber % servers)];
-      one.mMadeAt += 1ns;
-      TakeReport(table, one, one.mMadeAt);
+      one.mGeneratedAt += 1ns;
+      ApplyReport(table, one, one.mGeneratedAt);
     });
     const auto copy = Time(servers > 100 ? 200 : 20000,
                            [&](int) { ChooseByCopy(reports, random); });
--- a/Bench/Lag.cpp
+++ b/Bench/Lag.cpp
@@ -143,9 +143,9 @@
     report.mName = std::to_string(aServer);
     report.mSlots = kSlots;
     report.mRequests = server.mRunning + static_cast<int>(server.mLine.size());
-    report.mDrainRate = admission::DrainRate(server.mMeasure);
-    report.mTakesWork = true;
-    report.mMadeAt = aMadeAt;
+    report.mTokensPerSecond = admission::MeasuredThroughput(server.mMeasure);
+    report.mAcceptsRequests = true;
+    report.mGeneratedAt = aMadeAt;
     return report;
   }
 
@@ -153,7 +153,7 @@
   {
     const auto report = Describe(aServer, aMadeAt);
     for (auto& table : mTables) {
-      TakeReport(table, report, aMadeAt);
+      ApplyReport(table, report, aMadeAt);
     }
   }
 
@@ -163,7 +163,7 @@
       const auto report = Describe(i, aMadeAt);
       At(aMadeAt + mLag, [this, report] {
         for (auto& table : mTables) {
-          TakeReport(table, report, mNow);
+          ApplyReport(table, report, mNow);
         }
       });
     }
@@ -172,13 +172,13 @@
   std::string Pick(pool_table& aTable)
   {
     if (mPolicy != policy::ReportOnly && mPolicy != policy::ReportAndInFlight) {
-      return *Choose(aTable, {}, mRandom, mNow);
+      return *ChooseServer(aTable, {}, mRandom, mNow);
     }
     std::uniform_int_distribution<std::size_t> pick(0, kServers - 1);
     const auto load = [&](const server_row& aRow) {
       return aRow.mReport.mRequests +
              (mPolicy == policy::ReportAndInFlight
-                ? static_cast<int>(aRow.mOwn.mInFlight.size())
+                ? static_cast<int>(aRow.mOwnRequests.mInFlight.size())
                 : 0);
     };
     const auto& first = aTable.mRows[pick(mRandom)];
@@ -195,12 +195,12 @@
     request.mSentAt = mNow;
     auto& table = mTables[request.mEntry];
     const auto name = Pick(table);
-    NoteSent(table, name, 0, mNow);
+    RecordSent(table, name, 0, mNow);
     const auto index = static_cast<std::size_t>(std::stoi(name));
     if (mServers[index].mFails) {
       At(mNow + kFailsAfter, [this, request, name] {
         ++mOutcome.mErrors;
-        NoteEnded(mTables[request.mEntry],
+        RecordEnd(mTables[request.mEntry],
                   name,
                   request.mSentAt,
                   evidence::Failure,
@@ -233,7 +233,7 @@
     --server.mRunning;
     admission::RecordRun(server.mMeasure, aTokens, mNow - aRequest.mStartedAt);
     mOutcome.mLatencies.push_back(mNow - aRequest.mSentAt);
-    NoteEnded(mTables[aRequest.mEntry],
+    RecordEnd(mTables[aRequest.mEntry],
               std::to_string(aServer),
               aRequest.mSentAt,
               evidence::Success,
--- a/Bench/Leases.cpp
+++ b/Bench/Leases.cpp
@@ -50,17 +50,17 @@
   for (int i = 0; i < aEntries; ++i) {
     names.push_back("entry-" + std::to_string(i));
   }
-  std::vector<std::unique_ptr<leases::lease_keeper>> keepers;
+  std::vector<std::unique_ptr<leases::lease_manager>> keepers;
   for (const auto& name : names) {
-    leases::keeper_options options;
+    leases::lease_manager_options options;
     options.mPlatform.mEndpoint = { "127.0.0.1", server.Port() };
     options.mPlatform.mCaller = name;
     options.mName = name;
     options.mIncarnation = MakeRandomName();
     options.mEntries = [names] { return names; };
-    keepers.push_back(std::make_unique<leases::lease_keeper>(options));
+    keepers.push_back(std::make_unique<leases::lease_manager>(options));
     for (int lease = 0; lease < aLeases; ++lease) {
-      keepers.back()->Want("lease-" + std::to_string(lease));
+      keepers.back()->StartAcquiring("lease-" + std::to_string(lease));
     }
   }
   // Until the preferred ones hold and the rest has settled into its pace.
@@ -102,7 +102,7 @@
   }
   aFile.Row({ std::to_string(aCustomers),
               std::to_string(aAgents),
-              std::to_string(json::Write(usage::Describe(report)).size()) });
+              std::to_string(json::Write(usage::ToJson(report)).size()) });
 }
 
 } // namespace
--- a/Bench/StateMemory.cpp
+++ b/Bench/StateMemory.cpp
@@ -80,7 +80,7 @@
                      false });
   }
   const time_point now{ std::chrono::seconds(1000) };
-  membership::TakeList(
+  membership::ApplyList(
     aState,
     list,
     {},
@@ -94,12 +94,12 @@
     report.server_name = instance.mName;
     report.agent_incarnation = MakeRandomName();
     report.load.cached_prefixes.assign(64, 1);
-    membership::TakeReport(aState,
-                           instance.mName,
-                           report,
-                           aState.mServers.at(instance.mName).mConnections,
-                           now,
-                           now);
+    membership::ApplyReport(aState,
+                            instance.mName,
+                            report,
+                            aState.mServers.at(instance.mName).mConnections,
+                            now,
+                            now);
   }
 }
 
@@ -119,12 +119,12 @@
       part.mEvents.push_back(event);
       part.mRevision = event.mObject.mRevision;
       if (part.mEvents.size() == kPart) {
-        TakeBatch(state, part, time_point{ std::chrono::seconds(1) });
+        ApplyWatchBatch(state, part, time_point{ std::chrono::seconds(1) });
         part = {};
       }
     }
     if (!part.mEvents.empty()) {
-      TakeBatch(state, part, time_point{ std::chrono::seconds(1) });
+      ApplyWatchBatch(state, part, time_point{ std::chrono::seconds(1) });
     }
   }
   TakeServers(directory, aServers);
--- a/Bench/WeightRollOut.cpp
+++ b/Bench/WeightRollOut.cpp
@@ -148,13 +148,13 @@
   membership::directory_options directoryOptions;
   directoryOptions.mPlatform.mEndpoint = { "127.0.0.1", site.mListener.Port() };
   directoryOptions.mEntryIncarnation = "e";
-  directoryOptions.mDigest = [] { return membership::own_digest{}; };
+  directoryOptions.mDigest = [] { return membership::configuration_digest{}; };
   membership::server_directory directory(directoryOptions);
   std::atomic<std::int64_t> version{ 1 };
   std::atomic<std::size_t> holding{ 0 };
   std::atomic<std::int64_t> seenVersion{ 0 };
   weights::roll_out_options options;
-  options.mLimits.mSideBySide = aSideBySide;
+  options.mLimits.mMaximumConcurrency = aSideBySide;
   weights::roll_out_duty duty(
     options,
     directory,
--- a/Duties/Admission/BackPressure.cpp
+++ b/Duties/Admission/BackPressure.cpp
@@ -40,12 +40,12 @@
 } // namespace
 
 std::optional<milliseconds>
-CheckPressure(pressure_map& aPressures,
-              const std::string& aPool,
-              const std::string& aCustomer,
-              const pressure_limits& aLimits,
-              double aDraw,
-              time_point aNow)
+CheckBackPressure(back_pressure_map& aPressures,
+                  const std::string& aPool,
+                  const std::string& aCustomer,
+                  const pressure_limits& aLimits,
+                  double aDraw,
+                  time_point aNow)
 {
   auto& pressure = aPressures[{ aPool, aCustomer }];
   Decay(pressure, aLimits, aNow);
@@ -59,12 +59,12 @@
 }
 
 void
-NoteOutcome(pressure_map& aPressures,
-            const std::string& aPool,
-            const std::string& aCustomer,
-            std::optional<milliseconds> aRetryAfter,
-            const pressure_limits& aLimits,
-            time_point aNow)
+RecordOutcome(back_pressure_map& aPressures,
+              const std::string& aPool,
+              const std::string& aCustomer,
+              std::optional<milliseconds> aRetryAfter,
+              const pressure_limits& aLimits,
+              time_point aNow)
 {
   auto& pressure = aPressures[{ aPool, aCustomer }];
   Decay(pressure, aLimits, aNow);
@@ -77,7 +77,7 @@
 }
 
 void
-ForgetIdle(pressure_map& aPressures, time_point aNow)
+RemoveIdle(back_pressure_map& aPressures, time_point aNow)
 {
   for (auto one = aPressures.begin(); one != aPressures.end();) {
     const bool isIdle = aNow - one->second.mCountedAt > kForgetAfter;
--- a/Duties/Admission/BackPressure.h
+++ b/Duties/Admission/BackPressure.h
@@ -35,7 +35,8 @@
 };
 
 /** By pool and customer. */
-using pressure_map = std::map<std::pair<std::string, std::string>, pressure>;
+using back_pressure_map =
+  std::map<std::pair<std::string, std::string>, pressure>;
 
 /** Decides whether a request is refused here, before it costs a dispatch.
  *
@@ -47,26 +48,26 @@
  * @param aDraw uniform in [0, 1)
  * @return when to come back, with a refusal */
 std::optional<milliseconds>
-CheckPressure(pressure_map& aPressures,
-              const std::string& aPool,
-              const std::string& aCustomer,
-              const pressure_limits& aLimits,
-              double aDraw,
-              time_point aNow);
+CheckBackPressure(back_pressure_map& aPressures,
+                  const std::string& aPool,
+                  const std::string& aCustomer,
+                  const pressure_limits& aLimits,
+                  double aDraw,
+                  time_point aNow);
 
 /** Learns how a request that was let through ended.
  * @param aRetryAfter what the agent said, with a refusal for want of room;
  *   none when it took the request in */
 void
-NoteOutcome(pressure_map& aPressures,
-            const std::string& aPool,
-            const std::string& aCustomer,
-            std::optional<milliseconds> aRetryAfter,
-            const pressure_limits& aLimits,
-            time_point aNow);
+RecordOutcome(back_pressure_map& aPressures,
+              const std::string& aPool,
+              const std::string& aCustomer,
+              std::optional<milliseconds> aRetryAfter,
+              const pressure_limits& aLimits,
+              time_point aNow);
 
 /** Forgets customers without recent requests. */
 void
-ForgetIdle(pressure_map& aPressures, time_point aNow);
+RemoveIdle(back_pressure_map& aPressures, time_point aNow);
 
 } // namespace lavender::admission
--- a/Duties/Admission/CustomerLimits.cpp
+++ b/Duties/Admission/CustomerLimits.cpp
@@ -30,11 +30,11 @@
 
 } // namespace
 
-admission_answer
-Enter(limit_state& aState,
-      const configuration::customer& aCustomer,
-      double aShare,
-      time_point aNow)
+admission_decision
+AdmitRequest(customer_limit_state& aState,
+             const configuration::customer& aCustomer,
+             double aShare,
+             time_point aNow)
 {
   auto& usage = aState.mCustomers[aCustomer.mName];
   if (aCustomer.mMaximumConcurrent > 0) {
@@ -61,7 +61,7 @@
 }
 
 void
-Leave(limit_state& aState, const std::string& aCustomer)
+ReleaseRequest(customer_limit_state& aState, const std::string& aCustomer)
 {
   auto& usage = aState.mCustomers[aCustomer];
   usage.mUnderWay = std::max<std::int64_t>(usage.mUnderWay - 1, 0);
--- a/Duties/Admission/CustomerLimits.h
+++ b/Duties/Admission/CustomerLimits.h
@@ -19,13 +19,13 @@
   bool mIsFirst = true;
 };
 
-struct limit_state
+struct customer_limit_state
 {
   std::map<std::string, customer_usage> mCustomers;
 };
 
 /** Decision on one request. */
-struct admission_answer
+struct admission_decision
 {
   bool mIsAdmitted = false;
   /** Stable reason code of a refusal. */
@@ -35,14 +35,14 @@
 
 /** Counts a request in, or refuses it.
  * @param aShare of the customer's limits that this entry may use */
-admission_answer
-Enter(limit_state& aState,
-      const configuration::customer& aCustomer,
-      double aShare,
-      time_point aNow);
+admission_decision
+AdmitRequest(customer_limit_state& aState,
+             const configuration::customer& aCustomer,
+             double aShare,
+             time_point aNow);
 
 /** Counts a request out. */
 void
-Leave(limit_state& aState, const std::string& aCustomer);
+ReleaseRequest(customer_limit_state& aState, const std::string& aCustomer);
 
 } // namespace lavender::admission
--- a/Duties/Admission/FairQueue.cpp
+++ b/Duties/Admission/FairQueue.cpp
@@ -35,7 +35,7 @@
 milliseconds
 TimeFor(const fair_queue& aQueue, double aCost)
 {
-  const double rate = DrainRate(aQueue);
+  const double rate = MeasuredThroughput(aQueue);
   return rate > 0 ? std::chrono::duration_cast<milliseconds>(
                       seconds(std::max(aCost, 0.0) / rate))
                   : 0ms;
@@ -44,7 +44,7 @@
 milliseconds
 RetryAfter(const fair_queue& aQueue, double aCost)
 {
-  if (DrainRate(aQueue) <= 0) {
+  if (MeasuredThroughput(aQueue) <= 0) {
     return kUnmeasuredRetryAfter;
   }
   return std::clamp(
@@ -189,7 +189,7 @@
 } // namespace
 
 double
-DrainRate(const fair_queue& aQueue)
+MeasuredThroughput(const fair_queue& aQueue)
 {
   const auto& drain = aQueue.mDrain;
   if (drain.mCost < kEnoughCost || drain.mTime <= 0s) {
--- a/Duties/Admission/FairQueue.h
+++ b/Duties/Admission/FairQueue.h
@@ -123,7 +123,7 @@
 /** Tokens a second that are drained with all slots busy; zero while too little
  * was measured. */
 double
-DrainRate(const fair_queue& aQueue);
+MeasuredThroughput(const fair_queue& aQueue);
 
 /** Time until a request of average cost that came now would start: the
  * queue's whole cost by the measured rate; zero while no run was measured. */
--- a/Duties/Admission/SharedDemand.cpp
+++ b/Duties/Admission/SharedDemand.cpp
@@ -34,10 +34,10 @@
   auto& agent = aShared.mAgents[aAgent];
   Add(aShared, agent.mRows, -1);
   agent.mRows = std::move(aRows);
-  agent.mHeardAt = aNow;
+  agent.mReceivedAt = aNow;
   Add(aShared, agent.mRows, 1);
   for (auto one = aShared.mAgents.begin(); one != aShared.mAgents.end();) {
-    if (aNow - one->second.mHeardAt <= kForgetAfter) {
+    if (aNow - one->second.mReceivedAt <= kForgetAfter) {
       ++one;
       continue;
     }
@@ -54,7 +54,7 @@
 }
 
 double
-ShareOf(const demand& aDemand, std::size_t aEntries)
+EntryShare(const demand& aDemand, std::size_t aEntries)
 {
   const auto entries = static_cast<double>(std::max<std::size_t>(aEntries, 1));
   const double own = std::clamp(aDemand.mOwn, 0, aDemand.mInFlight);
--- a/Duties/Admission/SharedDemand.h
+++ b/Duties/Admission/SharedDemand.h
@@ -32,7 +32,7 @@
   struct agent_rows
   {
     std::vector<customer_load> mRows;
-    time_point mHeardAt;
+    time_point mReceivedAt;
   };
 
   std::map<std::string, agent_rows> mAgents;
@@ -57,6 +57,6 @@
  * up to one whenever they see the same reports, and follow the demand at the
  * pace of the reports. */
 double
-ShareOf(const demand& aDemand, std::size_t aEntries);
+EntryShare(const demand& aDemand, std::size_t aEntries);
 
 } // namespace lavender::admission
--- a/Duties/Admission/TestBackPressure.cpp
+++ b/Duties/Admission/TestBackPressure.cpp
@@ -22,7 +22,7 @@
 /** Requests of one customer, of which the agents take that many a second. */
 struct traffic
 {
-  pressure_map mPressures;
+  back_pressure_map mPressures;
   std::mt19937_64 mRandom{ 5 };
   time_point mNow{ 1h };
 
@@ -38,7 +38,7 @@
       mNow += std::chrono::nanoseconds(1s) / aPerSecond;
       room =
         std::min(room + static_cast<double>(aTakenPerSecond) / aPerSecond, 5.0);
-      if (CheckPressure(
+      if (CheckBackPressure(
             mPressures, kPool, aCustomer, {}, draw(mRandom), mNow)) {
         ++result.mRefusedHere;
         continue;
@@ -47,12 +47,12 @@
       const bool isTaken = room >= 1;
       room -= isTaken ? 1 : 0;
       result.mTaken += isTaken ? 1 : 0;
-      NoteOutcome(mPressures,
-                  kPool,
-                  aCustomer,
-                  isTaken ? std::nullopt : std::optional<milliseconds>(700ms),
-                  {},
-                  mNow);
+      RecordOutcome(mPressures,
+                    kPool,
+                    aCustomer,
+                    isTaken ? std::nullopt : std::optional<milliseconds>(700ms),
+                    {},
+                    mNow);
     }
     return result;
   }
@@ -83,7 +83,7 @@
 BOOST_AUTO_TEST_CASE(ACustomerWhoseRequestsAreTakenIsNeverRefused)
 {
   BOOST_TEST(rc::check("pressure of one customer on another", [] {
-    pressure_map pressures;
+    back_pressure_map pressures;
     time_point now(1h);
     int underWay = 0;
     const int steps = *rc::gen::inRange(1, 200);
@@ -93,18 +93,18 @@
       const int kind = *rc::gen::inRange(0, 3);
       if (kind == 0) {
         const auto refused =
-          CheckPressure(pressures, kPool, "large", {}, draw, now);
+          CheckBackPressure(pressures, kPool, "large", {}, draw, now);
         RC_ASSERT(!refused || *refused > 0ms);
-        NoteOutcome(pressures, kPool, "large", 900ms, {}, now);
+        RecordOutcome(pressures, kPool, "large", 900ms, {}, now);
       } else if (kind == 1) {
-        RC_ASSERT(!CheckPressure(pressures, kPool, "small", {}, draw, now));
+        RC_ASSERT(!CheckBackPressure(pressures, kPool, "small", {}, draw, now));
         ++underWay;
       } else if (underWay > 0) {
-        NoteOutcome(pressures, kPool, "small", std::nullopt, {}, now);
+        RecordOutcome(pressures, kPool, "small", std::nullopt, {}, now);
         --underWay;
       }
     }
-    ForgetIdle(pressures, now + 61s);
+    RemoveIdle(pressures, now + 61s);
     RC_ASSERT(pressures.empty());
   }));
 }
--- a/Duties/Admission/TestSharedDemand.cpp
+++ b/Duties/Admission/TestSharedDemand.cpp
@@ -24,7 +24,7 @@
     const int all = std::accumulate(held.begin(), held.end(), 0);
     std::vector<int> next;
     for (std::size_t i = 0; i < held.size(); ++i) {
-      const double share = ShareOf({ all, held[i] }, held.size());
+      const double share = EntryShare({ all, held[i] }, held.size());
       next.push_back(std::min(aWanted[i], static_cast<int>(kLimit * share)));
     }
     held = next;
@@ -56,7 +56,7 @@
     const int all = std::accumulate(held.begin(), held.end(), 0);
     double sum = 0;
     for (const auto own : held) {
-      const auto share = ShareOf({ all, own }, held.size());
+      const auto share = EntryShare({ all, own }, held.size());
       RC_ASSERT(share > 0);
       sum += share;
     }
@@ -92,7 +92,7 @@
         demand sum;
         for (const auto& [name, told] : oracle) {
           for (const auto& row : told.mRows) {
-            if (row.mCustomer == customer && now - told.mHeardAt <= 5s) {
+            if (row.mCustomer == customer && now - told.mReceivedAt <= 5s) {
               sum.mInFlight += row.mInFlight;
               sum.mOwn += row.mOwn;
             }
--- a/Duties/Batches/Batch.h
+++ b/Duties/Batches/Batch.h
@@ -54,7 +54,7 @@
 };
 
 /** The small object that says that a batch was accepted and who runs it. */
-struct batch_head
+struct batch_metadata
 {
   std::string mId;
   std::string mCustomer;
@@ -77,7 +77,7 @@
 
 /** Time since the submission, as far as the instances' wall clocks agree. */
 milliseconds
-AgeOf(const batch_head& aHead);
+AgeOf(const batch_metadata& aHead);
 
 /** The end of one item. */
 struct item_result
@@ -93,12 +93,12 @@
 };
 
 /** Kinds of the product's own objects. */
-constexpr char kHeadKind[] = "batches";
-constexpr char kItemsKind[] = "batchitems";
-constexpr char kResultsKind[] = "batchresults";
+constexpr char kBatchMetadataKind[] = "batches";
+constexpr char kBatchItemsKind[] = "batchitems";
+constexpr char kBatchResultsKind[] = "batchresults";
 
 /** Identifiers become names of objects and parts of paths. */
 bool
-IsUsableId(const std::string& aId);
+IsValidId(const std::string& aId);
 
 } // namespace lavender::batches
--- a/Duties/Batches/BatchAdmission.cpp
+++ b/Duties/Batches/BatchAdmission.cpp
@@ -22,7 +22,7 @@
 struct batch_service::admission
 {
   edge::exchange_ptr mExchange;
-  batch_head mHead;
+  batch_metadata mHead;
   std::shared_ptr<submission> mSubmission;
   std::vector<std::string> mItems;
   int mTriesLeft = kTries;
@@ -72,7 +72,8 @@
     WriteHead(aAdmission);
     return;
   }
-  const auto name = ItemsName(aAdmission->mHead.mId, static_cast<int>(aPart));
+  const auto name =
+    ItemsObjectName(aAdmission->mHead.mId, static_cast<int>(aPart));
   const auto take =
     [this, aAdmission, aPart](const objects::object_reply& aReply) {
       // A conflict means that an earlier submission of the same batch wrote the
@@ -87,14 +88,14 @@
       }
     };
   mParts.mStore.mCreate(
-    kItemsKind,
+    kBatchItemsKind,
     name,
     aAdmission->mItems[aPart],
     [this, aAdmission, name, take](const objects::object_reply& aReply) {
       if (aReply.mOutcome == store_outcome::Unknown &&
           aAdmission->mTriesLeft-- > 0) {
         mParts.mStore.mGet(
-          kItemsKind, name, objects::freshness::Linearizable, take);
+          kBatchItemsKind, name, objects::freshness::Linearizable, take);
       } else {
         take(aReply);
       }
@@ -105,7 +106,7 @@
 batch_service::WriteHead(const std::shared_ptr<admission>& aAdmission)
 {
   mParts.mStore.mCreate(
-    kHeadKind,
+    kBatchMetadataKind,
     aAdmission->mHead.mId,
     EncodeHead(aAdmission->mHead),
     [this, aAdmission](const objects::object_reply& aReply) {
@@ -139,7 +140,7 @@
       aAdmission->mIsUnsettled = true;
       if (aAdmission->mTriesLeft-- > 0) {
         mParts.mStore.mGet(
-          kHeadKind,
+          kBatchMetadataKind,
           aAdmission->mHead.mId,
           objects::freshness::Linearizable,
           [this, aAdmission](const objects::object_reply& aRead) {
@@ -156,7 +157,7 @@
 
 void
 batch_service::TakeExistingHead(const std::shared_ptr<admission>& aAdmission,
-                                const batch_head& aHead)
+                                const batch_metadata& aHead)
 {
   // Accepted by a call whose answer was lost, by an earlier life of this
   // entry, or by another one: results may be listed already.
--- a/Duties/Batches/BatchCalls.cpp
+++ b/Duties/Batches/BatchCalls.cpp
@@ -41,7 +41,7 @@
     return;
   }
   mParts.mStore.mGet(
-    kHeadKind,
+    kBatchMetadataKind,
     aBatchId,
     objects::freshness::Linearizable,
     [this, done = std::move(aDone)](const objects::object_reply& aReply) {
@@ -62,7 +62,7 @@
 batch_service::Serve(const edge::exchange_ptr& aExchange,
                      const batch_call& aCall)
 {
-  if (!IsUsableId(aCall.mBatchId)) {
+  if (!IsValidId(aCall.mBatchId)) {
     aExchange->Answer({ 404, {}, {} });
     return;
   }
@@ -153,7 +153,7 @@
       events::line("owner_silent")
         .With("batch", aCall.mBatchId)
         .With("owner", aBatch->mHead.mOwner)
-        .With("end", edge::WordFor(aEnd))
+        .With("end", edge::ToString(aEnd))
         .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
       TakeOver(aExchange, aCall, aBatch);
     });
@@ -201,7 +201,7 @@
 batch_service::Claim(const batch_ptr& aBatch, std::function<void(bool)> aDone)
 {
   mParts.mStore.mReplaceStatus(
-    kHeadKind,
+    kBatchMetadataKind,
     aBatch->mHead.mId,
     aBatch->mHead.mRevision,
     EncodeHeadStatus(mParts.mName, aBatch->mHead.mIsEnded),
@@ -216,7 +216,7 @@
       events::line("batch_claimed")
         .With("batch", aBatch->mHead.mId)
         .With("owner", aBatch->mHead.mOwner)
-        .With("outcome", objects::WordFor(aReply.mOutcome));
+        .With("outcome", objects::ToString(aReply.mOutcome));
       done(IsMine(aBatch));
     });
 }
@@ -304,7 +304,7 @@
     return;
   }
   mParts.mStore.mReplaceStatus(
-    kHeadKind,
+    kBatchMetadataKind,
     aBatch->mHead.mId,
     aBatch->mHead.mRevision,
     EncodeHeadStatus(mParts.mName, true),
--- a/Duties/Batches/BatchDispatch.cpp
+++ b/Duties/Batches/BatchDispatch.cpp
@@ -94,8 +94,8 @@
       continue;
     }
     const auto route = RouteOf(aBatch, *item.mItem);
-    if (route &&
-        TimeUntilGivenUp(AgeOf(aBatch.mHead), route->mMaximumQueueing) <= 0ms) {
+    if (route && TimeUntilGivenUp(AgeOf(aBatch.mHead),
+                                  route->mMaximumQueueTime) <= 0ms) {
       StopRun(item);
       FinishItem(aBatch, item, item_end::GivenUp);
     }
@@ -109,7 +109,7 @@
   auto engines = Engines();
   struct candidate
   {
-    item_rank mRank;
+    item_priority mRank;
     running_batch* mBatch;
     std::size_t mIndex;
   };
@@ -217,12 +217,12 @@
   }
 }
 
-item_need
+item_requirements
 batch_runner::NeedOf(const running_batch& aBatch,
                      const item_progress& aItem,
                      const site::route& aRoute)
 {
-  item_need need;
+  item_requirements need;
   for (const auto& pool : aRoute.mPools) {
     need.mPools.push_back(pool.mPool);
   }
--- a/Duties/Batches/BatchListing.cpp
+++ b/Duties/Batches/BatchListing.cpp
@@ -43,7 +43,7 @@
 } // namespace
 
 void
-batch_service::TakeResult(const std::string& aBatchId, item_result aResult)
+batch_service::AddResult(const std::string& aBatchId, item_result aResult)
 {
   const auto found = mBatches.find(aBatchId);
   if (found == mBatches.end() || !found->second->mIsLoaded) {
@@ -113,8 +113,8 @@
   }
   aBatch->mIsCommitting = true;
   mParts.mStore.mCreate(
-    kResultsKind,
-    ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
     EncodeBlock(*block),
     [this,
      aBatch,
@@ -154,7 +154,7 @@
     if (aBatch->mGeneration != generation || aBatch->mHead.mIsEnded) {
       return;
     }
-    if (!mParts.mCanStore()) {
+    if (!mParts.mCanReachStore()) {
       Offer(aBatch);
     }
     const auto unsaved =
@@ -186,8 +186,8 @@
 {
   aBatch->mIsCommitting = true;
   mParts.mStore.mGet(
-    kResultsKind,
-    ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
     WhileSame(aBatch, [this, aBatch](const objects::object_reply& aReply) {
       aBatch->mIsCommitting = false;
@@ -250,8 +250,8 @@
   }
   aBatch->mIsCommitting = true;
   mParts.mStore.mGet(
-    kResultsKind,
-    ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
     objects::freshness::Linearizable,
     [this, aBatch, generation = aBatch->mGeneration, done = std::move(aDone)](
       const objects::object_reply& aReply) {
--- a/Duties/Batches/BatchLoading.cpp
+++ b/Duties/Batches/BatchLoading.cpp
@@ -58,8 +58,8 @@
     LoadResults(aBatch);
     return;
   }
-  mParts.mStore.mGet(kItemsKind,
-                     ItemsName(aBatch->mHead.mId, aPart),
+  mParts.mStore.mGet(kBatchItemsKind,
+                     ItemsObjectName(aBatch->mHead.mId, aPart),
                      objects::freshness::Linearizable,
                      WhileSame(aBatch,
                                [this, aBatch, aGathered, aPart](
@@ -96,10 +96,11 @@
     }
     LoadResults(aBatch);
   };
-  mParts.mStore.mGet(kResultsKind,
-                     ResultsName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
-                     objects::freshness::Linearizable,
-                     WhileSame(aBatch, take));
+  mParts.mStore.mGet(
+    kBatchResultsKind,
+    ResultsObjectName(aBatch->mHead.mId, aBatch->mLog.mNextBlock),
+    objects::freshness::Linearizable,
+    WhileSame(aBatch, take));
 }
 
 void
--- a/Duties/Batches/BatchOwners.cpp
+++ b/Duties/Batches/BatchOwners.cpp
@@ -124,9 +124,9 @@
 }
 
 void
-batch_service::SubmitHere(const edge::exchange_ptr& aExchange,
-                          const submission_origin& aOrigin,
-                          submission aSubmission)
+batch_service::SubmitLocally(const edge::exchange_ptr& aExchange,
+                             const submission_origin& aOrigin,
+                             submission aSubmission)
 {
   if (AnswerKnown(aExchange, aOrigin, aSubmission.mId)) {
     return;
@@ -175,7 +175,7 @@
              events::line("designated_owner_silent")
                .With("batch", aPlacement->mSubmission.mId)
                .With("owner", owner)
-               .With("end", edge::WordFor(aEnd))
+               .With("end", edge::ToString(aEnd))
                .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
              mAvoidedUntil[owner] =
                boot_clock::now() + (isAnswered ? kAvoidLeaving : kAvoidSilent);
@@ -212,7 +212,7 @@
 void
 batch_service::GiveTo(const batch_ptr& aBatch, const std::string& aOwner)
 {
-  mParts.mStore.mReplaceStatus(kHeadKind,
+  mParts.mStore.mReplaceStatus(kBatchMetadataKind,
                                aBatch->mHead.mId,
                                aBatch->mHead.mRevision,
                                EncodeHeadStatus(aOwner, aBatch->mHead.mIsEnded),
@@ -246,7 +246,7 @@
              events::line("batch_offered")
                .With("batch", aBatch->mHead.mId)
                .With("to", owner)
-               .With("end", edge::WordFor(aEnd))
+               .With("end", edge::ToString(aEnd))
                .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
              aBatch->mIsOffered = false;
              if (!isTaken) {
--- a/Duties/Batches/BatchRewards.cpp
+++ b/Duties/Batches/BatchRewards.cpp
@@ -25,8 +25,8 @@
   request.mCall = *item.mItem->mReward;
   request.mItemId = item.mItem->mId;
   request.mCustomer = aBatch.mHead.mCustomer;
-  request.mGiveUpAt = now + TimeUntilGivenUp(age, limits.mMaximumQueueing);
-  request.mRank = [this, where, dueAt = now - age + limits.mDue] {
+  request.mGiveUpAt = now + TimeUntilGivenUp(age, limits.mMaximumQueueTime);
+  request.mRank = [this, where, dueAt = now - age + limits.mResultsDueAfter] {
     return rewards::reward_rank{ dueAt, OpenInGroup(where) };
   };
   request.mOnEnd = [this, where](std::optional<std::string> aScore) {
--- a/Duties/Batches/BatchRunner.cpp
+++ b/Duties/Batches/BatchRunner.cpp
@@ -4,14 +4,14 @@
 
 namespace lavender::batches {
 
-batch_runner::batch_runner(runner_parts aParts)
+batch_runner::batch_runner(runner_dependencies aParts)
   : mParts(std::move(aParts))
   , mTimer(mParts.mLoop)
 {
 }
 
 void
-batch_runner::Add(const batch_head& aHead,
+batch_runner::Add(const batch_metadata& aHead,
                   std::shared_ptr<const submission> aSubmission,
                   const std::function<bool(const std::string&)>& aHasResult,
                   stored_texts aStored)
@@ -77,7 +77,8 @@
   }
   const auto& running = batch->second;
   const auto route = RouteOf(running, *running.mItems.front().mItem);
-  return (route ? route->mDue : site::route().mDue) - AgeOf(running.mHead);
+  return (route ? route->mResultsDueAfter : site::route().mResultsDueAfter) -
+         AgeOf(running.mHead);
 }
 
 std::size_t
@@ -109,7 +110,7 @@
 void
 batch_runner::NoteRunEnd(const item_progress& aItem, bool aIsFailure)
 {
-  routing::NoteEnded(mHealths[aItem.mServer].mBreaker,
+  routing::RecordEnd(mHealths[aItem.mServer].mBreaker,
                      aIsFailure ? routing::evidence::Failure
                                 : routing::evidence::Success,
                      RunBreakerLimits(),
@@ -137,7 +138,7 @@
   if (aItem.mPhase != item_phase::Running) {
     return;
   }
-  routing::NoteEnded(mHealths[aItem.mServer].mBreaker,
+  routing::RecordEnd(mHealths[aItem.mServer].mBreaker,
                      routing::evidence::Neutral,
                      RunBreakerLimits(),
                      boot_clock::now());
--- a/Duties/Batches/BatchRunner.h
+++ b/Duties/Batches/BatchRunner.h
@@ -37,7 +37,7 @@
 {
   const batch_item* mItem = nullptr;
   item_phase mPhase = item_phase::Waiting;
-  made_text mMade;
+  generated_text mMade;
   save_mark mSaved;
   /** Since when the text has grown without being stored. */
   std::optional<time_point> mUnsavedSince;
@@ -59,13 +59,13 @@
 /** A batch that this entry runs. */
 struct running_batch
 {
-  batch_head mHead;
+  batch_metadata mHead;
   std::shared_ptr<const submission> mSubmission;
   std::vector<item_progress> mItems;
   group_progress mGroups;
 };
 
-struct runner_parts
+struct runner_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -73,7 +73,7 @@
   const site::server_directory& mDirectory;
   const site::configuration_ptr& mConfiguration;
   metrics::registry& mMetrics;
-  rewards::reward_caller& mRewards;
+  rewards::reward_client& mRewards;
   std::function<void(const std::string& aBatchId, item_result)> mOnResult;
 };
 
@@ -81,11 +81,11 @@
 class batch_runner
 {
 public:
-  explicit batch_runner(runner_parts aParts);
+  explicit batch_runner(runner_dependencies aParts);
 
   /** Starts the items for which the predicate has no result, each after what
    * is stored of its text. */
-  void Add(const batch_head& aHead,
+  void Add(const batch_metadata& aHead,
            std::shared_ptr<const submission> aSubmission,
            const std::function<bool(const std::string&)>& aHasResult,
            stored_texts aStored);
@@ -124,9 +124,9 @@
   std::shared_ptr<const site::route> RouteOf(const running_batch& aBatch,
                                              const batch_item& aItem) const;
   std::vector<engine_view> Engines() const;
-  static item_need NeedOf(const running_batch& aBatch,
-                          const item_progress& aItem,
-                          const site::route& aRoute);
+  static item_requirements NeedOf(const running_batch& aBatch,
+                                  const item_progress& aItem,
+                                  const site::route& aRoute);
   void DispatchNow();
   /** Drops what is known of servers and groups that are no more: servers mostly
    * start under a new name. */
@@ -168,7 +168,7 @@
                  edge::call_end aEnd,
                  unsigned aStatus);
 
-  runner_parts mParts;
+  runner_dependencies mParts;
   std::map<std::string, running_batch> mBatches;
   std::map<std::string, int> mRunsByServer;
   std::map<std::string, time_point> mBlocked;
@@ -178,7 +178,7 @@
   /** Versions seen in answers: fresher than the servers' own entries. */
   std::map<std::string, std::map<std::string, std::int64_t>> mSeenVersions;
   engine_healths mHealths;
-  group_homes mHomes;
+  group_affinities mHomes;
   boost::asio::steady_timer mTimer;
   std::uint64_t mRuns = 0;
   bool mIsDispatchPosted = false;
--- a/Duties/Batches/BatchRuns.cpp
+++ b/Duties/Batches/BatchRuns.cpp
@@ -34,7 +34,7 @@
 struct batch_runner::run_state
 {
   edge::response mHead;
-  site::answer_facts mFacts;
+  site::response_metadata mFacts;
   event_stream mStream;
   std::int64_t mVersion = 0;
   bool mHasEvents = false;
@@ -64,7 +64,7 @@
     trial->second = item.mRun;
   }
   item.mLastSign = boot_clock::now();
-  routing::NoteSent(mHealths[aEngine.mId].mBreaker, item.mLastSign);
+  routing::RecordSent(mHealths[aEngine.mId].mBreaker, item.mLastSign);
   ++mRunsByServer[aEngine.mId];
   if (!item.mItem->mGroup.empty()) {
     mHomes[item.mItem->mGroup] = { aEngine.mId, item.mLastSign };
@@ -80,7 +80,7 @@
   attempt.mServerId = aEngine.mId;
   attempt.mCustomer = aBatch.mHead.mCustomer;
   attempt.mTimeLeft =
-    std::clamp(TimeUntilGivenUp(AgeOf(aBatch.mHead), aRoute.mMaximumQueueing),
+    std::clamp(TimeUntilGivenUp(AgeOf(aBatch.mHead), aRoute.mMaximumQueueTime),
                milliseconds(1),
                kLongestRun);
   attempt.mAfterEvent = item.mMade.mLastEvent;
@@ -93,7 +93,7 @@
   edge::call_events events;
   events.mOnHead = [this, where, run](const edge::response& aHead) {
     run->mHead = aHead;
-    run->mFacts = mParts.mProtocol.mReadAnswer(aHead);
+    run->mFacts = mParts.mProtocol.mReadResponseMetadata(aHead);
     run->mVersion = run->mFacts.mVersion.value_or(0);
   };
   events.mOnBody = [this, where, run](std::string_view aPiece) {
@@ -239,7 +239,7 @@
     .With("batch", aBatch.mHead.mId)
     .With("server", aItem.mServer)
     .With("outcome", aOutcome)
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aStatus))
     .With("events", aItem.mMade.mLastEvent.value_or(-1));
 }
--- a/Duties/Batches/BatchService.cpp
+++ b/Duties/Batches/BatchService.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 using objects::store_outcome;
 
-batch_service::batch_service(service_parts aParts)
+batch_service::batch_service(service_dependencies aParts)
   : mParts(std::move(aParts))
 {
 }
@@ -25,7 +25,7 @@
     }
   }
   // A head that the listing lacks was removed, unless it is newer than it.
-  for (const auto& head : Heads()) {
+  for (const auto& head : ListBatches()) {
     if (aHeads.count(head.mId) == 0 &&
         std::chrono::system_clock::now() - head.mSubmittedAt > kListingDelay) {
       Forget(head.mId);
@@ -57,10 +57,10 @@
   }
 }
 
-std::vector<batch_head>
-batch_service::Heads() const
+std::vector<batch_metadata>
+batch_service::ListBatches() const
 {
-  std::vector<batch_head> heads;
+  std::vector<batch_metadata> heads;
   for (const auto& [id, batch] : mBatches) {
     heads.push_back(batch->mHead);
   }
@@ -80,7 +80,7 @@
 }
 
 void
-batch_service::TakeHead(const batch_head& aHead)
+batch_service::TakeHead(const batch_metadata& aHead)
 {
   auto& batch = mBatches[aHead.mId];
   if (!batch) {
--- a/Duties/Batches/BatchService.h
+++ b/Duties/Batches/BatchService.h
@@ -20,20 +20,21 @@
 constexpr milliseconds kListingDelay{ 60000 };
 
 /** How results and pages are written for trainers; the adapter fills it in. */
-struct page_format
+struct results_encoder
 {
   std::function<std::string(const item_result&)> mEncodeResult;
-  std::function<std::string(std::size_t aTotal, const log_page&)> mEncodePage;
+  std::function<std::string(std::size_t aTotal, const results_page&)>
+    mEncodePage;
 };
 
-struct service_parts
+struct service_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
   edge::client_pool& mClients;
   batch_runner& mRunner;
   metrics::registry& mMetrics;
-  page_format mFormat;
+  results_encoder mFormat;
   /** Name of this entry. */
   std::string mName;
   /** Where another entry takes forwarded calls; none when it isn't known. */
@@ -43,15 +44,15 @@
   std::function<std::vector<weighted_candidate>()> mEntries;
   /** False while this entry's writes don't reach the store though others'
    * do. */
-  std::function<bool()> mCanStore;
+  std::function<bool()> mCanReachStore;
   /** Told once of each batch that was accepted, by whichever entry. */
-  std::function<void(const batch_head&)> mOnAccepted;
+  std::function<void(const batch_metadata&)> mOnAccepted;
 };
 
 /** One batch as this entry knows it. */
 struct batch_record
 {
-  batch_head mHead;
+  batch_metadata mHead;
   /** Items and results are here; only the owner's are. */
   bool mIsLoaded = false;
   bool mIsLoading = false;
@@ -116,7 +117,7 @@
 class batch_service
 {
 public:
-  explicit batch_service(service_parts aParts);
+  explicit batch_service(service_dependencies aParts);
 
   /** All heads that the store holds. */
   void TakeListing(const std::map<std::string, objects::stored_object>& aHeads);
@@ -127,15 +128,15 @@
               const submission_origin& aOrigin,
               submission aSubmission);
   /** One that another entry passed on, since this one shall own it. */
-  void SubmitHere(const edge::exchange_ptr& aExchange,
-                  const submission_origin& aOrigin,
-                  submission aSubmission);
+  void SubmitLocally(const edge::exchange_ptr& aExchange,
+                     const submission_origin& aOrigin,
+                     submission aSubmission);
   void Serve(const edge::exchange_ptr& aExchange, const batch_call& aCall);
   /** All heads that are known here. */
-  std::vector<batch_head> Heads() const;
+  std::vector<batch_metadata> ListBatches() const;
   /** Calls that another entry passed on. */
   void ServePeer(const edge::exchange_ptr& aExchange);
-  void TakeResult(const std::string& aBatchId, item_result aResult);
+  void AddResult(const std::string& aBatchId, item_result aResult);
   /** From now on new batches are refused; those that run go on. */
   void StopAccepting() { mIsLeaving = true; }
   /** Batches of this entry whose trainers still wait. */
@@ -159,7 +160,7 @@
   void Offer(const batch_ptr& aBatch);
   void TakeOffer(const edge::exchange_ptr& aExchange, const batch_call& aCall);
   /** Whether this entry should own no more batches than it does. */
-  bool IsUnfit() const { return mIsLeaving || !mParts.mCanStore(); }
+  bool IsUnfit() const { return mIsLeaving || !mParts.mCanReachStore(); }
   std::optional<std::string> DesignatedOwner(const std::string& aCustomer,
                                              const std::string& aModel) const;
   /** Another entry, and where it takes calls. */
@@ -189,7 +190,7 @@
              submission aSubmission,
              prior_try aPriorTry);
 
-  void TakeHead(const batch_head& aHead);
+  void TakeHead(const batch_metadata& aHead);
   void Forget(const std::string& aBatchId);
   void ResumeOwn();
   bool IsMine(const batch_ptr& aBatch) const;
@@ -199,7 +200,7 @@
   void TakeHeadReply(const std::shared_ptr<admission>& aAdmission,
                      const objects::object_reply& aReply);
   void TakeExistingHead(const std::shared_ptr<admission>& aAdmission,
-                        const batch_head& aHead);
+                        const batch_metadata& aHead);
   void Accept(const std::shared_ptr<admission>& aAdmission);
   void FailAdmission(const std::shared_ptr<admission>& aAdmission,
                      const char* aReason);
@@ -269,7 +270,7 @@
   void TakeListedBlock(const batch_ptr& aBatch, const result_block& aBlock);
   void After(milliseconds aPause, std::function<void()> aAction);
 
-  service_parts mParts;
+  service_dependencies mParts;
   std::map<std::string, batch_ptr> mBatches;
   /** Entries that didn't take a batch lately. */
   std::map<std::string, time_point> mAvoidedUntil;
--- a/Duties/Batches/EngineHealth.cpp
+++ b/Duties/Batches/EngineHealth.cpp
@@ -17,10 +17,10 @@
 RunBreakerLimits()
 {
   routing::breaker_limits limits;
-  limits.mEnoughAttempts = 4;
-  limits.mFailureShare = 0.25;
-  limits.mFirstPause = milliseconds(1000);
-  limits.mLongestPause = milliseconds(8000);
+  limits.mMinimumAttempts = 4;
+  limits.mFailureRatio = 0.25;
+  limits.mInitialPause = milliseconds(1000);
+  limits.mMaximumPause = milliseconds(8000);
   return limits;
 }
 
--- a/Duties/Batches/MadeText.cpp
+++ b/Duties/Batches/MadeText.cpp
@@ -3,7 +3,7 @@
 namespace lavender::batches {
 
 void
-AddEvent(made_text& aMade,
+AddEvent(generated_text& aMade,
          std::int64_t aNumber,
          std::string_view aData,
          std::int64_t aVersion)
@@ -19,7 +19,7 @@
 }
 
 void
-Restart(made_text& aMade)
+Restart(generated_text& aMade)
 {
   const int restarts = aMade.mRestarts + 1;
   aMade = {};
@@ -27,7 +27,7 @@
 }
 
 std::optional<text_part>
-UnsavedPart(const made_text& aMade, const save_mark& aMark)
+UnsavedPart(const generated_text& aMade, const save_mark& aMark)
 {
   const bool hasMore = aMade.mLastEvent != aMark.mLastEvent;
   if (!aMade.mLastEvent || (!hasMore && aMade.mIsWhole == aMark.mIsWhole)) {
@@ -45,7 +45,7 @@
 }
 
 void
-MarkSaved(save_mark& aMark, const made_text& aMade, const text_part& aPart)
+MarkSaved(save_mark& aMark, const generated_text& aMade, const text_part& aPart)
 {
   if (aMade.mRestarts != aPart.mMade.mRestarts ||
       aMark.mLastEvent != aPart.mAfter) {
--- a/Duties/Batches/MadeText.h
+++ b/Duties/Batches/MadeText.h
@@ -11,7 +11,7 @@
  * are stored so that the next owner of its batch goes on from there. Pure. */
 namespace lavender::batches {
 
-struct made_text
+struct generated_text
 {
   /** Data of the whole events, with line feeds between. */
   std::string mData;
@@ -26,14 +26,14 @@
 };
 
 void
-AddEvent(made_text& aMade,
+AddEvent(generated_text& aMade,
          std::int64_t aNumber,
          std::string_view aData,
          std::int64_t aVersion);
 
 /** Throws the text away. */
 void
-Restart(made_text& aMade);
+Restart(generated_text& aMade);
 
 /** How much of a text is stored. */
 struct save_mark
@@ -51,24 +51,26 @@
   /** Event that it follows; none when it begins the text. */
   std::optional<std::int64_t> mAfter;
   /** Data of the part alone; the rest speaks of the text up to its end. */
-  made_text mMade;
+  generated_text mMade;
 };
 
 /** The part that isn't stored yet; none when there is nothing. */
 std::optional<text_part>
-UnsavedPart(const made_text& aMade, const save_mark& aMark);
+UnsavedPart(const generated_text& aMade, const save_mark& aMark);
 
 /** Moves the mark to the end of a part that was stored, unless the text was
  * begun anew meanwhile. */
 void
-MarkSaved(save_mark& aMark, const made_text& aMade, const text_part& aPart);
+MarkSaved(save_mark& aMark,
+          const generated_text& aMade,
+          const text_part& aPart);
 
 /** An item's text as the store holds it. */
 struct stored_text
 {
   /** Who wrote it: an owner's load of the batch. */
   std::string mWriter;
-  made_text mMade;
+  generated_text mMade;
 };
 
 /** By the item's place in its submission. */
--- a/Duties/Batches/PeerCall.cpp
+++ b/Duties/Batches/PeerCall.cpp
@@ -12,7 +12,7 @@
 constexpr char kWaitField[] = "Lavender-Wait-Ms";
 
 const char*
-WordFor(batch_call::kind aKind)
+ToString(batch_call::kind aKind)
 {
   switch (aKind) {
     case batch_call::kind::Results:
@@ -35,7 +35,7 @@
   edge::request request;
   request.mMethod = "GET";
   request.mTarget = kPeerPath + aCall.mBatchId;
-  request.mHeaders.Add(kKindField, WordFor(aCall.mKind));
+  request.mHeaders.Add(kKindField, ToString(aCall.mKind));
   request.mHeaders.Add(kCustomerField, aCall.mCustomer);
   request.mHeaders.Add(kItemField, aCall.mItemId);
   request.mHeaders.Add(kAfterField, std::to_string(aCall.mAfter));
@@ -62,7 +62,7 @@
                             batch_call::kind::Item,
                             batch_call::kind::End,
                             batch_call::kind::TakeOver }) {
-    if (kind == WordFor(known)) {
+    if (kind == ToString(known)) {
       call.mKind = known;
       call.mCustomer = aRequest.mHeaders.ValueOr(kCustomerField, "");
       call.mItemId = aRequest.mHeaders.ValueOr(kItemField, "");
--- a/Duties/Batches/Records.cpp
+++ b/Duties/Batches/Records.cpp
@@ -105,7 +105,7 @@
 } // namespace
 
 bool
-IsUsableId(const std::string& aId)
+IsValidId(const std::string& aId)
 {
   return !aId.empty() && aId.size() <= 128 &&
          std::all_of(aId.begin(), aId.end(), [](unsigned char aCharacter) {
@@ -126,14 +126,14 @@
 }
 
 milliseconds
-AgeOf(const batch_head& aHead)
+AgeOf(const batch_metadata& aHead)
 {
   return std::chrono::duration_cast<milliseconds>(
     std::chrono::system_clock::now() - aHead.mSubmittedAt);
 }
 
 std::string
-EncodeHead(const batch_head& aHead)
+EncodeHead(const batch_metadata& aHead)
 {
   const auto submitted = std::chrono::duration_cast<milliseconds>(
     aHead.mSubmittedAt.time_since_epoch());
@@ -157,14 +157,14 @@
     json::object{ { "owner", aOwner }, { "ended", aIsEnded } });
 }
 
-std::optional<batch_head>
+std::optional<batch_metadata>
 DecodeHead(const objects::stored_object& aObject)
 {
   const auto& spec = aObject.mSpec;
   if (!spec.IsObject() || !spec.Find("total")) {
     return std::nullopt;
   }
-  batch_head head;
+  batch_metadata head;
   head.mId = aObject.mName;
   head.mRevision = aObject.mRevision;
   head.mCustomer = json::StringAt(spec, "customer", "");
@@ -215,13 +215,13 @@
 }
 
 std::string
-ItemsName(const std::string& aBatchId, int aPart)
+ItemsObjectName(const std::string& aBatchId, int aPart)
 {
   return Numbered(aBatchId, aPart);
 }
 
 std::string
-ResultsName(const std::string& aBatchId, int aNumber)
+ResultsObjectName(const std::string& aBatchId, int aNumber)
 {
   return Numbered(aBatchId, aNumber);
 }
--- a/Duties/Batches/Records.h
+++ b/Duties/Batches/Records.h
@@ -9,13 +9,13 @@
 namespace lavender::batches {
 
 std::string
-EncodeHead(const batch_head& aHead);
+EncodeHead(const batch_metadata& aHead);
 
 /** The part of a head that changes. */
 std::string
 EncodeHeadStatus(const std::string& aOwner, bool aIsEnded);
 
-std::optional<batch_head>
+std::optional<batch_metadata>
 DecodeHead(const objects::stored_object& aObject);
 
 /** Content of the items' objects, each below the store's limit of 1 MB. */
@@ -28,11 +28,11 @@
 DecodeItems(const objects::stored_object& aObject, submission& aSubmission);
 
 std::string
-ItemsName(const std::string& aBatchId, int aPart);
+ItemsObjectName(const std::string& aBatchId, int aPart);
 
 /** Names sort in the order in which the objects were written. */
 std::string
-ResultsName(const std::string& aBatchId, int aNumber);
+ResultsObjectName(const std::string& aBatchId, int aNumber);
 
 /** Results written together. */
 struct result_block
--- a/Duties/Batches/ResultLog.cpp
+++ b/Duties/Batches/ResultLog.cpp
@@ -78,10 +78,10 @@
   return block;
 }
 
-log_page
+results_page
 ReadPage(const result_log& aLog, std::size_t aAfter, std::size_t aBytes)
 {
-  log_page page;
+  results_page page;
   page.mNext = aAfter;
   std::size_t bytes = 0;
   while (page.mNext < aLog.mListed.size()) {
--- a/Duties/Batches/ResultLog.h
+++ b/Duties/Batches/ResultLog.h
@@ -43,7 +43,7 @@
 result_block
 FirstPending(const result_log& aLog, std::size_t aBytes);
 
-struct log_page
+struct results_page
 {
   std::size_t mNext = 0;
   std::vector<const std::string*> mEntries;
@@ -51,7 +51,7 @@
 
 /** Listed results from a position on, at most that many bytes but at least
  * one if there is one. */
-log_page
+results_page
 ReadPage(const result_log& aLog, std::size_t aAfter, std::size_t aBytes);
 
 } // namespace lavender::batches
--- a/Duties/Batches/Schedule.cpp
+++ b/Duties/Batches/Schedule.cpp
@@ -15,7 +15,9 @@
 constexpr int kHomeSlack = 2;
 
 bool
-MayRun(const engine_view& aEngine, const item_need& aNeed, time_point aNow)
+MayRun(const engine_view& aEngine,
+       const item_requirements& aNeed,
+       time_point aNow)
 {
   const auto version = aEngine.mVersions.find(aNeed.mModel);
   const bool hasModel =
@@ -30,7 +32,7 @@
 } // namespace
 
 void
-ForgetOldHomes(group_homes& aHomes, time_point aNow)
+ForgetOldHomes(group_affinities& aHomes, time_point aNow)
 {
   for (auto home = aHomes.begin(); home != aHomes.end();) {
     home = aNow - home->second.mUsedAt > kHomeKept ? aHomes.erase(home)
@@ -40,8 +42,8 @@
 
 std::optional<std::size_t>
 ChooseEngine(const std::vector<engine_view>& aEngines,
-             const item_need& aNeed,
-             const group_homes& aHomes,
+             const item_requirements& aNeed,
+             const group_affinities& aHomes,
              time_point aNow)
 {
   const auto isBetter = [&](const engine_view& aLeft,
--- a/Duties/Batches/Schedule.h
+++ b/Duties/Batches/Schedule.h
@@ -28,7 +28,7 @@
 };
 
 /** What an item asks of a server. */
-struct item_need
+struct item_requirements
 {
   std::vector<std::string> mPools;
   std::string mModel;
@@ -55,7 +55,7 @@
 }
 
 /** Order of items: the less comes first. */
-struct item_rank
+struct item_priority
 {
   /** Batches in the order of their submission. */
   std::int64_t mSubmittedMs = 0;
@@ -63,7 +63,7 @@
    * its group, and a step waits for its last groups. */
   std::int64_t mExpectedTokens = 0;
 
-  bool operator<(const item_rank& aOther) const
+  bool operator<(const item_priority& aOther) const
   {
     if (mSubmittedMs != aOther.mSubmittedMs) {
       return mSubmittedMs < aOther.mSubmittedMs;
@@ -74,13 +74,13 @@
 
 /** Server that last ran an item of a group, as its prompt is in memory there.
  */
-struct group_home
+struct group_affinity
 {
   std::string mServer;
   time_point mUsedAt;
 };
 
-using group_homes = std::map<std::string, group_home>;
+using group_affinities = std::map<std::string, group_affinity>;
 
 /** Groups whose last run began longer ago are forgotten. Their prompts have
  * yielded to others by then, and each step brings new groups: at 17 trainers
@@ -88,14 +88,14 @@
 constexpr milliseconds kHomeKept{ 60000 };
 
 void
-ForgetOldHomes(group_homes& aHomes, time_point aNow);
+ForgetOldHomes(group_affinities& aHomes, time_point aNow);
 
 /** The least loaded server that may run the item; its group's home while that
  * isn't more loaded by more than a few runs. None when all are full. */
 std::optional<std::size_t>
 ChooseEngine(const std::vector<engine_view>& aEngines,
-             const item_need& aNeed,
-             const group_homes& aHomes,
+             const item_requirements& aNeed,
+             const group_affinities& aHomes,
              time_point aNow);
 
 } // namespace lavender::batches
--- a/Duties/Batches/TestMadeText.cpp
+++ b/Duties/Batches/TestMadeText.cpp
@@ -8,7 +8,7 @@
 
 /** Events from one number to another, as a run of that owner makes them. */
 void
-Make(made_text& aMade, int aFrom, int aTo, const std::string& aOwner)
+Make(generated_text& aMade, int aFrom, int aTo, const std::string& aOwner)
 {
   for (int i = aFrom; i <= aTo; ++i) {
     AddEvent(aMade, i, aOwner + std::to_string(i), 1);
@@ -19,7 +19,7 @@
 void
 Save(stored_texts& aStored,
      save_mark& aMark,
-     const made_text& aMade,
+     const generated_text& aMade,
      const std::string& aWriter)
 {
   if (const auto part = UnsavedPart(aMade, aMark)) {
@@ -34,7 +34,7 @@
 
 BOOST_AUTO_TEST_CASE(PartsMakeTheWholeText)
 {
-  made_text made;
+  generated_text made;
   save_mark mark;
   stored_texts stored;
   Save(stored, mark, made, "a");
@@ -54,7 +54,7 @@
 
 BOOST_AUTO_TEST_CASE(EmptyEventsCount)
 {
-  made_text made;
+  generated_text made;
   save_mark mark;
   stored_texts stored;
   AddEvent(made, 1, "", 1);
@@ -71,8 +71,8 @@
 // parts that they had stored in turn.
 BOOST_AUTO_TEST_CASE(PartsOfTwoOwnersAreNeverJoined)
 {
-  made_text first;
-  made_text second;
+  generated_text first;
+  generated_text second;
   save_mark firstMark;
   save_mark secondMark;
   stored_texts stored;
@@ -98,7 +98,7 @@
 // stored, and the part that follows in the new text was added to it.
 BOOST_AUTO_TEST_CASE(ATextThatBeginsAnewReplacesTheOldOne)
 {
-  made_text made;
+  generated_text made;
   save_mark mark;
   stored_texts stored;
   Make(made, 1, 5, "old");
--- a/Duties/Billing/UsageCounts.cpp
+++ b/Duties/Billing/UsageCounts.cpp
@@ -52,7 +52,7 @@
 }
 
 milliseconds
-ActAfter(std::size_t aPlace)
+ReportDelay(std::size_t aPlace)
 {
   return kFirstActs + kPlaceStep * static_cast<int>(aPlace);
 }
--- a/Duties/Billing/UsageCounts.h
+++ b/Duties/Billing/UsageCounts.h
@@ -42,7 +42,7 @@
  * entries. The first acts once the others' counts are complete; the next one
  * only when the first didn't, and in time for the report. */
 milliseconds
-ActAfter(std::size_t aPlace);
+ReportDelay(std::size_t aPlace);
 
 /** How long an entry that finds another one's report in the record waits before
  * it acts itself; nothing when it may act now. Without the wait two entries
--- a/Duties/Billing/UsageDuty.cpp
+++ b/Duties/Billing/UsageDuty.cpp
@@ -70,9 +70,9 @@
   int mTriesLeft = kTries;
 };
 
-usage_duty::usage_duty(usage_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+usage_duty::usage_duty(usage_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
@@ -82,11 +82,11 @@
   billing::CountStart(
     mCounts,
     aCustomer,
-    WindowAt(std::chrono::system_clock::now(), mParts.mWindowLength));
+    WindowAt(std::chrono::system_clock::now(), mDependencies.mWindowLength));
 }
 
 std::string
-usage_duty::Share(window_number aWindow) const
+usage_duty::CountsAsJson(window_number aWindow) const
 {
   const auto found = mCounts.mWindows.find(aWindow);
   return EncodeCounts(found == mCounts.mWindows.end() ? customer_counts{}
@@ -97,24 +97,24 @@
 usage_duty::Start()
 {
   mLastWindow =
-    WindowAt(std::chrono::system_clock::now(), mParts.mWindowLength) - 1;
+    WindowAt(std::chrono::system_clock::now(), mDependencies.mWindowLength) - 1;
   PlanNext();
 }
 
 std::size_t
 usage_duty::Place() const
 {
-  const auto names = mParts.mEntryNames();
+  const auto names = mDependencies.mEntryNames();
   return static_cast<std::size_t>(
     std::count_if(names.begin(), names.end(), [&](const auto& aName) {
-      return aName < mParts.mName;
+      return aName < mDependencies.mName;
     }));
 }
 
 std::chrono::system_clock::time_point
 usage_duty::DueAt(window_number aWindow) const
 {
-  return EndOf(aWindow, mParts.mWindowLength) + ActAfter(Place());
+  return EndOf(aWindow, mDependencies.mWindowLength) + ReportDelay(Place());
 }
 
 void
@@ -149,7 +149,7 @@
   // tenth of the price of a read, says so truly, as the record only goes on.
   // With it and with turns taken once the entries are known, a quiet day of 26
   // entries takes 742 priced calls instead of 916.
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kDutyKind,
     kDutyName,
     objects::freshness::MayBeStale,
@@ -164,7 +164,7 @@
 void
 usage_duty::ReadRecord(window_number aWindow, int aTriesLeft)
 {
-  mParts.mStore.mGet(
+  mDependencies.mStore.mGet(
     kDutyKind,
     kDutyName,
     objects::freshness::Linearizable,
@@ -194,14 +194,14 @@
   if (IsReported(spec, aWindow)) {
     return;
   }
-  const bool isOwn = json::StringAt(spec, "holder", "") == mParts.mName;
+  const bool isOwn = json::StringAt(spec, "holder", "") == mDependencies.mName;
   const auto wait =
-    isOwn ? 0ms : TurnWait(mLastActAt, boot_clock::now(), mParts.mLease);
+    isOwn ? 0ms : TurnWait(mLastActAt, boot_clock::now(), mDependencies.mLease);
   if (wait > 0ms) {
     events::line("usage_turn_awaited")
       .With("window", aWindow)
       .With("wait_ms", wait);
-    edge::RunAfter(mParts.mLoop, wait, [this, aWindow, aTriesLeft] {
+    edge::RunAfter(mDependencies.mLoop, wait, [this, aWindow, aTriesLeft] {
       ReadRecord(aWindow, aTriesLeft);
     });
     return;
@@ -241,9 +241,9 @@
   // All at once: asked one after another, entries that are gone would make the
   // report as late as their timeouts add up to.
   aRound->mOpenQuestions = 1;
-  for (const auto& name : mParts.mEntryNames()) {
-    if (const auto peer = mParts.mFindPeer(name);
-        peer && name != mParts.mName) {
+  for (const auto& name : mDependencies.mEntryNames()) {
+    if (const auto peer = mDependencies.mFindPeer(name);
+        peer && name != mDependencies.mName) {
       ++aRound->mOpenQuestions;
       AskShare(aRound, name, *peer);
     }
@@ -262,8 +262,8 @@
   edge::call_options options;
   options.mConnectTimeout = kPeerTimeout;
   edge::FetchWhole(
-    mParts.mClients,
-    mParts.mLoop,
+    mDependencies.mClients,
+    mDependencies.mLoop,
     aPeer,
     request,
     options,
@@ -277,7 +277,7 @@
         events::line("usage_share_missing")
           .With("window", aRound->mWindow)
           .With("entry", aName)
-          .With("end", edge::WordFor(aEnd));
+          .With("end", edge::ToString(aEnd));
       }
       EndQuestion(aRound);
     });
@@ -303,7 +303,7 @@
 {
   const std::string record =
     "{\"window\":" + std::to_string(aRound->mWindow) + ",\"holder\":\"" +
-    mParts.mName +
+    mDependencies.mName +
     "\",\"sent\":false,\"try\":" + std::to_string(aRound->mTriesLeft) +
     ",\"counts\":" + EncodeCounts(aRound->mCounts) + "}";
   aRound->mWrittenAt = boot_clock::now();
@@ -316,9 +316,9 @@
     }
   };
   if (aRound->mRevision == 0) {
-    mParts.mStore.mCreate(kDutyKind, kDutyName, record, done);
+    mDependencies.mStore.mCreate(kDutyKind, kDutyName, record, done);
   } else {
-    mParts.mStore.mReplace(
+    mDependencies.mStore.mReplace(
       kDutyKind, kDutyName, aRound->mRevision, record, done);
   }
 }
@@ -334,15 +334,16 @@
   usage_report report;
   report.mWindow = aRound->mWindow;
   report.mCounts = aRound->mCounts;
-  report.mHolder = mParts.mName;
+  report.mHolder = mDependencies.mName;
   report.mEpoch = aRound->mRevision;
-  mParts.mSend(report, [this, aRound](report_outcome aOutcome) {
+  mDependencies.mSend(report, [this, aRound](report_outcome aOutcome) {
     mLastActAt = boot_clock::now();
     events::line("usage_reported")
       .With("window", aRound->mWindow)
       .With("epoch", aRound->mRevision)
-      .With("outcome", aOutcome == report_outcome::Taken ? "taken" : "failed");
-    if (aOutcome == report_outcome::Taken) {
+      .With("outcome",
+            aOutcome == report_outcome::Accepted ? "taken" : "failed");
+    if (aOutcome == report_outcome::Accepted) {
       MarkSent(aRound);
     } else {
       Retry(aRound);
@@ -354,25 +355,26 @@
 usage_duty::MarkSent(const std::shared_ptr<round>& aRound)
 {
   const std::string record = "{\"window\":" + std::to_string(aRound->mWindow) +
-                             ",\"holder\":\"" + mParts.mName +
+                             ",\"holder\":\"" + mDependencies.mName +
                              "\",\"sent\":true}";
   // Whether this arrives matters little: without it the next entry sends the
   // same counts again.
-  mParts.mStore.mReplace(kDutyKind,
-                         kDutyName,
-                         aRound->mRevision,
-                         record,
-                         [this, aRound](const objects::object_reply& aReply) {
-                           if (aRound->mWindow >= aRound->mUntil) {
-                             return;
-                           }
-                           if (aReply.mOutcome == store_outcome::Done) {
-                             aRound->mRevision = aReply.mObject.mRevision;
-                             Advance(aRound);
-                           } else {
-                             Retry(aRound);
-                           }
-                         });
+  mDependencies.mStore.mReplace(
+    kDutyKind,
+    kDutyName,
+    aRound->mRevision,
+    record,
+    [this, aRound](const objects::object_reply& aReply) {
+      if (aRound->mWindow >= aRound->mUntil) {
+        return;
+      }
+      if (aReply.mOutcome == store_outcome::Done) {
+        aRound->mRevision = aReply.mObject.mRevision;
+        Advance(aRound);
+      } else {
+        Retry(aRound);
+      }
+    });
 }
 
 void
@@ -383,7 +385,7 @@
     return;
   }
   // Starts over from the record: a lost answer may have written it.
-  edge::RunAfter(mParts.mLoop, kRetryPause, [this, aRound] {
+  edge::RunAfter(mDependencies.mLoop, kRetryPause, [this, aRound] {
     Act(aRound->mUntil, aRound->mTriesLeft);
   });
 }
--- a/Duties/Billing/UsageDuty.h
+++ b/Duties/Billing/UsageDuty.h
@@ -23,13 +23,13 @@
 /** How one report went out. */
 enum class report_outcome
 {
-  Taken,
+  Accepted,
   /** The platform said that it did nothing. */
   Refused,
   Unknown
 };
 
-struct usage_parts
+struct usage_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
@@ -57,12 +57,12 @@
 class usage_duty
 {
 public:
-  explicit usage_duty(usage_parts aParts);
+  explicit usage_duty(usage_dependencies aParts);
 
   void Start();
   void CountStart(const std::string& aCustomer);
   /** Counts of a window as JSON, for the entry that reports. */
-  std::string Share(window_number aWindow) const;
+  std::string CountsAsJson(window_number aWindow) const;
 
 private:
   struct round;
@@ -88,7 +88,7 @@
   void MarkSent(const std::shared_ptr<round>& aRound);
   void Retry(const std::shared_ptr<round>& aRound);
 
-  usage_parts mParts;
+  usage_dependencies mDependencies;
   usage_counts mCounts;
   boost::asio::steady_timer mTimer;
   /** Last window that this entry looked after. */
--- a/Duties/Configuration/ConfigurationState.cpp
+++ b/Duties/Configuration/ConfigurationState.cpp
@@ -12,8 +12,8 @@
 void
 Prove(configuration_state& aState, std::optional<time_point> aAt)
 {
-  if (aAt && (!aState.mProvenAt || *aState.mProvenAt < *aAt)) {
-    aState.mProvenAt = aAt;
+  if (aAt && (!aState.mVerifiedAt || *aState.mVerifiedAt < *aAt)) {
+    aState.mVerifiedAt = aAt;
   }
 }
 
@@ -26,8 +26,8 @@
         std::int64_t aChanged)
 {
   aState.mObjects = std::move(aObjects);
-  aState.mKnownUpTo = aRevision;
-  aState.mChanged = aChanged;
+  aState.mKnownRevision = aRevision;
+  aState.mChangedRevision = aChanged;
   aState.mRecent.clear();
   aState.mOldestRecent = aRevision;
   aState.mSnapshot =
@@ -46,7 +46,7 @@
       old != aState.mObjects.end()) {
     change.mBefore = old->second.mText;
   }
-  kept_object kept{ object.mRevision, json::Write(object.mValue) };
+  stored_json kept{ object.mRevision, json::Write(object.mValue) };
   if (aEvent.mIsDeletion) {
     aState.mObjects.erase(identity);
   } else {
@@ -54,7 +54,7 @@
     aState.mObjects[identity] = kept;
   }
   ApplyChange(aNext, change);
-  aState.mChanged = std::max(aState.mChanged, object.mRevision);
+  aState.mChangedRevision = std::max(aState.mChangedRevision, object.mRevision);
   aState.mRecent.push_back(
     { aEvent.mIsDeletion, object.mKind, object.mName, std::move(kept) });
   if (aState.mRecent.size() > kMaximumRecent) {
@@ -65,19 +65,19 @@
 
 } // namespace
 
-take_outcome
-TakeList(configuration_state& aState,
-         const platform::object_list& aList,
-         time_point aAskedAt)
+apply_outcome
+ApplyList(configuration_state& aState,
+          const platform::object_list& aList,
+          time_point aAskedAt)
 {
-  if (aList.mRevision < aState.mKnownUpTo) {
+  if (aList.mRevision < aState.mKnownRevision) {
     // An old copy of the store answered. Taking it would bring withdrawn
     // keys back to life.
-    return take_outcome::Older;
+    return apply_outcome::Older;
   }
   Prove(aState, aAskedAt);
-  if (aList.mRevision == aState.mKnownUpTo) {
-    return take_outcome::Confirmed;
+  if (aList.mRevision == aState.mKnownRevision) {
+    return apply_outcome::Confirmed;
   }
   object_map objects;
   for (const auto& object : aList.mObjects) {
@@ -91,26 +91,26 @@
   // change: with a lower one, a peer that still holds a deleted key would take
   // this state's digest as the word that nothing changed.
   Replace(aState, std::move(objects), aList.mRevision, aList.mRevision);
-  return take_outcome::Advanced;
+  return apply_outcome::Advanced;
 }
 
-take_outcome
-TakeBatch(configuration_state& aState,
-          const platform::watch_batch& aBatch,
-          time_point aAskedAt)
+apply_outcome
+ApplyWatchBatch(configuration_state& aState,
+                const platform::watch_batch& aBatch,
+                time_point aAskedAt)
 {
-  if (aBatch.mRevision < aState.mKnownUpTo) {
-    return take_outcome::Older;
+  if (aBatch.mRevision < aState.mKnownRevision) {
+    return apply_outcome::Older;
   }
   Prove(aState, aAskedAt);
-  if (aBatch.mRevision == aState.mKnownUpTo) {
-    return take_outcome::Confirmed;
+  if (aBatch.mRevision == aState.mKnownRevision) {
+    return apply_outcome::Confirmed;
   }
   std::shared_ptr<snapshot> next;
   bool hasNewVersions = false;
   for (const auto& event : aBatch.mEvents) {
     // A copy from a peer may have come in while the watch was waiting.
-    const bool isKnown = event.mObject.mRevision <= aState.mKnownUpTo;
+    const bool isKnown = event.mObject.mRevision <= aState.mKnownRevision;
     if (isKnown || !IsConfigurationKind(event.mObject.mKind)) {
       continue;
     }
@@ -121,7 +121,7 @@
     hasNewVersions = hasNewVersions || event.mObject.mKind == kModelVersion ||
                      event.mObject.mKind == kTrainingRun;
   }
-  aState.mKnownUpTo = aBatch.mRevision;
+  aState.mKnownRevision = aBatch.mRevision;
   if (next) {
     if (hasNewVersions) {
       RefreshAcceptedVersions(*next, aState.mObjects);
@@ -129,60 +129,62 @@
     next->mRevision = aBatch.mRevision;
     aState.mSnapshot = std::move(next);
   }
-  return take_outcome::Advanced;
+  return apply_outcome::Advanced;
 }
 
-take_outcome
+apply_outcome
 TakeCopy(configuration_state& aState, whole_copy aCopy)
 {
-  if (aCopy.mRevision < aState.mKnownUpTo) {
-    return take_outcome::Older;
+  if (aCopy.mRevision < aState.mKnownRevision) {
+    return apply_outcome::Older;
   }
-  Prove(aState, aCopy.mProvenAt);
-  if (aCopy.mRevision == aState.mKnownUpTo) {
-    return take_outcome::Confirmed;
+  Prove(aState, aCopy.mVerifiedAt);
+  if (aCopy.mRevision == aState.mKnownRevision) {
+    return apply_outcome::Confirmed;
   }
   Replace(aState,
           std::move(aCopy.mObjects),
           aCopy.mRevision,
-          std::max(aCopy.mChanged, aState.mChanged));
-  return take_outcome::Advanced;
+          std::max(aCopy.mChangedRevision, aState.mChangedRevision));
+  return apply_outcome::Advanced;
 }
 
-take_outcome
+apply_outcome
 TakeDigest(configuration_state& aState, const state_digest& aDigest)
 {
-  if (aDigest.mKnownUpTo < aState.mKnownUpTo) {
-    return take_outcome::Older;
+  if (aDigest.mKnownRevision < aState.mKnownRevision) {
+    return apply_outcome::Older;
   }
-  if (aState.mKnownUpTo == 0 || aDigest.mChanged > aState.mKnownUpTo) {
-    return take_outcome::NeedsCopy;
+  if (aState.mKnownRevision == 0 ||
+      aDigest.mChangedRevision > aState.mKnownRevision) {
+    return apply_outcome::NeedsCopy;
   }
   // Nothing of the configuration changed between the two revisions.
-  Prove(aState, aDigest.mProvenAt);
-  aState.mKnownUpTo = aDigest.mKnownUpTo;
-  return take_outcome::Confirmed;
+  Prove(aState, aDigest.mVerifiedAt);
+  aState.mKnownRevision = aDigest.mKnownRevision;
+  return apply_outcome::Confirmed;
 }
 
 state_digest
 DigestOf(const configuration_state& aState)
 {
-  return { aState.mKnownUpTo, aState.mChanged, aState.mProvenAt };
+  return { aState.mKnownRevision, aState.mChangedRevision, aState.mVerifiedAt };
 }
 
 whole_copy
 CopyOf(const configuration_state& aState)
 {
-  return {
-    aState.mKnownUpTo, aState.mChanged, aState.mProvenAt, aState.mObjects
-  };
+  return { aState.mKnownRevision,
+           aState.mChangedRevision,
+           aState.mVerifiedAt,
+           aState.mObjects };
 }
 
 change_batch
 ChangesAfter(const configuration_state& aState, std::int64_t aFrom)
 {
   change_batch batch;
-  batch.mRevision = std::max(aFrom, aState.mKnownUpTo);
+  batch.mRevision = std::max(aFrom, aState.mKnownRevision);
   batch.mIsTooOld = aFrom < aState.mOldestRecent;
   for (const auto& event : aState.mRecent) {
     if (!batch.mIsTooOld && event.mObject.mRevision > aFrom) {
--- a/Duties/Configuration/ConfigurationState.h
+++ b/Duties/Configuration/ConfigurationState.h
@@ -14,12 +14,12 @@
 namespace lavender::configuration {
 
 /** One change, kept for operators' watches. */
-struct kept_event
+struct recent_change
 {
   bool mIsDeletion = false;
   std::string mKind;
   std::string mName;
-  kept_object mObject;
+  stored_json mObject;
 };
 
 struct configuration_state
@@ -27,14 +27,14 @@
   object_map mObjects;
   /** Every change of the store up to this revision is known; 0 before the
    * first state came. */
-  std::int64_t mKnownUpTo = 0;
+  std::int64_t mKnownRevision = 0;
   /** Last revision that touched the configuration. Other kinds of objects,
    * such as leases, move the store's revision without moving this one. */
-  std::int64_t mChanged = 0;
-  /** A time at which mKnownUpTo was certainly the store's newest; none for a
-   * state that was read from the disk. */
-  std::optional<time_point> mProvenAt;
-  std::deque<kept_event> mRecent;
+  std::int64_t mChangedRevision = 0;
+  /** A time at which mKnownRevision was certainly the store's newest; none for
+   * a state that was read from the disk. */
+  std::optional<time_point> mVerifiedAt;
+  std::deque<recent_change> mRecent;
   /** Watches from before this revision are too old. */
   std::int64_t mOldestRecent = 0;
   std::shared_ptr<const snapshot> mSnapshot = std::make_shared<snapshot>();
@@ -45,20 +45,20 @@
 struct whole_copy
 {
   std::int64_t mRevision = 0;
-  std::int64_t mChanged = 0;
-  std::optional<time_point> mProvenAt;
+  std::int64_t mChangedRevision = 0;
+  std::optional<time_point> mVerifiedAt;
   object_map mObjects;
 };
 
 /** What a peer says of its state without sending it. */
 struct state_digest
 {
-  std::int64_t mKnownUpTo = 0;
-  std::int64_t mChanged = 0;
-  std::optional<time_point> mProvenAt;
+  std::int64_t mKnownRevision = 0;
+  std::int64_t mChangedRevision = 0;
+  std::optional<time_point> mVerifiedAt;
 };
 
-enum class take_outcome
+enum class apply_outcome
 {
   /** The state is newer than before. */
   Advanced,
@@ -72,24 +72,24 @@
 
 /** Takes a list of the whole store.
  * @param aAskedAt when the request left: the list is no older than that */
-take_outcome
-TakeList(configuration_state& aState,
-         const platform::object_list& aList,
-         time_point aAskedAt);
+apply_outcome
+ApplyList(configuration_state& aState,
+          const platform::object_list& aList,
+          time_point aAskedAt);
 
 /** Takes the answer to a watch. */
-take_outcome
-TakeBatch(configuration_state& aState,
-          const platform::watch_batch& aBatch,
-          time_point aAskedAt);
+apply_outcome
+ApplyWatchBatch(configuration_state& aState,
+                const platform::watch_batch& aBatch,
+                time_point aAskedAt);
 
 /** Takes a copy from a peer or from the disk. */
-take_outcome
+apply_outcome
 TakeCopy(configuration_state& aState, whole_copy aCopy);
 
 /** Takes over a peer's proof when it holds for this state too: both know the
  * same changes of the configuration. */
-take_outcome
+apply_outcome
 TakeDigest(configuration_state& aState, const state_digest& aDigest);
 
 state_digest
@@ -101,7 +101,7 @@
 struct change_batch
 {
   std::int64_t mRevision = 0;
-  std::vector<kept_event> mEvents;
+  std::vector<recent_change> mEvents;
   bool mIsTooOld = false;
 };
 
--- a/Duties/Configuration/ConfigurationStore.cpp
+++ b/Duties/Configuration/ConfigurationStore.cpp
@@ -15,16 +15,16 @@
 constexpr const char* kCopyFile = "/configuration";
 
 const char*
-WordFor(take_outcome aOutcome)
+ToString(apply_outcome aOutcome)
 {
   switch (aOutcome) {
-    case take_outcome::Advanced:
+    case apply_outcome::Advanced:
       return "advanced";
-    case take_outcome::Confirmed:
+    case apply_outcome::Confirmed:
       return "confirmed";
-    case take_outcome::Older:
+    case apply_outcome::Older:
       return "older";
-    case take_outcome::NeedsCopy:
+    case apply_outcome::NeedsCopy:
       break;
   }
   return "needs_copy";
@@ -51,7 +51,7 @@
   wire::configuration_copy message;
   message.revision = aCopy.mRevision;
   message.changed_revision = aCopy.mChanged;
-  message.fresh_age_ms = AgeOf(aCopy.mProvenAt, aNow).count();
+  message.fresh_age_ms = AgeOf(aCopy.mVerifiedAt, aNow).count();
   message.objects.reserve(aCopy.mObjects.size());
   for (const auto& [identity, object] : aCopy.mObjects) {
     wire::object_record record;
@@ -70,7 +70,7 @@
   whole_copy copy;
   copy.mRevision = aMessage.revision;
   copy.mChanged = aMessage.changed_revision;
-  copy.mProvenAt = ProofAt(milliseconds(aMessage.fresh_age_ms), aAskedAt);
+  copy.mVerifiedAt = ProofAt(milliseconds(aMessage.fresh_age_ms), aAskedAt);
   for (const auto& record : aMessage.objects) {
     copy.mObjects[{ record.kind, record.name }] = { record.revision,
                                                     record.value };
@@ -125,7 +125,7 @@
   }
   // What was proven before the restart says nothing of what happened since.
   auto copy = FromMessage(*message, boot_clock::now());
-  copy.mProvenAt.reset();
+  copy.mVerifiedAt.reset();
   mSavedChanged = copy.mChanged;
   Note("disk", TakeCopy(std::move(copy)));
 }
@@ -164,25 +164,25 @@
 }
 
 milliseconds
-configuration_store::FreshAge() const
+configuration_store::VerificationAge() const
 {
-  return AgeOf(Digest().mProvenAt, boot_clock::now());
+  return AgeOf(Digest().mVerifiedAt, boot_clock::now());
 }
 
 bool
 configuration_store::IsReady() const
 {
-  return Digest().mKnownUpTo > 0;
+  return Digest().mKnownRevision > 0;
 }
 
-take_outcome
+apply_outcome
 configuration_store::TakeDigest(const state_digest& aDigest)
 {
   std::lock_guard lock(mMutex);
   return configuration::TakeDigest(mState, aDigest);
 }
 
-take_outcome
+apply_outcome
 configuration_store::TakeCopy(whole_copy aCopy)
 {
   std::lock_guard lock(mMutex);
@@ -242,11 +242,11 @@
 }
 
 void
-configuration_store::Note(const char* aSource, take_outcome aOutcome)
+configuration_store::Note(const char* aSource, apply_outcome aOutcome)
 {
   if (auto* metrics = mOptions.mPlatform.mMetrics) {
     metrics->Count("lavender_configuration_taken_total",
-                   { { "from", aSource }, { "outcome", WordFor(aOutcome) } });
+                   { { "from", aSource }, { "outcome", ToString(aOutcome) } });
   }
 }
 
@@ -291,10 +291,10 @@
     return false;
   }
   std::lock_guard lock(mMutex);
-  const auto outcome = TakeList(mState, *list, askedAt);
+  const auto outcome = ApplyList(mState, *list, askedAt);
   Note("list", outcome);
   mChanged.notify_all();
-  return outcome != take_outcome::Older;
+  return outcome != apply_outcome::Older;
 }
 
 bool
@@ -302,7 +302,7 @@
 {
   const auto askedAt = boot_clock::now();
   const auto batch =
-    platform::Watch(mOptions.mPlatform, Digest().mKnownUpTo, kWatchWait);
+    platform::Watch(mOptions.mPlatform, Digest().mKnownRevision, kWatchWait);
   if (!batch) {
     // The state goes on serving; the watch resumes from its revision.
     NoteFailure("Watch broke: " + batch.mLastReason);
@@ -314,14 +314,14 @@
   if (batch->mIsTooOld) {
     return false;
   }
-  take_outcome outcome = take_outcome::Older;
+  apply_outcome outcome = apply_outcome::Older;
   {
     std::lock_guard lock(mMutex);
-    outcome = TakeBatch(mState, *batch, askedAt);
+    outcome = ApplyWatchBatch(mState, *batch, askedAt);
   }
   Note("watch", outcome);
   mChanged.notify_all();
-  if (outcome == take_outcome::Older) {
+  if (outcome == apply_outcome::Older) {
     WaitOrStop(kRetryEvery);
   }
   return true;
--- a/Duties/Configuration/ConfigurationStore.h
+++ b/Duties/Configuration/ConfigurationStore.h
@@ -45,13 +45,13 @@
   /** What this store tells others of its state. */
   state_digest Digest() const;
   /** Age of the last proof that the state was the newest. */
-  milliseconds FreshAge() const;
+  milliseconds VerificationAge() const;
   /** True once a first state has come. */
   bool IsReady() const;
 
   /** Takes a peer's word; NeedsCopy asks for a copy through TakeCopy. */
-  take_outcome TakeDigest(const state_digest& aDigest);
-  take_outcome TakeCopy(whole_copy aCopy);
+  apply_outcome TakeDigest(const state_digest& aDigest);
+  apply_outcome TakeCopy(whole_copy aCopy);
   whole_copy Copy() const;
 
   /** Objects of a kind with their revisions, for operators. */
@@ -65,7 +65,7 @@
   void WatchLoop();
   bool LoadAll();
   bool WatchOnce();
-  void Note(const char* aSource, take_outcome aOutcome);
+  void Note(const char* aSource, apply_outcome aOutcome);
   void NoteFailure(const std::string& aSentence);
   void CountBreak();
   bool WaitOrStop(milliseconds aWait);
--- a/Duties/Configuration/PeerExchange.cpp
+++ b/Duties/Configuration/PeerExchange.cpp
@@ -101,9 +101,9 @@
   message.echo = aName;
   message.entry_incarnation = mOptions.mOwnIncarnation;
   message.name = mOptions.mOwnName;
-  message.configuration_revision = own.mKnownUpTo;
-  message.changed_revision = own.mChanged;
-  message.fresh_age_ms = AgeOf(own.mProvenAt, askedAt).count();
+  message.configuration_revision = own.mKnownRevision;
+  message.changed_revision = own.mChangedRevision;
+  message.fresh_age_ms = AgeOf(own.mVerifiedAt, askedAt).count();
   const auto outcome = connections->Run<wire::peer_digest>(
     mOptions.mTimeout, aName, [&](auto& aClient, auto& aReply) {
       aClient.Exchange(aReply, message);
@@ -125,7 +125,7 @@
         found != mPeers.end() && found->second.mConnections == connections) {
       found->second.mAskedAt = askedAt;
       if (isPeer) {
-        found->second.mHeardAt = boot_clock::now();
+        found->second.mLastResponseAt = boot_clock::now();
         found->second.mDigest = digest;
       }
     }
@@ -136,7 +136,7 @@
     return poll_outcome::Silent;
   }
   Count("answered");
-  if (mStore.TakeDigest(digest) == take_outcome::NeedsCopy) {
+  if (mStore.TakeDigest(digest) == apply_outcome::NeedsCopy) {
     FetchFrom(aName, connections);
   }
   return poll_outcome::Answered;
@@ -157,7 +157,7 @@
     return;
   }
   const auto taken = mStore.TakeCopy(FromMessage(outcome.mReply, askedAt));
-  if (taken == take_outcome::Advanced) {
+  if (taken == apply_outcome::Advanced) {
     Log(log_level::Info,
         "configuration",
         "Caught up from " + aName +
@@ -188,27 +188,27 @@
     isListed = isListed || isOwn;
     report.mKnown += isOwn ? 0 : 1;
   }
-  auto lowest = mStore.Digest().mKnownUpTo;
+  auto lowest = mStore.Digest().mKnownRevision;
   for (const auto& [name, peer] : mPeers) {
-    report.mAsked += peer.mAskedAt ? 1 : 0;
-    if (!peer.mHeardAt) {
+    report.mPolled += peer.mAskedAt ? 1 : 0;
+    if (!peer.mLastResponseAt) {
       continue;
     }
-    if (now - *peer.mHeardAt <= kAudible) {
-      ++report.mAudible;
+    if (now - *peer.mLastResponseAt <= kAudible) {
+      ++report.mReachable;
       report.mNames.push_back(name);
-      lowest = std::min(lowest, peer.mDigest.mKnownUpTo);
+      lowest = std::min(lowest, peer.mDigest.mKnownRevision);
     }
-    report.mHighestChanged =
-      std::max(report.mHighestChanged, peer.mDigest.mChanged);
-    if (const auto proof = peer.mDigest.mProvenAt) {
-      report.mLatestProof =
-        std::max(report.mLatestProof.value_or(*proof), *proof);
+    report.mHighestChangedRevision =
+      std::max(report.mHighestChangedRevision, peer.mDigest.mChangedRevision);
+    if (const auto proof = peer.mDigest.mVerifiedAt) {
+      report.mLatestVerifiedAt =
+        std::max(report.mLatestVerifiedAt.value_or(*proof), *proof);
     }
   }
   // A list that doesn't name this entry yet may lack others too.
-  const bool areAllHeard = isListed && report.mAudible == report.mKnown;
-  report.mLowestKnown = areAllHeard ? lowest : 0;
+  const bool areAllHeard = isListed && report.mReachable == report.mKnown;
+  report.mLowestKnownRevision = areAllHeard ? lowest : 0;
   return report;
 }
 
--- a/Duties/Configuration/PeerExchange.h
+++ b/Duties/Configuration/PeerExchange.h
@@ -35,12 +35,12 @@
 struct peer_report
 {
   std::size_t mKnown = 0;
-  std::size_t mAsked = 0;
-  std::size_t mAudible = 0;
-  std::int64_t mHighestChanged = 0;
-  std::optional<time_point> mLatestProof;
+  std::size_t mPolled = 0;
+  std::size_t mReachable = 0;
+  std::int64_t mHighestChangedRevision = 0;
+  std::optional<time_point> mLatestVerifiedAt;
   /** Every peer knows all changes up to here; 0 while one can't be heard. */
-  std::int64_t mLowestKnown = 0;
+  std::int64_t mLowestKnownRevision = 0;
   /** Names of the peers that can be heard. */
   std::vector<std::string> mNames;
 };
@@ -65,7 +65,7 @@
   {
     std::string mAddress;
     std::shared_ptr<peer_pool> mConnections;
-    std::optional<time_point> mHeardAt;
+    std::optional<time_point> mLastResponseAt;
     std::optional<time_point> mAskedAt;
     state_digest mDigest;
   };
--- a/Duties/Configuration/ResourceApi.cpp
+++ b/Duties/Configuration/ResourceApi.cpp
@@ -315,7 +315,7 @@
                   return Refuse(404, "unknown_kind");
                 }
                 json::array items;
-                const auto revision = aStore.Digest().mKnownUpTo;
+                const auto revision = aStore.Digest().mKnownRevision;
                 for (const auto& object : aStore.Objects(aParts[0])) {
                   items.push_back(Describe(object));
                 }
@@ -357,9 +357,9 @@
 }
 
 http::response
-ServeOperators(const http::router& aRouter,
-               const std::string& aKeyHash,
-               const http::request& aRequest)
+ServeOperatorRequest(const http::router& aRouter,
+                     const std::string& aKeyHash,
+                     const http::request& aRequest)
 {
   if (!aKeyHash.empty()) {
     static const std::string kScheme = "Bearer ";
--- a/Duties/Configuration/ResourceApi.h
+++ b/Duties/Configuration/ResourceApi.h
@@ -18,8 +18,8 @@
  * @param aKeyHash SHA-256 of the key in hexadecimal; empty takes everybody,
  *   which the settings allow on loopback only */
 http::response
-ServeOperators(const http::router& aRouter,
-               const std::string& aKeyHash,
-               const http::request& aRequest);
+ServeOperatorRequest(const http::router& aRouter,
+                     const std::string& aKeyHash,
+                     const http::request& aRequest);
 
 } // namespace lavender::configuration
--- a/Duties/Configuration/ResourceStatus.cpp
+++ b/Duties/Configuration/ResourceStatus.cpp
@@ -53,11 +53,12 @@
 std::optional<json::value>
 NextStatus(const held_resource& aResource,
            const snapshot& aSnapshot,
-           const status_facts& aFacts)
+           const status_inputs& aFacts)
 {
   const auto* shown = aResource.mValue.Find("status");
   json::value next = shown ? *shown : json::value(json::object{});
-  if (!IsObserved(aResource) && aFacts.mEverywhere >= aResource.mRevision) {
+  if (!IsObserved(aResource) &&
+      aFacts.mRevisionOnAllEntries >= aResource.mRevision) {
     next.Set(kObserved, json::IntegerAt(aResource.mValue, "generation", 0));
     next.Set("in_force_revision", aResource.mRevision);
     next.Set("entries", aFacts.mEntries);
--- a/Duties/Configuration/ResourceStatus.h
+++ b/Duties/Configuration/ResourceStatus.h
@@ -20,11 +20,11 @@
 };
 
 /** What status is made from. */
-struct status_facts
+struct status_inputs
 {
   /** Every entry by the instance list knows all changes up to here; 0 while
    * any of them can't be heard. */
-  std::int64_t mEverywhere = 0;
+  std::int64_t mRevisionOnAllEntries = 0;
   std::int64_t mEntries = 1;
   std::map<std::string, pool_facts> mPools;
 };
@@ -47,7 +47,7 @@
 std::optional<json::value>
 NextStatus(const held_resource& aResource,
            const snapshot& aSnapshot,
-           const status_facts& aFacts);
+           const status_inputs& aFacts);
 
 /** True when the last write is shown as in force everywhere. */
 bool
--- a/Duties/Configuration/Snapshot.h
+++ b/Duties/Configuration/Snapshot.h
@@ -71,14 +71,14 @@
 
 /** One object as it is held: the value stays JSON text, because a parsed tree
  * of every key would be the largest part of an entry's memory. */
-struct kept_object
+struct stored_json
 {
   std::int64_t mRevision = 0;
   std::string mText;
 };
 
 /** Objects by kind and name, as the Object API holds them. */
-using object_map = std::map<std::pair<std::string, std::string>, kept_object>;
+using object_map = std::map<std::pair<std::string, std::string>, stored_json>;
 
 /** True for the kinds that make up the configuration. */
 bool
--- a/Duties/Configuration/StatusDuty.cpp
+++ b/Duties/Configuration/StatusDuty.cpp
@@ -66,7 +66,7 @@
     WriteDue(boot_clock::now());
     lock.lock();
     mStopped.wait_for(
-      lock, mOptions.mLookEvery, [this] { return mIsStopping; });
+      lock, mOptions.mCheckInterval, [this] { return mIsStopping; });
   }
 }
 
@@ -94,7 +94,7 @@
 void
 status_duty::TakeAll()
 {
-  mSeen = mStore.Digest().mKnownUpTo;
+  mSeen = mStore.Digest().mKnownRevision;
   mPending.clear();
   for (const char* kind : kKinds) {
     for (auto& object : mStore.Objects(kind)) {
--- a/Duties/Configuration/StatusDuty.h
+++ b/Duties/Configuration/StatusDuty.h
@@ -21,8 +21,8 @@
   std::string mOwnName;
   /** Entries that can be heard, this one among them. */
   std::function<std::vector<std::string>()> mEntries;
-  std::function<status_facts()> mFacts;
-  milliseconds mLookEvery{ 1000 };
+  std::function<status_inputs()> mFacts;
+  milliseconds mCheckInterval{ 1000 };
   /** A resource's status is written at most this often. */
   milliseconds mWriteEvery{ 5000 };
   /** Status writes of this process; they must never crowd out leases. */
--- a/Duties/Configuration/TestConfigurationState.cpp
+++ b/Duties/Configuration/TestConfigurationState.cpp
@@ -18,7 +18,7 @@
   std::vector<object_map> mAt = { {}, {} };
   std::vector<platform::object_event> mEvents;
   /** Last revision that touched the configuration, by revision. */
-  std::vector<std::int64_t> mChanged = { 0, 0 };
+  std::vector<std::int64_t> mChangedRevision = { 0, 0 };
 
   std::int64_t Newest() const
   {
@@ -38,7 +38,8 @@
       next[{ aKind, aName }] = { revision, json::Write(stored) };
     }
     mEvents.push_back({ !aSpec, { aKind, aName, revision, stored } });
-    mChanged.push_back(IsConfigurationKind(aKind) ? revision : mChanged.back());
+    mChangedRevision.push_back(
+      IsConfigurationKind(aKind) ? revision : mChangedRevision.back());
     mAt.push_back(std::move(next));
   }
 };
@@ -126,13 +127,13 @@
 void
 CheckAgainst(const store_history& aHistory, const configuration_state& aState)
 {
-  const auto at = static_cast<std::size_t>(aState.mKnownUpTo);
+  const auto at = static_cast<std::size_t>(aState.mKnownRevision);
   RC_ASSERT(aState.mObjects.size() == aHistory.mAt[at].size());
   for (const auto& [identity, object] : aHistory.mAt[at]) {
     RC_ASSERT(aState.mObjects.count(identity) == 1u);
     RC_ASSERT(aState.mObjects.at(identity).mText == object.mText);
   }
-  RC_ASSERT(aState.mChanged >= aHistory.mChanged[at]);
+  RC_ASSERT(aState.mChangedRevision >= aHistory.mChangedRevision[at]);
   RC_ASSERT(
     IsSameSnapshot(*aState.mSnapshot, BuildSnapshot(aHistory.mAt[at], 0)));
 }
@@ -157,17 +158,18 @@
         WriteSomething(history, number / 16);
         auto& state = states[number / 4 % 2];
         auto& other = states[1 - number / 4 % 2];
-        const auto before = state.mKnownUpTo;
-        const auto provenBefore = state.mProvenAt;
+        const auto before = state.mKnownRevision;
+        const auto provenBefore = state.mVerifiedAt;
         // Any time of the past may be what a late or lagging answer shows.
         const auto shown =
           1 + (number / 8) % static_cast<unsigned>(history.Newest());
         switch (number % 4) {
           case 0:
-            TakeList(state, ListAt(history, shown), now);
+            ApplyList(state, ListAt(history, shown), now);
             break;
           case 1:
-            TakeBatch(state, BatchOf(history, state.mKnownUpTo, shown), now);
+            ApplyWatchBatch(
+              state, BatchOf(history, state.mKnownRevision, shown), now);
             break;
           case 2:
             TakeCopy(state, CopyOf(other));
@@ -175,9 +177,9 @@
           default:
             TakeDigest(state, DigestOf(other));
         }
-        RC_ASSERT(state.mKnownUpTo >= before);
-        RC_ASSERT(!provenBefore || *state.mProvenAt >= *provenBefore);
-        if (state.mKnownUpTo > 0) {
+        RC_ASSERT(state.mKnownRevision >= before);
+        RC_ASSERT(!provenBefore || *state.mVerifiedAt >= *provenBefore);
+        if (state.mKnownRevision > 0) {
           CheckAgainst(history, state);
         }
       }
@@ -193,22 +195,22 @@
     [](const std::vector<unsigned short>& aNumbers) {
       store_history history;
       configuration_state state;
-      TakeList(state, ListAt(history, history.Newest()), time_point{ 1000s });
-      std::int64_t seen = state.mKnownUpTo;
-      std::int64_t listed = state.mKnownUpTo;
+      ApplyList(state, ListAt(history, history.Newest()), time_point{ 1000s });
+      std::int64_t seen = state.mKnownRevision;
+      std::int64_t listed = state.mKnownRevision;
       for (const unsigned number : aNumbers) {
         WriteSomething(history, number / 16);
         // A copy may have come while the watch waited, so it began earlier.
         const auto from =
-          std::max<std::int64_t>(1, state.mKnownUpTo - number / 8 % 4);
+          std::max<std::int64_t>(1, state.mKnownRevision - number / 8 % 4);
         if (number % 8 == 0) {
-          TakeList(
+          ApplyList(
             state, ListAt(history, history.Newest()), time_point{ 1000s });
-          listed = state.mKnownUpTo;
+          listed = state.mKnownRevision;
         } else if (number % 2 == 0) {
-          TakeBatch(state,
-                    BatchOf(history, from, history.Newest()),
-                    time_point{ 1000s });
+          ApplyWatchBatch(state,
+                          BatchOf(history, from, history.Newest()),
+                          time_point{ 1000s });
         }
         if (number % 3 != 0) {
           continue;
@@ -219,7 +221,7 @@
           std::vector<std::int64_t> expected;
           for (const auto& event : history.mEvents) {
             if (event.mObject.mRevision > seen &&
-                event.mObject.mRevision <= state.mKnownUpTo &&
+                event.mObject.mRevision <= state.mKnownRevision &&
                 IsConfigurationKind(event.mObject.mKind)) {
               expected.push_back(event.mObject.mRevision);
             }
--- a/Duties/Dispatch/AgentDispatch.cpp
+++ b/Duties/Dispatch/AgentDispatch.cpp
@@ -201,7 +201,7 @@
 }
 
 std::size_t
-agent_dispatch::RequestsLeft() const
+agent_dispatch::PendingRequestCount() const
 {
   std::lock_guard lock(mMutex);
   return mLedger.mQueue.mSize + mLedger.mRunning;
@@ -222,7 +222,7 @@
   figures.queued = static_cast<std::int32_t>(mLedger.mQueue.mSize);
   figures.running = static_cast<std::int32_t>(mLedger.mRunning);
   figures.slots = static_cast<std::int32_t>(mLedger.mLimits.mSlots);
-  figures.tokens_per_second = admission::DrainRate(mLedger.mQueue);
+  figures.tokens_per_second = admission::MeasuredThroughput(mLedger.mQueue);
   figures.queue_delay_ms = static_cast<double>(
     admission::QueueDelay(mLedger.mQueue, mLedger.mRunningCost).count());
   return figures;
--- a/Duties/Dispatch/AgentDispatch.h
+++ b/Duties/Dispatch/AgentDispatch.h
@@ -45,7 +45,7 @@
   void StartDrain();
   bool IsDraining() const;
   /** Requests queued or running. */
-  std::size_t RequestsLeft() const;
+  std::size_t PendingRequestCount() const;
   wire::load_figures Load() const;
   /** Customers with requests here, as the entry of that incarnation is told. */
   std::vector<wire::customer_load> CustomerLoads(
--- a/Duties/Dispatch/AttemptDecision.cpp
+++ b/Duties/Dispatch/AttemptDecision.cpp
@@ -119,7 +119,7 @@
     // The only process that knew the outcome is gone; asking on is no use.
     return Finish(ran::OutcomeUnknown, kServerGone);
   }
-  if (aEvent.mNow - aState.mHeardAt > aLimits.mGiveUpAfter) {
+  if (aEvent.mNow - aState.mLastResponseAt > aLimits.mGiveUpAfter) {
     return Finish(ran::OutcomeUnknown, "server_silent");
   }
   if (aState.mLastStep == attempt_step::Cancel) {
@@ -148,7 +148,7 @@
 Begin(const attempt_limits& aLimits, attempt_state& aState, time_point aNow)
 {
   aState.mStartedAt = aNow;
-  aState.mHeardAt = aNow;
+  aState.mLastResponseAt = aNow;
   const auto step = aState.mRole == attempt_role::Owner ? attempt_step::Dispatch
                                                         : attempt_step::Await;
   return Ask(aLimits, aState, step, aNow, 0ms);
@@ -167,7 +167,7 @@
   } else if (aEvent.mReply.agent_incarnation != aState.mIncarnation) {
     next = DecideOnOtherIncarnation(aState, aEvent.mReply);
   } else {
-    aState.mHeardAt = aEvent.mNow;
+    aState.mLastResponseAt = aEvent.mNow;
     next = DecideOnEnd(aState, std::move(aEvent.mReply));
   }
   if (next.mStep != attempt_step::Await) {
--- a/Duties/Dispatch/AttemptDecision.h
+++ b/Duties/Dispatch/AttemptDecision.h
@@ -57,7 +57,7 @@
   time_point mDeadline;
   time_point mStartedAt;
   /** Last word from the agent. */
-  time_point mHeardAt;
+  time_point mLastResponseAt;
   attempt_step mLastStep = attempt_step::Dispatch;
   /** Why the attempt is being withdrawn; empty while it isn't. */
   std::string mCancelReason;
--- a/Duties/Dispatch/BackendServer.cpp
+++ b/Duties/Dispatch/BackendServer.cpp
@@ -118,10 +118,10 @@
   return load;
 }
 
-held_weights
-ReadWeights(const backend_server& aServer)
+loaded_weights
+ReadLoadedWeights(const backend_server& aServer)
 {
-  held_weights held;
+  loaded_weights held;
   const auto outcome = http::Call(
     aServer.mEndpoint, { "GET", "/weights", "", {}, "" }, kControlTimeout);
   if (outcome.mState == http::call_state::Answered &&
@@ -135,10 +135,10 @@
 }
 
 std::string
-OrderWeights(const backend_server& aServer,
-             const std::string& aModel,
-             std::int64_t aVersion,
-             std::int64_t aFencing)
+RequestWeightLoad(const backend_server& aServer,
+                  const std::string& aModel,
+                  std::int64_t aVersion,
+                  std::int64_t aFencing)
 {
   json::value body;
   body.Set("model", aModel);
--- a/Duties/Dispatch/BackendServer.h
+++ b/Duties/Dispatch/BackendServer.h
@@ -52,21 +52,21 @@
 ReadLoad(const backend_server& aServer);
 
 /** The weights that an engine truly holds; version 0 when it doesn't tell. */
-struct held_weights
+struct loaded_weights
 {
   std::string mModel;
   std::int64_t mVersion = 0;
 };
 
-held_weights
-ReadWeights(const backend_server& aServer);
+loaded_weights
+ReadLoadedWeights(const backend_server& aServer);
 
 /** Orders an engine to load a weight version.
  * @return reason of a failure, empty when the engine took the order */
 std::string
-OrderWeights(const backend_server& aServer,
-             const std::string& aModel,
-             std::int64_t aVersion,
-             std::int64_t aFencing);
+RequestWeightLoad(const backend_server& aServer,
+                  const std::string& aModel,
+                  std::int64_t aVersion,
+                  std::int64_t aFencing);
 
 } // namespace lavender::dispatch
--- a/Duties/Dispatch/CallOutcome.h
+++ b/Duties/Dispatch/CallOutcome.h
@@ -17,7 +17,7 @@
 
 /** Stable word for JSON bodies. */
 inline const char*
-WordFor(ran aRan)
+ToString(ran aRan)
 {
   switch (aRan) {
     case ran::NotRun:
--- a/Duties/Dispatch/EntryDispatch.cpp
+++ b/Duties/Dispatch/EntryDispatch.cpp
@@ -102,8 +102,8 @@
   , mRandom(std::random_device()())
 {
   mBudget.mLimits = mOptions.mRetryBudget;
-  mDirectory.OnReport(
-    [this](const server_view& aServer) { TakeReport(aServer); });
+  mDirectory.SetReportObserver(
+    [this](const server_view& aServer) { ApplyReport(aServer); });
 }
 
 void
@@ -126,16 +126,16 @@
 }
 
 void
-entry_dispatch::TakeReport(const server_view& aServer)
+entry_dispatch::ApplyReport(const server_view& aServer)
 {
   routing::server_report report;
   report.mName = aServer.mInstance.mName;
   report.mAvailabilityZone = aServer.mInstance.mAvailabilityZone;
   report.mSlots = aServer.mLoad.slots;
   report.mRequests = aServer.mLoad.queued + aServer.mLoad.running;
-  report.mDrainRate = aServer.mLoad.tokens_per_second;
-  report.mTakesWork = IsUsable(aServer, boot_clock::now());
-  report.mMadeAt = aServer.mReportedAt;
+  report.mTokensPerSecond = aServer.mLoad.tokens_per_second;
+  report.mAcceptsRequests = IsUsable(aServer, boot_clock::now());
+  report.mGeneratedAt = aServer.mReportRequestedAt;
   report.mCachedPrefixes = aServer.mLoad.cached_prefixes;
   TakeDemand(aServer);
   std::lock_guard lock(mRoutesMutex);
@@ -143,23 +143,25 @@
   if (isNew) {
     table->second.mLimits = mOptions.mRouting;
   }
-  routing::TakeReport(table->second, report, boot_clock::now());
+  routing::ApplyReport(table->second, report, boot_clock::now());
 }
 
 std::optional<server_view>
-entry_dispatch::Pick(const std::string& aPool,
-                     const std::vector<std::string>& aExcluded,
-                     std::int64_t aPrefix)
+entry_dispatch::SelectServer(const std::string& aPool,
+                             const std::vector<std::string>& aExcluded,
+                             std::int64_t aPrefix)
 {
-  const routing::route_request request{ aPrefix, mOptions.mOwnZone, aExcluded };
+  const routing::route_request request{ aPrefix,
+                                        mOptions.mLocalZone,
+                                        aExcluded };
   while (true) {
     std::optional<std::string> chosen;
     {
       std::lock_guard lock(mRoutesMutex);
       const auto table = mRoutes.find(aPool);
       if (table != mRoutes.end()) {
-        chosen =
-          routing::Choose(table->second, request, mRandom, boot_clock::now());
+        chosen = routing::ChooseServer(
+          table->second, request, mRandom, boot_clock::now());
       }
     }
     if (!chosen) {
@@ -172,7 +174,7 @@
     }
     // It left or fell silent since its report; one row fewer each time.
     std::lock_guard lock(mRoutesMutex);
-    routing::TakeOut(mRoutes.at(aPool), *chosen);
+    routing::MarkUnavailable(mRoutes.at(aPool), *chosen);
   }
 }
 
@@ -200,7 +202,7 @@
 {
   std::lock_guard lock(mRoutesMutex);
   if (const auto table = mRoutes.find(aCall.mPool); table != mRoutes.end()) {
-    routing::NoteEnded(
+    routing::RecordEnd(
       table->second, aServer, aSentAt, EvidenceOf(aOutcome), boot_clock::now());
   }
 }
@@ -218,7 +220,7 @@
     if (Left(aCall.mDeadline) <= 0ms) {
       return Conclude(progress, Refuse(ran::NotRun, kDeadline));
     }
-    const auto server = Pick(aCall.mPool, tried, aCall.mPrefix);
+    const auto server = SelectServer(aCall.mPool, tried, aCall.mPrefix);
     if (!server) {
       return Conclude(progress, std::move(outcome));
     }
@@ -266,7 +268,7 @@
   // what the two clocks drift apart until the next report, so that the sum is
   // never ahead of the agent's true time.
   const auto sinceHeard = std::chrono::duration_cast<milliseconds>(
-    boot_clock::now() - *aServer.mHeardAt);
+    boot_clock::now() - *aServer.mLastResponseAt);
   return { aAttemptId,
            aServer.mInstance.mName,
            aServer.mIncarnation,
@@ -283,7 +285,7 @@
   const auto sentAt = boot_clock::now();
   {
     std::lock_guard lock(mRoutesMutex);
-    routing::NoteSent(mRoutes[aCall.mPool], name, aCall.mPrefix, sentAt);
+    routing::RecordSent(mRoutes[aCall.mPool], name, aCall.mPrefix, sentAt);
   }
   call_outcome outcome;
   scope_guard guard([&] { TakeEvidence(aCall, name, sentAt, outcome); });
@@ -346,7 +348,7 @@
     event.mWire = result.mState;
     event.mReply = std::move(result.mReply);
     if (event.mWire == wire_state::Answered) {
-      mDirectory.TakeReply(aTicket.mServerName, event.mReply);
+      mDirectory.ApplyReply(aTicket.mServerName, event.mReply);
       TakeCount(aCall.mPool, aTicket.mServerName, event.mReply.load);
     } else {
       server->mConnections->DropIdle();
--- a/Duties/Dispatch/EntryDispatch.h
+++ b/Duties/Dispatch/EntryDispatch.h
@@ -54,7 +54,7 @@
 struct entry_dispatch_options
 {
   std::string mEntryIncarnation;
-  std::string mOwnZone;
+  std::string mLocalZone;
   attempt_limits mLimits;
   int mMaximumAttempts = 3;
   retry_budget_limits mRetryBudget;
@@ -80,7 +80,7 @@
   call_outcome Run(const call& aCall);
 
   /** Picks a server for the pool; none when no server can take the call. */
-  std::optional<membership::server_view> Pick(
+  std::optional<membership::server_view> SelectServer(
     const std::string& aPool,
     const std::vector<std::string>& aExcluded,
     std::int64_t aPrefix = 0);
@@ -106,7 +106,7 @@
   int MaximumAttempts() const { return mOptions.mMaximumAttempts; }
 
 private:
-  void TakeReport(const membership::server_view& aServer);
+  void ApplyReport(const membership::server_view& aServer);
   void TakeDemand(const membership::server_view& aServer);
   void TakeCount(const std::string& aPool,
                  const std::string& aServer,
--- a/Duties/Dispatch/IdempotentCall.cpp
+++ b/Duties/Dispatch/IdempotentCall.cpp
@@ -123,9 +123,9 @@
   if (attempts > 0) {
     tried.push_back(aState.mOutcome.mServerName);
   }
-  auto server = mDispatch.Pick(aCall.mPool, tried);
+  auto server = mDispatch.SelectServer(aCall.mPool, tried);
   if (!server) {
-    server = mDispatch.Pick(aCall.mPool, {});
+    server = mDispatch.SelectServer(aCall.mPool, {});
   }
   if (!server) {
     return TakeNoServer(aState);
--- a/Duties/Feed/FeedOrder.cpp
+++ b/Duties/Feed/FeedOrder.cpp
@@ -22,7 +22,8 @@
 }
 
 std::vector<feed_candidate>
-FeedOrder(const std::vector<feed_candidate>& aAll, const std::string& aName)
+SourcePreference(const std::vector<feed_candidate>& aAll,
+                 const std::string& aName)
 {
   const auto own = RankOf(aAll, aName);
   std::vector<feed_candidate> order;
--- a/Duties/Feed/FeedOrder.h
+++ b/Duties/Feed/FeedOrder.h
@@ -24,6 +24,7 @@
  * name, parent first, then the other entries whose names sort before its own.
  * @param aAll all entries, sorted by name */
 std::vector<feed_candidate>
-FeedOrder(const std::vector<feed_candidate>& aAll, const std::string& aName);
+SourcePreference(const std::vector<feed_candidate>& aAll,
+                 const std::string& aName);
 
 } // namespace lavender::feed
--- a/Duties/Feed/FeedState.cpp
+++ b/Duties/Feed/FeedState.cpp
@@ -130,10 +130,10 @@
 }
 
 encoded_changes
-EncodeChanges(const feed_state& aState, std::optional<feed_number> aSince)
+EncodeChanges(const feed_state& aState, std::optional<feed_sequence> aSince)
 {
-  const feed_number oldest =
-    aState.mNewest - static_cast<feed_number>(aState.mChanges.size());
+  const feed_sequence oldest =
+    aState.mNewest - static_cast<feed_sequence>(aState.mChanges.size());
   encoded_changes changes;
   changes.mIsWhole = !aSince || *aSince < oldest || *aSince > aState.mNewest;
   const auto add = [&](const std::string& aJson) {
@@ -159,7 +159,7 @@
 EncodeFeed(const feed_state& aState,
            const std::string& aLife,
            const encoded_changes& aChanges,
-           const feed_proof& aProof)
+           const feed_provenance& aProof)
 {
   json::value revisions = json::object{};
   for (const auto& [kind, revision] : aState.mRevisions) {
@@ -188,7 +188,7 @@
     return std::nullopt;
   }
   decoded_feed feed;
-  feed.mLife = json::StringAt(*body, "life", "");
+  feed.mIncarnation = json::StringAt(*body, "life", "");
   feed.mNewest = json::IntegerAt(*body, "newest", 0);
   feed.mIsWhole = json::BooleanAt(*body, "whole", false);
   feed.mProof = { json::StringAt(*body, "origin", ""),
--- a/Duties/Feed/FeedState.h
+++ b/Duties/Feed/FeedState.h
@@ -10,13 +10,13 @@
  * entries, so that a change costs one billed call instead of one per entry. */
 namespace lavender::feed {
 
-using feed_number = std::int64_t;
+using feed_sequence = std::int64_t;
 using object_map = std::map<std::string, objects::stored_object>;
 
 /** A change, encoded once for all requesters. */
 struct feed_change
 {
-  feed_number mNumber = 0;
+  feed_sequence mNumber = 0;
   std::string mJson;
 };
 
@@ -32,7 +32,7 @@
   std::map<std::string, object_map> mKinds;
   kind_revisions mRevisions;
   std::deque<feed_change> mChanges;
-  feed_number mNewest = 0;
+  feed_sequence mNewest = 0;
 };
 
 /** Number of changes kept. A requester that is further behind gets the full
@@ -73,7 +73,7 @@
         const objects::object_event& aEvent);
 
 /** Origin and age of a feed's state, kept up as the state is forwarded. */
-struct feed_proof
+struct feed_provenance
 {
   /** Name of the entry that watches the store. */
   std::string mOrigin;
@@ -97,7 +97,7 @@
 /** Encodes the changes after a sequence number, or the full state if the number
  * is missing, unknown or older than the changes kept. */
 encoded_changes
-EncodeChanges(const feed_state& aState, std::optional<feed_number> aSince);
+EncodeChanges(const feed_state& aState, std::optional<feed_sequence> aSince);
 
 /** Encodes the body of a response.
  * @param aLife identifies the process whose sequence numbers these are */
@@ -105,7 +105,7 @@
 EncodeFeed(const feed_state& aState,
            const std::string& aLife,
            const encoded_changes& aChanges,
-           const feed_proof& aProof);
+           const feed_provenance& aProof);
 
 struct decoded_change
 {
@@ -115,10 +115,10 @@
 
 struct decoded_feed
 {
-  std::string mLife;
-  feed_number mNewest = 0;
+  std::string mIncarnation;
+  feed_sequence mNewest = 0;
   bool mIsWhole = false;
-  feed_proof mProof;
+  feed_provenance mProof;
   kind_revisions mRevisions;
   std::vector<decoded_change> mChanges;
 };
--- a/Duties/Feed/HeldQuestions.cpp
+++ b/Duties/Feed/HeldQuestions.cpp
@@ -35,8 +35,8 @@
 
 } // namespace
 
-feed_asker
-AskerOf(const edge::exchange_ptr& aExchange)
+feed_requester
+RequesterOf(const edge::exchange_ptr& aExchange)
 {
   return { [aExchange](edge::response aResponse) {
             aExchange->Answer(std::move(aResponse));
@@ -45,19 +45,19 @@
 }
 
 edge::request
-EncodeQuestion(const feed_question& aFeedRequest)
+EncodeFeedRequest(const feed_request& aFeedRequest)
 {
   edge::request request;
   request.mMethod = "GET";
   request.mTarget = kFeedPath;
-  request.mHeaders.Add(kLifeField, aFeedRequest.mLife);
+  request.mHeaders.Add(kLifeField, aFeedRequest.mIncarnation);
   request.mHeaders.Add(kSinceField, std::to_string(aFeedRequest.mSince));
   request.mHeaders.Add(kAgeField, std::to_string(aFeedRequest.mAge.count()));
   return request;
 }
 
-feed_question
-DecodeQuestion(const edge::request& aRequest)
+feed_request
+DecodeFeedRequest(const edge::request& aRequest)
 {
   return { aRequest.mHeaders.ValueOr(kLifeField, ""),
            aRequest.mHeaders.Integer(kSinceField).value_or(0),
@@ -72,15 +72,15 @@
 }
 
 void
-pending_requests::Hold(const feed_question& aFeedRequest,
-                       feed_asker aRequester,
+pending_requests::Hold(const feed_request& aFeedRequest,
+                       feed_requester aRequester,
                        const feed_snapshot& aSnapshot)
 {
   held_request held;
   held.mRequester = std::move(aRequester);
   held.mReceivedAt = mScheduler.mNow();
   held.mRequesterVerifiedAt = held.mReceivedAt - aFeedRequest.mAge;
-  if (aFeedRequest.mLife == aSnapshot.mLife) {
+  if (aFeedRequest.mIncarnation == aSnapshot.mIncarnation) {
     held.mSince = aFeedRequest.mSince;
   }
   mHeld.push_back(std::move(held));
@@ -92,7 +92,7 @@
 {
   return !aHeld.mSince || *aHeld.mSince < aSnapshot.mState.mNewest ||
          aHeld.mRequesterVerifiedAt + kMinimumProofAdvance <
-           aSnapshot.mProvenAt ||
+           aSnapshot.mVerifiedAt ||
          mScheduler.mNow() >= aHeld.mReceivedAt + kMaximumHold;
 }
 
@@ -116,7 +116,7 @@
   std::vector<held_request> kept;
   // Encode once per sequence number: many entries that start at the same time
   // request the full state.
-  std::map<std::optional<feed_number>, encoded_changes> encoded;
+  std::map<std::optional<feed_sequence>, encoded_changes> encoded;
   for (auto& held : std::exchange(mHeld, {})) {
     if (held.mRequester.mHasDisconnected()) {
       continue;
@@ -130,10 +130,10 @@
                             : kRetryLater;
       held.mRequester.mAnswer({ status, {}, {} });
     } else if (IsDue(held, aSnapshot)) {
-      const feed_proof proof{ aSnapshot.mOrigin,
-                              Between(aSnapshot.mProvenAt, now),
-                              std::chrono::floor<milliseconds>(
-                                now - held.mReceivedAt) };
+      const feed_provenance proof{ aSnapshot.mOrigin,
+                                   Between(aSnapshot.mVerifiedAt, now),
+                                   std::chrono::floor<milliseconds>(
+                                     now - held.mReceivedAt) };
       auto changes = encoded.find(held.mSince);
       if (changes == encoded.end()) {
         changes =
@@ -141,11 +141,12 @@
             .emplace(held.mSince, EncodeChanges(aSnapshot.mState, held.mSince))
             .first;
       }
-      held.mRequester.mAnswer(
-        { 200,
-          {},
-          EncodeFeed(
-            aSnapshot.mState, aSnapshot.mLife, changes->second, proof) });
+      held.mRequester.mAnswer({ 200,
+                                {},
+                                EncodeFeed(aSnapshot.mState,
+                                           aSnapshot.mIncarnation,
+                                           changes->second,
+                                           proof) });
     } else {
       kept.push_back(std::move(held));
     }
--- a/Duties/Feed/HeldQuestions.h
+++ b/Duties/Feed/HeldQuestions.h
@@ -7,31 +7,31 @@
 namespace lavender::feed {
 
 /** Sends the response to another entry's request. */
-struct feed_asker
+struct feed_requester
 {
   std::function<void(edge::response)> mAnswer;
   std::function<bool()> mHasDisconnected;
 };
 
-feed_asker
-AskerOf(const edge::exchange_ptr& aExchange);
+feed_requester
+RequesterOf(const edge::exchange_ptr& aExchange);
 
 /** Another entry's request for the changes after the last one that it has, or
  * for a later verification of an unchanged state. */
-struct feed_question
+struct feed_request
 {
   /** Process that assigned mSince. */
-  std::string mLife;
+  std::string mIncarnation;
   /** Sequence number of the last change that the requester has. */
-  feed_number mSince = 0;
+  feed_sequence mSince = 0;
   /** How long ago the requester's state was verified to match the store. */
   milliseconds mAge{ 0 };
 };
 
 edge::request
-EncodeQuestion(const feed_question& aFeedRequest);
-feed_question
-DecodeQuestion(const edge::request& aRequest);
+EncodeFeedRequest(const feed_request& aFeedRequest);
+feed_request
+DecodeFeedRequest(const edge::request& aRequest);
 
 /** Path of the requests between entries. */
 constexpr char kFeedPath[] = "/feed";
@@ -57,10 +57,10 @@
 struct feed_snapshot
 {
   const feed_state& mState;
-  const std::string& mLife;
+  const std::string& mIncarnation;
   std::string mOrigin;
   /** Time at which the state was last verified to match the store. */
-  time_point mProvenAt;
+  time_point mVerifiedAt;
   refusal mRefusal = refusal::None;
 };
 
@@ -73,8 +73,8 @@
   pending_requests(scheduler aScheduler,
                    std::function<void()> aAnswerHeldRequests);
 
-  void Hold(const feed_question& aFeedRequest,
-            feed_asker aRequester,
+  void Hold(const feed_request& aFeedRequest,
+            feed_requester aRequester,
             const feed_snapshot& aSnapshot);
   /** Answers the requests for which there are changes or a later verification,
    * whose hold is over, or which must be rejected. */
@@ -84,9 +84,9 @@
 private:
   struct held_request
   {
-    feed_asker mRequester;
+    feed_requester mRequester;
     /** None if the full state is needed. */
-    std::optional<feed_number> mSince;
+    std::optional<feed_sequence> mSince;
     time_point mReceivedAt;
     /** When the requester's state was last verified to match the store. */
     time_point mRequesterVerifiedAt;
--- a/Duties/Feed/StoreFeed.cpp
+++ b/Duties/Feed/StoreFeed.cpp
@@ -54,19 +54,20 @@
 
 } // namespace
 
-store_feed::store_feed(feed_parts aParts, std::vector<followed_kind> aKinds)
-  : mParts(std::move(aParts))
+store_feed::store_feed(feed_dependencies aParts,
+                       std::vector<watched_kind> aKinds)
+  : mDependencies(std::move(aParts))
   , mKinds(std::move(aKinds))
-  , mLife(MakeRandomName())
-  , mHeld(mParts.mScheduler, [this] { AnswerHeldRequests(); })
-  , mProvenAt(Now())
+  , mIncarnation(MakeRandomName())
+  , mHeld(mDependencies.mScheduler, [this] { AnswerHeldRequests(); })
+  , mVerifiedAt(Now())
 {
 }
 
 void
 store_feed::Start()
 {
-  mProvenAt = Now();
+  mVerifiedAt = Now();
   ScheduleAgeCheck();
   ChooseSource();
 }
@@ -87,19 +88,19 @@
 }
 
 time_point
-store_feed::ProvenAt() const
+store_feed::VerifiedAt() const
 {
   if (!mIsWatching || !HaveMirrorsListed()) {
-    return mProvenAt;
+    return mVerifiedAt;
   }
   auto provenAt = time_point::min();
   for (const auto& mirror : mMirrors) {
-    provenAt = std::max(provenAt, mirror->ProvenAt());
+    provenAt = std::max(provenAt, mirror->VerifiedAt());
   }
   for (std::size_t i = 0; i < mKinds.size(); ++i) {
     const auto& mirror = *mMirrors[i];
-    if (mKinds[i].mProof == kind_proof::EachAnswer) {
-      provenAt = std::min(provenAt, mirror.ProvenAt());
+    if (mKinds[i].mProof == freshness_rule::EveryResponse) {
+      provenAt = std::min(provenAt, mirror.VerifiedAt());
     } else if (const auto lostSince = mirror.LostSince()) {
       provenAt = std::min(provenAt, *lostSince);
     }
@@ -110,7 +111,7 @@
 std::size_t
 store_feed::Rank() const
 {
-  return RankOf(mParts.mCandidates(), mParts.mName);
+  return RankOf(mDependencies.mCandidates(), mDependencies.mName);
 }
 
 milliseconds
@@ -126,26 +127,27 @@
 store_feed::ScheduleAgeCheck()
 {
   const auto limit = AgeLimit();
-  const auto left = std::chrono::ceil<milliseconds>(mProvenAt + limit - Now());
-  mAgeCheck =
-    mParts.mScheduler.mAfter(std::max<milliseconds>(left, 1ms), [this, limit] {
-      if (mIsWatching) {
-        return;
-      }
-      if (Age() < limit) {
-        ScheduleAgeCheck();
-        return;
-      }
-      events::line("feed_too_old")
-        .With("entry", mSourceName)
-        .With("origin", mOrigin)
-        .With("known_ms_ago", Age());
-      if (Rank() > kStandbys) {
-        SeekSource();
-      } else {
-        WatchStore();
-      }
-    });
+  const auto left =
+    std::chrono::ceil<milliseconds>(mVerifiedAt + limit - Now());
+  mAgeCheck = mDependencies.mScheduler.mAfter(std::max<milliseconds>(left, 1ms),
+                                              [this, limit] {
+                                                if (mIsWatching) {
+                                                  return;
+                                                }
+                                                if (Age() < limit) {
+                                                  ScheduleAgeCheck();
+                                                  return;
+                                                }
+                                                events::line("feed_too_old")
+                                                  .With("entry", mSourceName)
+                                                  .With("origin", mOrigin)
+                                                  .With("known_ms_ago", Age());
+                                                if (Rank() > kStandbys) {
+                                                  SeekSource();
+                                                } else {
+                                                  WatchStore();
+                                                }
+                                              });
 }
 
 // Choosing a source
@@ -159,15 +161,15 @@
 std::vector<feed_candidate>
 store_feed::Candidates() const
 {
-  return FeedOrder(mParts.mCandidates(), mParts.mName);
+  return SourcePreference(mDependencies.mCandidates(), mDependencies.mName);
 }
 
 std::vector<feed_candidate>
 store_feed::AllCandidates() const
 {
   auto all = Candidates();
-  for (auto& candidate : mParts.mCandidates()) {
-    if (candidate.mName > mParts.mName) {
+  for (auto& candidate : mDependencies.mCandidates()) {
+    if (candidate.mName > mDependencies.mName) {
       all.push_back(std::move(candidate));
     }
   }
@@ -181,7 +183,7 @@
     const auto avoided = mAvoidedUntil.find(candidate.mName);
     const bool isAvoided =
       avoided != mAvoidedUntil.end() && avoided->second > Now();
-    if (!isAvoided && candidate.mName != mParts.mName) {
+    if (!isAvoided && candidate.mName != mDependencies.mName) {
       return candidate;
     }
   }
@@ -202,7 +204,7 @@
 store_feed::ScheduleSourceSearch()
 {
   mSearchTriesLeft = kTriesPerSearch;
-  mNextSearch = mParts.mScheduler.mAfter(kSourceSearchInterval, [this] {
+  mNextSearch = mDependencies.mScheduler.mAfter(kSourceSearchInterval, [this] {
     if (mIsWatching) {
       SearchSource();
     }
@@ -219,7 +221,8 @@
     // Each entry begins at another candidate, because the first ones by name
     // may all be unresponsive.
     const auto places = static_cast<std::uint64_t>(candidates.end() - rest);
-    const auto shift = RendezvousHash(mParts.mName, mLife) % places;
+    const auto shift =
+      RendezvousHash(mDependencies.mName, mIncarnation) % places;
     std::rotate(
       rest, rest + static_cast<std::ptrdiff_t>(shift), candidates.end());
   }
@@ -242,7 +245,7 @@
     RequestFrom(*candidate);
     return;
   }
-  mNextSearch = mParts.mScheduler.mAfter(kRetryPause, [this] {
+  mNextSearch = mDependencies.mScheduler.mAfter(kRetryPause, [this] {
     if (mIsWatching && !mDoesStoreAnswer) {
       TryAnySource();
     } else if (mIsWatching) {
@@ -269,9 +272,9 @@
   options.mSilenceTimeout = kResponseTimeout;
   const sent_request sent{ ++mRequestNumber, mSourceName, Now() };
   mIsRequestOutstanding = true;
-  mParts.mCall(
+  mDependencies.mCall(
     mSource,
-    EncodeQuestion({ mSourceLife, mSourceNumber, Age() }),
+    EncodeFeedRequest({ mSourceLife, mSourceNumber, Age() }),
     options,
     kResponseTimeout,
     [this, sent](edge::call_end aEnd, const edge::response& aResponse) {
@@ -310,12 +313,12 @@
       Age() < kStandbyAge) {
     ++mRetries;
     mNextSearch =
-      mParts.mScheduler.mAfter(kRetryPause, [this] { ChooseSource(); });
+      mDependencies.mScheduler.mAfter(kRetryPause, [this] { ChooseSource(); });
     return;
   }
   events::line("feed_lost")
     .With("entry", aSent.mEntry)
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aResponse.mStatus))
     .With("reason", reason)
     .With("known_ms_ago", Age());
@@ -332,13 +335,13 @@
 store_feed::ReasonToReject(const decoded_feed& aFeed,
                            time_point aProvenAt) const
 {
-  if (aFeed.mProof.mOrigin == mParts.mName) {
+  if (aFeed.mProof.mOrigin == mDependencies.mName) {
     return "state comes from this entry";
   }
   if (Now() - aProvenAt > kMaximumAge) {
     return "state too old";
   }
-  if (mIsWatching && !mDoesStoreAnswer && aProvenAt <= ProvenAt()) {
+  if (mIsWatching && !mDoesStoreAnswer && aProvenAt <= VerifiedAt()) {
     return "state no more recent than own";
   }
   return "";
@@ -350,7 +353,7 @@
                    time_point aProvenAt)
 {
   mRetries = 0;
-  mProvenAt = std::max(ProvenAt(), aProvenAt);
+  mVerifiedAt = std::max(VerifiedAt(), aProvenAt);
   mOrigin = aFeed.mProof.mOrigin;
   if (mIsWatching) {
     events::line("feed_followed")
@@ -361,7 +364,7 @@
     mFollowingSince = Now();
     ScheduleAgeCheck();
   }
-  if (aEntry > mParts.mName &&
+  if (aEntry > mDependencies.mName &&
       Now() - mFollowingSince > kSourceSearchInterval) {
     mFollowingSince = Now();
     CheckDirectAccess();
@@ -387,7 +390,7 @@
 void
 store_feed::ApplyFeed(const decoded_feed& aFeed)
 {
-  mSourceLife = aFeed.mLife;
+  mSourceLife = aFeed.mIncarnation;
   mSourceNumber = aFeed.mNewest;
   if (aFeed.mIsWhole) {
     ApplyFullState(aFeed);
--- a/Duties/Feed/StoreFeed.h
+++ b/Duties/Feed/StoreFeed.h
@@ -8,26 +8,26 @@
 namespace lavender::feed {
 
 /** How an entry that watches a kind decides that its state is current. */
-enum class kind_proof
+enum class freshness_rule
 {
   /** The state is verified by each response to a watch. For kinds whose
    * changes must become known in time. */
-  EachAnswer,
+  EveryResponse,
   /** The state counts as current unless the watch is known to be lost. Allows
    * longer watches, and each response to a watch is billed. */
-  WatchNotLost
+  WatchConnected
 };
 
-struct followed_kind
+struct watched_kind
 {
   std::string mKind;
-  kind_proof mProof = kind_proof::EachAnswer;
+  freshness_rule mProof = freshness_rule::EveryResponse;
   objects::mirror_options mOptions;
   std::function<void(const object_map&)> mOnListed;
   std::function<void(const objects::object_event&)> mOnEvent;
 };
 
-struct feed_parts
+struct feed_dependencies
 {
   scheduler mScheduler;
   const objects::object_store& mStore;
@@ -49,7 +49,7 @@
   std::function<std::vector<feed_candidate>()> mCandidates;
   /** Called when the store's state becomes known again, or can no longer be
    * obtained from the store or any entry. */
-  std::function<void(bool aIsReachable)> mOnContact;
+  std::function<void(bool aIsReachable)> mOnReachabilityChange;
 };
 
 /** Keeps this entry's copy of some kinds of objects up to date.
@@ -65,11 +65,11 @@
 class store_feed
 {
 public:
-  store_feed(feed_parts aParts, std::vector<followed_kind> aKinds);
+  store_feed(feed_dependencies aParts, std::vector<watched_kind> aKinds);
 
   void Start();
   /** Handles another entry's request. */
-  void Serve(const edge::request& aRequest, feed_asker aRequester);
+  void Serve(const edge::request& aRequest, feed_requester aRequester);
   /** Whether every kind has been listed at least once. */
   bool HasListed() const;
   bool IsReachable() const { return mIsReachable; }
@@ -78,7 +78,7 @@
   /** Returns how long ago the state here was verified to match the store. */
   milliseconds Age() const
   {
-    return std::chrono::duration_cast<milliseconds>(Now() - ProvenAt());
+    return std::chrono::duration_cast<milliseconds>(Now() - VerifiedAt());
   }
   /** Returns the name of the entry that this one follows, or "store". */
   std::string SourceName() const { return mIsWatching ? "store" : mSourceName; }
@@ -102,8 +102,8 @@
     time_point mSentAt;
   };
 
-  time_point Now() const { return mParts.mScheduler.mNow(); }
-  time_point ProvenAt() const;
+  time_point Now() const { return mDependencies.mScheduler.mNow(); }
+  time_point VerifiedAt() const;
   /** Returns the entries that this one may follow permanently, preferred ones
    * first. */
   std::vector<feed_candidate> Candidates() const;
@@ -140,8 +140,8 @@
    * anything yet. */
   void SeekSource();
   void StartMirrors();
-  void StartMirror(const followed_kind& aKind);
-  void HandleListing(const followed_kind& aKind, const object_map& aObjects);
+  void StartMirror(const watched_kind& aKind);
+  void HandleListing(const watched_kind& aKind, const object_map& aObjects);
   bool HaveMirrorsListed() const;
   void StopWatching();
   void ScheduleProbe(milliseconds aPause);
@@ -157,10 +157,10 @@
   void AnswerHeldRequests();
   void SetReachable(bool aIsReachable);
 
-  feed_parts mParts;
-  std::vector<followed_kind> mKinds;
+  feed_dependencies mDependencies;
+  std::vector<watched_kind> mKinds;
   feed_state mState;
-  const std::string mLife;
+  const std::string mIncarnation;
   pending_requests mHeld;
   std::vector<std::shared_ptr<objects::mirror>> mMirrors;
   std::map<std::string, time_point> mAvoidedUntil;
@@ -173,7 +173,7 @@
   std::string mSourceName;
   std::string mSourceLife;
   std::string mOrigin;
-  feed_number mSourceNumber = 0;
+  feed_sequence mSourceNumber = 0;
   std::uint64_t mRequestNumber = 0;
   /** Whether the newest request may still be answered. */
   bool mIsRequestOutstanding = false;
@@ -185,7 +185,7 @@
   time_point mFollowingSince;
   /** When the state was verified to match the store, according to the last
    * accepted response of another entry. */
-  time_point mProvenAt;
+  time_point mVerifiedAt;
   bool mIsWatching = false;
   /** Whether this entry looks for a source before it starts any watch. */
   bool mIsSeeking = false;
--- a/Duties/Feed/StoreFeedAnswers.cpp
+++ b/Duties/Feed/StoreFeedAnswers.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds kMaximumServedAge = 1200ms;
 
 const char*
-WordFor(refusal aRefusal)
+ToString(refusal aRefusal)
 {
   switch (aRefusal) {
     case refusal::None:
@@ -59,7 +59,7 @@
     }
   }
   events::line(aRefusal == refusal::None ? "feed_serves" : "feed_refuses")
-    .With("reason", WordFor(aRefusal))
+    .With("reason", ToString(aRefusal))
     .With("origin", mOrigin)
     .With("known_ms_ago", Age())
     .With("lost", lost);
@@ -69,13 +69,13 @@
 feed_snapshot
 store_feed::Snapshot() const
 {
-  return { mState, mLife, mOrigin, ProvenAt(), CurrentRefusal() };
+  return { mState, mIncarnation, mOrigin, VerifiedAt(), CurrentRefusal() };
 }
 
 void
-store_feed::Serve(const edge::request& aRequest, feed_asker aRequester)
+store_feed::Serve(const edge::request& aRequest, feed_requester aRequester)
 {
-  mHeld.Hold(DecodeQuestion(aRequest), std::move(aRequester), Snapshot());
+  mHeld.Hold(DecodeFeedRequest(aRequest), std::move(aRequester), Snapshot());
   AnswerHeldRequests();
 }
 
@@ -101,7 +101,7 @@
     mIsReachable = aIsReachable;
     events::line(aIsReachable ? "store_regained" : "store_lost")
       .With("known_ms_ago", Age());
-    mParts.mOnContact(aIsReachable);
+    mDependencies.mOnReachabilityChange(aIsReachable);
   }
 }
 
--- a/Duties/Feed/StoreFeedWatching.cpp
+++ b/Duties/Feed/StoreFeedWatching.cpp
@@ -69,7 +69,7 @@
 }
 
 void
-store_feed::StartMirror(const followed_kind& aKind)
+store_feed::StartMirror(const watched_kind& aKind)
 {
   objects::mirror_options options = aKind.mOptions;
   options.mKind = aKind.mKind;
@@ -84,18 +84,17 @@
   };
   callbacks.mOnProven = [this] { AnswerHeldRequests(); };
   mMirrors.push_back(std::make_shared<objects::mirror>(
-    mParts.mScheduler, mParts.mStore, options, callbacks));
+    mDependencies.mScheduler, mDependencies.mStore, options, callbacks));
   mMirrors.back()->Start();
 }
 
 void
-store_feed::HandleListing(const followed_kind& aKind,
-                          const object_map& aObjects)
+store_feed::HandleListing(const watched_kind& aKind, const object_map& aObjects)
 {
   TakeListing(mState, aKind.mKind, aObjects);
   mIsListed[aKind.mKind] = true;
   if (HaveMirrorsListed()) {
-    mOrigin = mParts.mName;
+    mOrigin = mDependencies.mName;
   }
   aKind.mOnListed(aObjects);
   AnswerHeldRequests();
@@ -117,7 +116,7 @@
 void
 store_feed::ScheduleProbe(milliseconds aPause)
 {
-  mNextProbe = mParts.mScheduler.mAfter(aPause, [this] {
+  mNextProbe = mDependencies.mScheduler.mAfter(aPause, [this] {
     if (!mIsWatching) {
       return;
     }
@@ -127,9 +126,11 @@
         HandleProbeResult(aReply);
       }
     };
-    mParts.mStore.mGet(
-      mParts.mProbeKind, mParts.mName, objects::freshness::MayBeStale, take);
-    mNextProbe = mParts.mScheduler.mAfter(kProbeTimeout, [take] {
+    mDependencies.mStore.mGet(mDependencies.mProbeKind,
+                              mDependencies.mName,
+                              objects::freshness::MayBeStale,
+                              take);
+    mNextProbe = mDependencies.mScheduler.mAfter(kProbeTimeout, [take] {
       take({ store_outcome::Unknown, {} });
     });
   });
@@ -173,13 +174,14 @@
   // it now. Wait for them instead of listing as well.
   mDoesStoreAnswer = false;
   mAvoidedUntil.clear();
-  mDelayedMirrorStart = mParts.mScheduler.mAfter(kOthersListingTime, [this] {
-    if (mIsSeeking) {
-      mDoesStoreAnswer = true;
-      StartMirrors();
-      ScheduleSourceSearch();
-    }
-  });
+  mDelayedMirrorStart =
+    mDependencies.mScheduler.mAfter(kOthersListingTime, [this] {
+      if (mIsSeeking) {
+        mDoesStoreAnswer = true;
+        StartMirrors();
+        ScheduleSourceSearch();
+      }
+    });
   if (!mIsRequestOutstanding) {
     TryAnySource();
   }
@@ -192,16 +194,16 @@
   // follow an entry whose name sorts after its own. It keeps following during
   // the check: otherwise an entry that the store still refuses would get no
   // changes for half a second out of every three.
-  mParts.mDirectStore.mGet(mParts.mProbeKind,
-                           mParts.mName,
-                           objects::freshness::MayBeStale,
-                           [this](const objects::object_reply& aReply) {
-                             if (IsAnswer(aReply) && !mIsWatching) {
-                               ++mRequestNumber;
-                               mIsRequestOutstanding = false;
-                               WatchStore();
-                             }
-                           });
+  mDependencies.mDirectStore.mGet(mDependencies.mProbeKind,
+                                  mDependencies.mName,
+                                  objects::freshness::MayBeStale,
+                                  [this](const objects::object_reply& aReply) {
+                                    if (IsAnswer(aReply) && !mIsWatching) {
+                                      ++mRequestNumber;
+                                      mIsRequestOutstanding = false;
+                                      WatchStore();
+                                    }
+                                  });
 }
 
 } // namespace lavender::feed
--- a/Duties/Forwarding/AttemptOutcome.cpp
+++ b/Duties/Forwarding/AttemptOutcome.cpp
@@ -22,7 +22,7 @@
   if (aEnd.mEnd == edge::call_end::NotSent) {
     return execution::NotRun;
   }
-  if (aEnd.mEnd != edge::call_end::Complete || aEnd.mIsForeign) {
+  if (aEnd.mEnd != edge::call_end::Complete || aEnd.mIsMismatched) {
     return execution::Unknown;
   }
   return aEnd.mIsNotExecuted ? execution::NotRun : execution::Ran;
@@ -37,10 +37,10 @@
     return next_step::Deliver;
   }
   const bool mayRepeat = execution == execution::NotRun ||
-                         aBudget.mRepetition == site::repetition::Idempotent;
+                         aBudget.mRetryPolicy == site::retry_policy::Idempotent;
   if (mayRepeat && aBudget.mAttemptsLeft > 0 &&
       aBudget.mTimeLeft >= kShortestAttempt) {
-    return next_step::TryElsewhere;
+    return next_step::RetryOnAnotherServer;
   }
   if (isServerError) {
     return next_step::Deliver;
@@ -53,7 +53,7 @@
 milliseconds
 PatienceFor(const site::route& aRoute, const attempt_budget& aBudget)
 {
-  if (aBudget.mRepetition != site::repetition::Idempotent ||
+  if (aBudget.mRetryPolicy != site::retry_policy::Idempotent ||
       aBudget.mAttemptsLeft <= 0) {
     return aBudget.mTimeLeft;
   }
--- a/Duties/Forwarding/AttemptOutcome.h
+++ b/Duties/Forwarding/AttemptOutcome.h
@@ -22,7 +22,7 @@
   /** Give the server's answer to the caller. */
   Deliver,
   /** Send it to another server. */
-  TryElsewhere,
+  RetryOnAnotherServer,
   /** Tell the caller that it has not run, and when to come back. */
   RefuseNotRun,
   /** Tell the caller that it may have run. */
@@ -35,13 +35,13 @@
   unsigned mStatus = 0;
   bool mIsNotExecuted = false;
   /** The answer bears another attempt's id. */
-  bool mIsForeign = false;
+  bool mIsMismatched = false;
 };
 
 /** What is left to a request after an attempt. */
 struct attempt_budget
 {
-  site::repetition mRepetition = site::repetition::AtMostOnce;
+  site::retry_policy mRetryPolicy = site::retry_policy::AtMostOnce;
   int mAttemptsLeft = 0;
   milliseconds mTimeLeft{ 0 };
   /** Some attempt before this one may have run. */
--- a/Duties/Forwarding/ForwardedRequest.cpp
+++ b/Duties/Forwarding/ForwardedRequest.cpp
@@ -46,11 +46,12 @@
   , mExchange(std::move(aExchange))
   , mRoute(std::move(aRoute))
   , mCustomer(std::move(aCustomer))
-  , mCaller(aForwarder.mParts.mProtocol.mReadCaller(mExchange->mRequest))
-  , mDeadlineTimer(aForwarder.mParts.mLoop)
-  , mAttemptTimer(aForwarder.mParts.mLoop)
+  , mCaller(aForwarder.mDependencies.mProtocol.mReadCallerMetadata(
+      mExchange->mRequest))
+  , mDeadlineTimer(aForwarder.mDependencies.mLoop)
+  , mAttemptTimer(aForwarder.mDependencies.mLoop)
 {
-  auto patience = mCaller.mPatience.value_or(kDefaultDeadline);
+  auto patience = mCaller.mCallerTimeout.value_or(kDefaultDeadline);
   if (mRoute->mTimeout) {
     patience = std::min(patience, *mRoute->mTimeout);
   }
@@ -89,7 +90,7 @@
 forwarded_request::Budget() const
 {
   attempt_budget budget;
-  budget.mRepetition = mRoute->mRepetition;
+  budget.mRetryPolicy = mRoute->mRetryPolicy;
   budget.mAttemptsLeft =
     mRoute->mMaximumAttempts - static_cast<int>(mTried.size());
   budget.mTimeLeft = TimeLeft();
@@ -100,7 +101,8 @@
 void
 forwarded_request::TryNext()
 {
-  const auto pick = mForwarder.mParts.mRouter.Pick(*mRoute, mTried);
+  const auto pick =
+    mForwarder.mDependencies.mRouter.SelectServer(*mRoute, mTried);
   if (!pick) {
     if (mMayHaveRun) {
       FailUnknown("no other server");
@@ -113,17 +115,17 @@
 }
 
 void
-forwarded_request::Send(const server_pick& aPick)
+forwarded_request::Send(const selected_server& aPick)
 {
   mPick = aPick;
   mTried.push_back(aPick.mServer.mId);
   mAnswer.reset();
   mFacts = {};
-  mIsForeign = false;
+  mIsMismatched = false;
   mSentAt = boot_clock::now();
   mIsAttemptOpen = true;
-  auto& parts = mForwarder.mParts;
-  parts.mRouter.NoteSent(aPick, mSentAt);
+  auto& parts = mForwarder.mDependencies;
+  parts.mRouter.RecordSent(aPick, mSentAt);
 
   site::attempt attempt;
   attempt.mServerId = aPick.mServer.mId;
@@ -132,7 +134,7 @@
   edge::call_options options;
   options.mConnectTimeout = kConnectTimeout;
   options.mSilenceTimeout = TimeLeft() + 1s;
-  options.mMayReuse = mRoute->mRepetition == site::repetition::Idempotent;
+  options.mMayReuse = mRoute->mRetryPolicy == site::retry_policy::Idempotent;
   const auto self = shared_from_this();
   edge::call_events events;
   events.mOnHead = [self](const auto& aHead) { self->TakeHead(aHead); };
@@ -175,17 +177,18 @@
 void
 forwarded_request::TakeHead(const edge::response& aHead)
 {
-  mFacts = mForwarder.mParts.mProtocol.mReadAnswer(aHead);
+  mFacts = mForwarder.mDependencies.mProtocol.mReadResponseMetadata(aHead);
   mAnswer = aHead;
-  mIsForeign = !mFacts.mAttemptId.empty() && !mCaller.mAttemptId.empty() &&
-               mFacts.mAttemptId != mCaller.mAttemptId;
-  if (mIsForeign) {
+  mIsMismatched = !mFacts.mAttemptId.empty() && !mCaller.mAttemptId.empty() &&
+                  mFacts.mAttemptId != mCaller.mAttemptId;
+  if (mIsMismatched) {
     mCall.Cancel();
     TakeEnd(edge::call_end::Malformed);
     return;
   }
   if (mFacts.mLoad) {
-    mForwarder.mParts.mRouter.TakeLoad(mPick, *mFacts.mLoad, boot_clock::now());
+    mForwarder.mDependencies.mRouter.RecordLoad(
+      mPick, *mFacts.mLoad, boot_clock::now());
   }
   if (!mFacts.mIsNotExecuted) {
     CountStart();
@@ -215,9 +218,9 @@
 void
 forwarded_request::CountStart()
 {
-  if (!mIsCounted && mForwarder.mParts.mOnStarted && mCustomer) {
+  if (!mIsCounted && mForwarder.mDependencies.mOnStarted && mCustomer) {
     mIsCounted = true;
-    mForwarder.mParts.mOnStarted(mCustomer->mName);
+    mForwarder.mDependencies.mOnStarted(mCustomer->mName);
   }
 }
 
@@ -229,7 +232,7 @@
   end.mEnd = aEnd;
   end.mStatus = mAnswer ? mAnswer->mStatus : 0;
   end.mIsNotExecuted = mAnswer && mFacts.mIsNotExecuted;
-  end.mIsForeign = mIsForeign;
+  end.mIsMismatched = mIsMismatched;
   const auto execution = ExecutionOf(end);
   EndAttempt(aEnd != edge::call_end::Complete || end.mStatus >= 500
                ? (end.mIsNotExecuted ? routing::evidence::Neutral
@@ -246,7 +249,7 @@
       LogEnd("streamed", end.mStatus, "whole");
     } else {
       mExchange->Abort();
-      LogEnd("cut", end.mStatus, edge::WordFor(aEnd));
+      LogEnd("cut", end.mStatus, edge::ToString(aEnd));
     }
     Forget();
     return;
@@ -255,7 +258,7 @@
   events::line("attempt_ended")
     .With("request", mCaller.mAttemptId)
     .With("server", mPick.mServer.mId)
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(end.mStatus))
     .With(
       "took_ms",
@@ -264,16 +267,16 @@
     case next_step::Deliver:
       Deliver();
       return;
-    case next_step::TryElsewhere:
-      mForwarder.mParts.mMetrics.Count("lavender_retries_total",
-                                       { { "reason", edge::WordFor(aEnd) } });
+    case next_step::RetryOnAnotherServer:
+      mForwarder.mDependencies.mMetrics.Count(
+        "lavender_retries_total", { { "reason", edge::ToString(aEnd) } });
       TryNext();
       return;
     case next_step::RefuseNotRun:
       Refuse("servers did not run it");
       return;
     case next_step::FailUnknown:
-      FailUnknown(edge::WordFor(aEnd));
+      FailUnknown(edge::ToString(aEnd));
       return;
   }
 }
@@ -285,7 +288,7 @@
     return;
   }
   mIsAttemptOpen = false;
-  mForwarder.mParts.mRouter.NoteEnded(
+  mForwarder.mDependencies.mRouter.RecordEnd(
     mPick, mSentAt, aEvidence, boot_clock::now());
 }
 
@@ -304,8 +307,8 @@
 void
 forwarded_request::Refuse(const char* aReason)
 {
-  mForwarder.mParts.mMetrics.Count("lavender_refusals_total",
-                                   { { "reason", aReason } });
+  mForwarder.mDependencies.mMetrics.Count("lavender_refusals_total",
+                                          { { "reason", aReason } });
   LogEnd("refused", 503, aReason);
   edge::AnswerOwn(mExchange, 503, kRetryAfter);
   Forget();
@@ -314,8 +317,8 @@
 void
 forwarded_request::FailUnknown(const char* aReason)
 {
-  mForwarder.mParts.mMetrics.Count("lavender_failures_total",
-                                   { { "reason", aReason } });
+  mForwarder.mDependencies.mMetrics.Count("lavender_failures_total",
+                                          { { "reason", aReason } });
   LogEnd("failed", 502, aReason);
   edge::AnswerOwn(mExchange, 502);
   Forget();
@@ -362,7 +365,7 @@
     .With("reason", aReason)
     .With("attempts", static_cast<std::int64_t>(mTried.size()))
     .With("took_ms", took);
-  mForwarder.mParts.mMetrics.Observe(
+  mForwarder.mDependencies.mMetrics.Observe(
     "lavender_request_seconds",
     { { "pool", mRoute->mPools.front().mPool }, { "outcome", aOutcome } },
     boot_clock::now() - mExchange->mReadAt);
--- a/Duties/Forwarding/Forwarder.cpp
+++ b/Duties/Forwarding/Forwarder.cpp
@@ -4,8 +4,8 @@
 
 namespace lavender::forwarding {
 
-forwarder::forwarder(forwarder_parts aParts)
-  : mParts(std::move(aParts))
+forwarder::forwarder(forwarder_dependencies aParts)
+  : mDependencies(std::move(aParts))
 {
 }
 
--- a/Duties/Forwarding/Forwarder.h
+++ b/Duties/Forwarding/Forwarder.h
@@ -11,7 +11,7 @@
 using started_handler = std::function<void(const std::string& aCustomer)>;
 
 /** What the forwarder works with; all outlive it. */
-struct forwarder_parts
+struct forwarder_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -25,7 +25,7 @@
 class forwarder
 {
 public:
-  explicit forwarder(forwarder_parts aParts);
+  explicit forwarder(forwarder_dependencies aParts);
 
   /** Serves one request whose route and key have been checked.
    * @param aCustomer null where the site has no customers */
@@ -36,7 +36,7 @@
 private:
   friend class forwarded_request;
 
-  forwarder_parts mParts;
+  forwarder_dependencies mDependencies;
 };
 
 } // namespace lavender::forwarding
--- a/Duties/Forwarding/PoolRouter.cpp
+++ b/Duties/Forwarding/PoolRouter.cpp
@@ -44,14 +44,14 @@
 }
 
 void
-pool_router::TakeServers(time_point aNow)
+pool_router::SyncServers(time_point aNow)
 {
   for (auto& [pool, table] : mTables) {
     for (const auto& row : table.mRows) {
       const auto found = mDirectory.mRows.find(row.mReport.mName);
       if (found == mDirectory.mRows.end() || found->second.mServer.mIsLeaving ||
           found->second.mServer.mPool != pool) {
-        routing::TakeOut(table, row.mReport.mName);
+        routing::MarkUnavailable(table, row.mReport.mName);
       }
     }
   }
@@ -60,23 +60,24 @@
     auto& table = mTables[server.mPool];
     table.mLimits.mHeartbeat = kNoHeartbeat;
     const auto known = table.mIndex.find(id);
-    if (server.mIsLeaving || (known != table.mIndex.end() &&
-                              table.mRows[known->second].mReport.mTakesWork)) {
+    if (server.mIsLeaving ||
+        (known != table.mIndex.end() &&
+         table.mRows[known->second].mReport.mAcceptsRequests)) {
       continue;
     }
     routing::server_report report;
     report.mName = id;
     report.mAvailabilityZone = server.mAvailabilityZone;
     report.mSlots = server.mSlots;
-    report.mTakesWork = true;
-    report.mMadeAt = aNow;
-    routing::TakeReport(table, report, aNow);
+    report.mAcceptsRequests = true;
+    report.mGeneratedAt = aNow;
+    routing::ApplyReport(table, report, aNow);
   }
 }
 
-std::optional<server_pick>
-pool_router::Pick(const site::route& aRoute,
-                  const std::vector<std::string>& aTried)
+std::optional<selected_server>
+pool_router::SelectServer(const site::route& aRoute,
+                          const std::vector<std::string>& aTried)
 {
   const auto& pool = DrawPool(aRoute, mRandom);
   const auto table = mTables.find(pool);
@@ -84,10 +85,10 @@
     return std::nullopt;
   }
   routing::route_request request;
-  request.mOwnZone = mAvailabilityZone;
+  request.mLocalZone = mAvailabilityZone;
   request.mExcluded = aTried;
   const auto chosen =
-    routing::Choose(table->second, request, mRandom, boot_clock::now());
+    routing::ChooseServer(table->second, request, mRandom, boot_clock::now());
   if (!chosen) {
     return std::nullopt;
   }
@@ -96,30 +97,31 @@
     return std::nullopt;
   }
   const auto& chosenRow = table->second.mRows[table->second.mIndex.at(*chosen)];
-  const int requests = chosenRow.mReport.mRequests + chosenRow.mOwn.mCorrection;
-  return server_pick{ pool, row->second.mServer, requests };
+  const int requests =
+    chosenRow.mReport.mRequests + chosenRow.mOwnRequests.mCorrection;
+  return selected_server{ pool, row->second.mServer, requests };
 }
 
 void
-pool_router::NoteSent(const server_pick& aPick, time_point aNow)
+pool_router::RecordSent(const selected_server& aPick, time_point aNow)
 {
-  routing::NoteSent(mTables[aPick.mPool], aPick.mServer.mId, 0, aNow);
+  routing::RecordSent(mTables[aPick.mPool], aPick.mServer.mId, 0, aNow);
 }
 
 void
-pool_router::NoteEnded(const server_pick& aPick,
+pool_router::RecordEnd(const selected_server& aPick,
                        time_point aSentAt,
                        routing::evidence aEvidence,
                        time_point aNow)
 {
-  routing::NoteEnded(
+  routing::RecordEnd(
     mTables[aPick.mPool], aPick.mServer.mId, aSentAt, aEvidence, aNow);
 }
 
 void
-pool_router::TakeLoad(const server_pick& aPick,
-                      const site::server_load& aLoad,
-                      time_point aNow)
+pool_router::RecordLoad(const selected_server& aPick,
+                        const site::server_load& aLoad,
+                        time_point aNow)
 {
   routing::TakeCount(mTables[aPick.mPool],
                      aPick.mServer.mId,
@@ -128,7 +130,7 @@
 }
 
 int
-pool_router::PlacesOf(const std::string& aPool) const
+pool_router::SlotsOf(const std::string& aPool) const
 {
   int places = 0;
   for (const auto& [id, row] : mDirectory.mRows) {
--- a/Duties/Forwarding/PoolRouter.h
+++ b/Duties/Forwarding/PoolRouter.h
@@ -9,7 +9,7 @@
 namespace lavender::forwarding {
 
 /** The server that the next attempt goes to. */
-struct server_pick
+struct selected_server
 {
   std::string mPool;
   site::backend_server mServer;
@@ -27,23 +27,24 @@
               std::string aAvailabilityZone);
 
   /** Takes the directory's present state into the routing tables. */
-  void TakeServers(time_point aNow);
+  void SyncServers(time_point aNow);
   /** Chooses a server of the route's pools; none when no server that wasn't
    * tried takes work. */
-  std::optional<server_pick> Pick(const site::route& aRoute,
-                                  const std::vector<std::string>& aTried);
-  void NoteSent(const server_pick& aPick, time_point aNow);
-  /** @param aSentAt what NoteSent was told for this request */
-  void NoteEnded(const server_pick& aPick,
+  std::optional<selected_server> SelectServer(
+    const site::route& aRoute,
+    const std::vector<std::string>& aTried);
+  void RecordSent(const selected_server& aPick, time_point aNow);
+  /** @param aSentAt what RecordSent was told for this request */
+  void RecordEnd(const selected_server& aPick,
                  time_point aSentAt,
                  routing::evidence aEvidence,
                  time_point aNow);
   /** Takes the load in that came with a server's answer. */
-  void TakeLoad(const server_pick& aPick,
-                const site::server_load& aLoad,
-                time_point aNow);
+  void RecordLoad(const selected_server& aPick,
+                  const site::server_load& aLoad,
+                  time_point aNow);
   /** Requests that the pool's servers can run at once. */
-  int PlacesOf(const std::string& aPool) const;
+  int SlotsOf(const std::string& aPool) const;
 
 private:
   const site::server_directory& mDirectory;
--- a/Duties/Keys/Authorize.cpp
+++ b/Duties/Keys/Authorize.cpp
@@ -14,7 +14,7 @@
     return Fail<authorization>("key_missing");
   }
   const std::string hash = HashKey(aAuthorizationHeader.substr(kScheme.size()));
-  if (auto reason = FindWithdrawal(aSnapshot, hash); !reason.empty()) {
+  if (auto reason = FindKeyRejection(aSnapshot, hash); !reason.empty()) {
     return Fail<authorization>(reason);
   }
   const auto& record = aSnapshot.mKeysByHash.at(hash);
@@ -23,8 +23,8 @@
 }
 
 std::string
-FindWithdrawal(const configuration::snapshot& aSnapshot,
-               const std::string& aKeyHash)
+FindKeyRejection(const configuration::snapshot& aSnapshot,
+                 const std::string& aKeyHash)
 {
   const auto key = aSnapshot.mKeysByHash.find(aKeyHash);
   if (key == aSnapshot.mKeysByHash.end()) {
--- a/Duties/Keys/Authorize.h
+++ b/Duties/Keys/Authorize.h
@@ -27,7 +27,7 @@
 /** Reason why a key that was good may no longer be used; empty when it may.
  * Asked again while a request waits and when queued work starts. */
 std::string
-FindWithdrawal(const configuration::snapshot& aSnapshot,
-               const std::string& aKeyHash);
+FindKeyRejection(const configuration::snapshot& aSnapshot,
+                 const std::string& aKeyHash);
 
 } // namespace lavender::keys
--- a/Duties/Keys/FreshnessGate.cpp
+++ b/Duties/Keys/FreshnessGate.cpp
@@ -18,22 +18,22 @@
  * still be heard is as stale as this one; only the silence of the rest tells
  * this from an outage for all. */
 bool
-HearsMost(const witness_summary& aWitnesses)
+HearsMost(const remote_freshness& aWitnesses)
 {
-  return aWitnesses.mAudible * 2 >= aWitnesses.mKnown.value_or(0);
+  return aWitnesses.mReachable * 2 >= aWitnesses.mKnown.value_or(0);
 }
 
 /** The store has answered somebody lately, well after it last answered this
  * entry. */
 bool
-AreOthersFresher(const own_freshness& aOwn,
-                 const witness_summary& aWitnesses,
+AreOthersFresher(const local_freshness& aOwn,
+                 const remote_freshness& aWitnesses,
                  const freshness_limits& aLimits,
                  time_point aNow)
 {
-  return IsYounger(aWitnesses.mLatestProof, aLimits.mOwnProof, aNow) &&
-         (!aOwn.mProvenAt ||
-          *aWitnesses.mLatestProof - *aOwn.mProvenAt >= aLimits.mMargin);
+  return IsYounger(aWitnesses.mLatestVerifiedAt, aLimits.mOwnProof, aNow) &&
+         (!aOwn.mVerifiedAt ||
+          *aWitnesses.mLatestVerifiedAt - *aOwn.mVerifiedAt >= aLimits.mMargin);
 }
 
 /** An entry that has just started joins only when everybody known has been
@@ -41,16 +41,17 @@
  * from an old disk, or hears an old copy of the store, would let withdrawn
  * keys in. */
 bool
-MayJoin(const own_freshness& aOwn,
-        const witness_summary& aWitnesses,
+MayJoin(const local_freshness& aOwn,
+        const remote_freshness& aWitnesses,
         const freshness_limits& aLimits,
         time_point aNow)
 {
-  if (aOwn.mKnownUpTo == 0 || aOwn.mKnownUpTo < aWitnesses.mHighestChanged ||
-      !aWitnesses.mKnown || aWitnesses.mAsked < *aWitnesses.mKnown) {
+  if (aOwn.mKnownRevision == 0 ||
+      aOwn.mKnownRevision < aWitnesses.mHighestChangedRevision ||
+      !aWitnesses.mKnown || aWitnesses.mPolled < *aWitnesses.mKnown) {
     return false;
   }
-  return IsYounger(aOwn.mProvenAt, aLimits.mOwnProof, aNow) ||
+  return IsYounger(aOwn.mVerifiedAt, aLimits.mOwnProof, aNow) ||
          (*aWitnesses.mKnown > 0 && HearsMost(aWitnesses));
 }
 
@@ -58,15 +59,16 @@
 
 freshness
 Judge(freshness_state& aState,
-      const own_freshness& aOwn,
-      const witness_summary& aWitnesses,
+      const local_freshness& aOwn,
+      const remote_freshness& aWitnesses,
       const freshness_limits& aLimits,
       time_point aNow)
 {
-  const bool isBehind = HasLasted(aState.mBehindSince,
-                                  aOwn.mKnownUpTo < aWitnesses.mHighestChanged,
-                                  aLimits.mCatchUp,
-                                  aNow);
+  const bool isBehind =
+    HasLasted(aState.mBehindSince,
+              aOwn.mKnownRevision < aWitnesses.mHighestChangedRevision,
+              aLimits.mCatchUp,
+              aNow);
   const bool isCutOff =
     HasLasted(aState.mCutOffSince,
               AreOthersFresher(aOwn, aWitnesses, aLimits, aNow),
@@ -81,7 +83,7 @@
   if (isBehind) {
     return freshness::Behind;
   }
-  if (IsYounger(aOwn.mProvenAt, aLimits.mOwnProof, aNow)) {
+  if (IsYounger(aOwn.mVerifiedAt, aLimits.mOwnProof, aNow)) {
     return freshness::Current;
   }
   if (isCutOff) {
@@ -98,7 +100,7 @@
 }
 
 const char*
-WordFor(freshness aFreshness)
+ToString(freshness aFreshness)
 {
   switch (aFreshness) {
     case freshness::Current:
--- a/Duties/Keys/FreshnessGate.h
+++ b/Duties/Keys/FreshnessGate.h
@@ -11,26 +11,26 @@
 namespace lavender::keys {
 
 /** What this entry knows of its own configuration. */
-struct own_freshness
+struct local_freshness
 {
   /** Every change up to this revision is known; 0 for no state at all. */
-  std::int64_t mKnownUpTo = 0;
+  std::int64_t mKnownRevision = 0;
   /** A time at which that was the newest; none when it never was proven. */
-  std::optional<time_point> mProvenAt;
+  std::optional<time_point> mVerifiedAt;
 };
 
 /** What other processes, peers and agents alike, tell of the configuration. */
-struct witness_summary
+struct remote_freshness
 {
   /** Processes by the last instance list, none before the first list; how
    * many of them were asked since the start, and how many answered lately. */
   std::optional<std::size_t> mKnown;
-  std::size_t mAsked = 0;
-  std::size_t mAudible = 0;
+  std::size_t mPolled = 0;
+  std::size_t mReachable = 0;
   /** Revision of the last change that any of them has heard of. */
-  std::int64_t mHighestChanged = 0;
+  std::int64_t mHighestChangedRevision = 0;
   /** Latest proof that any entry had of being up to date. */
-  std::optional<time_point> mLatestProof;
+  std::optional<time_point> mLatestVerifiedAt;
 };
 
 /** A withdrawn key works at most mOwnProof longer at an entry that is cut
@@ -79,8 +79,8 @@
  * cause does. */
 freshness
 Judge(freshness_state& aState,
-      const own_freshness& aOwn,
-      const witness_summary& aWitnesses,
+      const local_freshness& aOwn,
+      const remote_freshness& aWitnesses,
       const freshness_limits& aLimits,
       time_point aNow);
 
@@ -90,6 +90,6 @@
 
 /** Word for logs and metrics. */
 const char*
-WordFor(freshness aFreshness);
+ToString(freshness aFreshness);
 
 } // namespace lavender::keys
--- a/Duties/Keys/KeyGate.cpp
+++ b/Duties/Keys/KeyGate.cpp
@@ -22,16 +22,16 @@
   if (mJudgedAt && now - *mJudgedAt < kJudgeEvery) {
     return mLast;
   }
-  const auto judged = Judge(
-    mState, mOptions.mOwn(), mOptions.mWitnesses(), mOptions.mLimits, now);
+  const auto judged =
+    Judge(mState, mOptions.mLocal(), mOptions.mRemote(), mOptions.mLimits, now);
   mJudgedAt = now;
   if (judged != mLast) {
     Log(IsFreshEnough(judged) ? log_level::Info : log_level::Warning,
         "keys",
-        std::string("Configuration is ") + WordFor(judged));
+        std::string("Configuration is ") + ToString(judged));
     if (mOptions.mMetrics) {
       mOptions.mMetrics->Count("lavender_freshness_changes_total",
-                               { { "to", WordFor(judged) } });
+                               { { "to", ToString(judged) } });
     }
     mLast = judged;
   }
--- a/Duties/Keys/KeyGate.h
+++ b/Duties/Keys/KeyGate.h
@@ -11,8 +11,8 @@
 struct key_gate_options
 {
   freshness_limits mLimits;
-  std::function<own_freshness()> mOwn;
-  std::function<witness_summary()> mWitnesses;
+  std::function<local_freshness()> mLocal;
+  std::function<remote_freshness()> mRemote;
   /** May be null. */
   metrics::registry* mMetrics = nullptr;
 };
--- a/Duties/Keys/TestFreshnessGate.cpp
+++ b/Duties/Keys/TestFreshnessGate.cpp
@@ -19,7 +19,7 @@
   return state;
 }
 
-witness_summary
+remote_freshness
 AllAudible(std::int64_t aChanged, std::optional<time_point> aProof)
 {
   return { 4u, 4u, 4u, aChanged, aProof };
@@ -105,8 +105,8 @@
 BOOST_AUTO_TEST_CASE(JoinsOnlyAfterEverybodyWasAsked)
 {
   freshness_state state;
-  witness_summary summary;
-  const own_freshness fromDisk{ 7, std::nullopt };
+  remote_freshness summary;
+  const local_freshness fromDisk{ 7, std::nullopt };
   BOOST_TEST(
     (Judge(state, fromDisk, summary, {}, kStart) == freshness::Joining));
   summary = { 4u, 3u, 3u, 7, std::nullopt };
--- a/Duties/Keys/TestFreshnessHistories.cpp
+++ b/Duties/Keys/TestFreshnessHistories.cpp
@@ -71,16 +71,16 @@
 
 struct heard
 {
-  std::optional<time_point> mHeardAt;
+  std::optional<time_point> mLastResponseAt;
   bool mIsAsked = false;
-  std::int64_t mChanged = 0;
-  std::optional<time_point> mProvenAt;
+  std::int64_t mChangedRevision = 0;
+  std::optional<time_point> mVerifiedAt;
 };
 
 struct model_agent
 {
   int mSide = 0;
-  std::int64_t mChanged = 0;
+  std::int64_t mChangedRevision = 0;
   /** The same before the tick, in which it may have been asked first. */
   std::int64_t mChangedBefore = 0;
   time_point mFreshAt;
@@ -157,8 +157,8 @@
 bool
 KnowsKeyAsGood(const model_entry& aEntry, int aKey)
 {
-  return keys::FindWithdrawal(*aEntry.mState.mSnapshot,
-                              "hash-" + std::to_string(aKey))
+  return keys::FindKeyRejection(*aEntry.mState.mSnapshot,
+                                "hash-" + std::to_string(aKey))
     .empty();
 }
 
@@ -174,7 +174,7 @@
   if (aHasDisk && disk.mRevision > 0) {
     aEntry.mDisk = disk;
     auto copy = disk;
-    copy.mProvenAt.reset();
+    copy.mVerifiedAt.reset();
     TakeCopy(aEntry.mState, std::move(copy));
   }
 }
@@ -187,9 +187,9 @@
     return;
   }
   const auto& list = store.mAnswersOldCopy ? store.mOldCopy : store.mNow;
-  const auto from = aEntry.mState.mKnownUpTo;
+  const auto from = aEntry.mState.mKnownRevision;
   if (from == 0 || from < store.mOldestKept) {
-    TakeList(aEntry.mState, list, aWorld.mNow);
+    ApplyList(aEntry.mState, list, aWorld.mNow);
     return;
   }
   platform::watch_batch batch;
@@ -200,7 +200,7 @@
       batch.mEvents.push_back(event);
     }
   }
-  TakeBatch(aEntry.mState, batch, aWorld.mNow);
+  ApplyWatchBatch(aEntry.mState, batch, aWorld.mNow);
 }
 
 void
@@ -218,10 +218,10 @@
       continue;
     }
     const auto digest = DigestOf(peer.mState);
-    view.mHeardAt = aWorld.mNow;
-    view.mChanged = digest.mChanged;
-    view.mProvenAt = digest.mProvenAt;
-    if (TakeDigest(entry.mState, digest) == take_outcome::NeedsCopy) {
+    view.mLastResponseAt = aWorld.mNow;
+    view.mChangedRevision = digest.mChangedRevision;
+    view.mVerifiedAt = digest.mVerifiedAt;
+    if (TakeDigest(entry.mState, digest) == apply_outcome::NeedsCopy) {
       TakeCopy(entry.mState, CopyOf(peer.mState));
     }
   }
@@ -237,29 +237,31 @@
     if (!aWorld.AreLinked(aEntry.mSide, agent.mSide)) {
       continue;
     }
-    if (aEntry.mState.mChanged > 0 && aEntry.mState.mProvenAt) {
-      agent.mFreshAt = std::max(agent.mFreshAt, *aEntry.mState.mProvenAt);
+    if (aEntry.mState.mChangedRevision > 0 && aEntry.mState.mVerifiedAt) {
+      agent.mFreshAt = std::max(agent.mFreshAt, *aEntry.mState.mVerifiedAt);
     }
-    agent.mChanged = std::max(agent.mChanged, aEntry.mState.mChanged);
-    view.mHeardAt = aWorld.mNow;
-    view.mChanged = agent.mChanged;
-    view.mProvenAt = agent.mFreshAt;
+    agent.mChangedRevision =
+      std::max(agent.mChangedRevision, aEntry.mState.mChangedRevision);
+    view.mLastResponseAt = aWorld.mNow;
+    view.mChangedRevision = agent.mChangedRevision;
+    view.mVerifiedAt = agent.mFreshAt;
   }
 }
 
 template<typename Views>
 void
-AddUp(const Views& aViews, keys::witness_summary& aSummary, time_point aNow)
+AddUp(const Views& aViews, keys::remote_freshness& aSummary, time_point aNow)
 {
   for (const auto& view : aViews) {
-    aSummary.mAsked += view.mIsAsked ? 1 : 0;
-    if (!view.mHeardAt) {
+    aSummary.mPolled += view.mIsAsked ? 1 : 0;
+    if (!view.mLastResponseAt) {
       continue;
     }
-    aSummary.mAudible += aNow - *view.mHeardAt <= 4s ? 1 : 0;
-    aSummary.mHighestChanged =
-      std::max(aSummary.mHighestChanged, view.mChanged);
-    aSummary.mLatestProof = std::max(aSummary.mLatestProof, view.mProvenAt);
+    aSummary.mReachable += aNow - *view.mLastResponseAt <= 4s ? 1 : 0;
+    aSummary.mHighestChangedRevision =
+      std::max(aSummary.mHighestChangedRevision, view.mChangedRevision);
+    aSummary.mLatestVerifiedAt =
+      std::max(aSummary.mLatestVerifiedAt, view.mVerifiedAt);
   }
 }
 
@@ -269,12 +271,12 @@
 {
   for (const auto& peer : aWorld.mEntries) {
     if (peer.IsRunning() && aWorld.ArePeersLinked(aEntry.mSide, peer.mSide)) {
-      RC_ASSERT(aEntry.mState.mKnownUpTo >= peer.mChangedBefore);
+      RC_ASSERT(aEntry.mState.mKnownRevision >= peer.mChangedBefore);
     }
   }
   for (const auto& agent : aWorld.mAgents) {
     if (aWorld.AreLinked(aEntry.mSide, agent.mSide)) {
-      RC_ASSERT(aEntry.mState.mKnownUpTo >= agent.mChangedBefore);
+      RC_ASSERT(aEntry.mState.mKnownRevision >= agent.mChangedBefore);
     }
   }
 }
@@ -283,13 +285,13 @@
 JudgeEntry(world& aWorld, model_entry& aEntry)
 {
   const bool hadJoined = aEntry.mGate.mHasJoined;
-  keys::witness_summary summary;
+  keys::remote_freshness summary;
   summary.mKnown = kAgents + kEntries - 1;
   AddUp(aEntry.mAgents, summary, aWorld.mNow);
   AddUp(aEntry.mPeers, summary, aWorld.mNow);
   aEntry.mVerdict =
     keys::Judge(aEntry.mGate,
-                { aEntry.mState.mKnownUpTo, aEntry.mState.mProvenAt },
+                { aEntry.mState.mKnownRevision, aEntry.mState.mVerifiedAt },
                 summary,
                 {},
                 aWorld.mNow);
@@ -344,12 +346,12 @@
 {
   std::int64_t held = 0;
   for (const auto& entry : aWorld.mEntries) {
-    held = std::max(held, entry.IsRunning() ? entry.mState.mKnownUpTo : 0);
+    held = std::max(held, entry.IsRunning() ? entry.mState.mKnownRevision : 0);
   }
   return held > 0 && std::all_of(aWorld.mAgents.begin(),
                                  aWorld.mAgents.end(),
                                  [held](const auto& aAgent) {
-                                   return aAgent.mChanged <= held;
+                                   return aAgent.mChangedRevision <= held;
                                  });
 }
 
@@ -378,7 +380,7 @@
     entry.mIsAlone = isAlone ? entry.mIsAlone + 1 : 0;
     for (int key = 0; key < kKeys; ++key) {
       auto& ticks = entry.mKnowsWithdrawal[static_cast<std::size_t>(key)];
-      const bool knows = entry.IsRunning() && entry.mState.mKnownUpTo > 0 &&
+      const bool knows = entry.IsRunning() && entry.mState.mKnownRevision > 0 &&
                          !KnowsKeyAsGood(entry, key);
       ticks = knows ? ticks + 1 : 0;
     }
@@ -410,9 +412,9 @@
 void
 CheckEntry(world& aWorld, model_entry& aEntry)
 {
-  RC_ASSERT(aEntry.mState.mKnownUpTo >= aEntry.mHighestKnown);
-  RC_ASSERT(aEntry.mState.mSnapshot->mRevision <= aEntry.mState.mKnownUpTo);
-  aEntry.mHighestKnown = aEntry.mState.mKnownUpTo;
+  RC_ASSERT(aEntry.mState.mKnownRevision >= aEntry.mHighestKnown);
+  RC_ASSERT(aEntry.mState.mSnapshot->mRevision <= aEntry.mState.mKnownRevision);
+  aEntry.mHighestKnown = aEntry.mState.mKnownRevision;
   if (!aEntry.IsRunning() || !keys::IsFreshEnough(aEntry.mVerdict)) {
     return;
   }
@@ -435,7 +437,8 @@
   }
   for (const auto& entry : aWorld.mEntries) {
     RC_ASSERT(keys::IsFreshEnough(entry.mVerdict));
-    RC_ASSERT(entry.mState.mKnownUpTo >= aWorld.mEntries[0].mState.mChanged);
+    RC_ASSERT(entry.mState.mKnownRevision >=
+              aWorld.mEntries[0].mState.mChangedRevision);
   }
 }
 
@@ -444,10 +447,10 @@
 {
   aWorld.mNow += kTick;
   for (auto& entry : aWorld.mEntries) {
-    entry.mChangedBefore = entry.mState.mChanged;
+    entry.mChangedBefore = entry.mState.mChangedRevision;
   }
   for (auto& agent : aWorld.mAgents) {
-    agent.mChangedBefore = agent.mChanged;
+    agent.mChangedBefore = agent.mChangedRevision;
   }
   for (std::size_t i = 0; i < kEntries; ++i) {
     auto& entry = aWorld.mEntries[i];
@@ -458,7 +461,7 @@
     AskStore(aWorld, entry);
     ExchangeWithPeers(aWorld, i);
     PollAgents(aWorld, entry);
-    if (entry.mState.mChanged > entry.mDisk.mChanged) {
+    if (entry.mState.mChangedRevision > entry.mDisk.mChangedRevision) {
       entry.mDisk = CopyOf(entry.mState);
     }
   }
--- a/Duties/Leases/GuardedConnection.h
+++ b/Duties/Leases/GuardedConnection.h
@@ -23,7 +23,7 @@
  * TCP_USER_TIMEOUT, set below the rest of the lease: the kernel gives an
  * unacknowledged connection up without the process. Bytes on the wire or in
  * the receiver's buffer are what a successor waits out (lease_settings'
- * mLateBytes).
+ * mMaximumTransitTime).
  *
  * Use and destroy it in the thread that opened it: only there is the signal
  * certain to come first. */
--- a/Duties/Leases/Lease.cpp
+++ b/Duties/Leases/Lease.cpp
@@ -59,8 +59,8 @@
 milliseconds
 LateBytesWait(const lease_settings& aSettings)
 {
-  return aSettings.mLateBytes + aSettings.mLateBytes / aSettings.mDriftPart +
-         1ms;
+  return aSettings.mMaximumTransitTime +
+         aSettings.mMaximumTransitTime / aSettings.mDriftPart + 1ms;
 }
 
 /** When a lease that another process holds, or nobody, may be taken. */
@@ -70,7 +70,7 @@
        const lease_settings& aSettings)
 {
   const auto rank = std::min(aSelf.mRank, kCloseCandidates);
-  const auto handicap = aSettings.mHandicap * static_cast<int>(rank);
+  const auto handicap = aSettings.mDelayPerRank * static_cast<int>(rank);
   if (*aState.mRevision == 0 || aState.mRecord.mIsReleased) {
     return aState.mSeenAt + handicap;
   }
@@ -96,7 +96,7 @@
 } // namespace
 
 json::value
-Describe(const lease_record& aRecord)
+ToJson(const lease_record& aRecord)
 {
   json::value described;
   described.Set("holder", aRecord.mHolder);
@@ -123,7 +123,7 @@
 {
   // The holder's own duration counts: it may run with other settings.
   const auto duration = std::max(aRecord.mDuration, aSettings.mDuration);
-  const auto wait = duration + aSettings.mLateBytes;
+  const auto wait = duration + aSettings.mMaximumTransitTime;
   return wait + wait / aSettings.mDriftPart + 1ms;
 }
 
--- a/Duties/Leases/Lease.h
+++ b/Duties/Leases/Lease.h
@@ -23,14 +23,14 @@
   milliseconds mDuration{ 9000 };
   /** Within this a byte sent before a lease's end has arrived or is lost. A
    * successor waits it out on top of the duration. */
-  milliseconds mLateBytes{ 3000 };
+  milliseconds mMaximumTransitTime{ 3000 };
   /** How far the rates of two processes' clocks may differ: one part in this
    * many. */
   std::int64_t mDriftPart = 64;
   /** How long after a failed call the next one is made. */
   milliseconds mRetryEvery{ 300 };
   /** How much longer each less preferred candidate waits. */
-  milliseconds mHandicap{ 1500 };
+  milliseconds mDelayPerRank{ 1500 };
 };
 
 /** What the Object API holds of a lease, kind "Lease". */
@@ -45,7 +45,7 @@
 };
 
 json::value
-Describe(const lease_record& aRecord);
+ToJson(const lease_record& aRecord);
 lease_record
 ParseRecord(const json::value& aValue);
 
--- a/Duties/Leases/LeaseKeeper.cpp
+++ b/Duties/Leases/LeaseKeeper.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-lease_keeper::lease_keeper(keeper_options aOptions)
+lease_manager::lease_manager(lease_manager_options aOptions)
   : mOptions([&] {
     // A call that outlasts a part of the lease leaves no time for a retry.
     aOptions.mPlatform.mTimeout =
@@ -27,13 +27,13 @@
 {
 }
 
-lease_keeper::~lease_keeper()
+lease_manager::~lease_manager()
 {
   Stop();
 }
 
 void
-lease_keeper::Want(const std::string& aName)
+lease_manager::StartAcquiring(const std::string& aName)
 {
   std::lock_guard lock(mMutex);
   if (mIsStopping) {
@@ -50,7 +50,7 @@
 }
 
 void
-lease_keeper::Unwant(const std::string& aName)
+lease_manager::Relinquish(const std::string& aName)
 {
   std::lock_guard lock(mMutex);
   if (const auto found = mLeases.find(aName); found != mLeases.end()) {
@@ -60,7 +60,7 @@
 }
 
 void
-lease_keeper::LetExpire(const std::string& aName)
+lease_manager::LetExpire(const std::string& aName)
 {
   std::lock_guard lock(mMutex);
   if (const auto found = mLeases.find(aName); found != mLeases.end()) {
@@ -69,7 +69,7 @@
 }
 
 std::optional<held_lease>
-lease_keeper::Held(const std::string& aName) const
+lease_manager::Held(const std::string& aName) const
 {
   std::lock_guard lock(mMutex);
   const auto found = mLeases.find(aName);
@@ -80,16 +80,16 @@
 }
 
 lease_source
-lease_keeper::Source()
+lease_manager::Source()
 {
   return [this](const std::string& aName) {
-    Want(aName);
+    StartAcquiring(aName);
     return Held(aName);
   };
 }
 
 void
-lease_keeper::Stop()
+lease_manager::Stop()
 {
   {
     std::lock_guard lock(mMutex);
@@ -104,7 +104,7 @@
 }
 
 candidate
-lease_keeper::Self(const std::string& aLease) const
+lease_manager::Self(const std::string& aLease) const
 {
   const auto entries =
     mOptions.mEntries ? mOptions.mEntries() : std::vector<std::string>();
@@ -112,7 +112,7 @@
 }
 
 void
-lease_keeper::Run(kept_lease& aLease)
+lease_manager::Run(kept_lease& aLease)
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
@@ -133,7 +133,7 @@
 }
 
 void
-lease_keeper::Step(kept_lease& aLease, std::unique_lock<std::mutex>& aLock)
+lease_manager::Step(kept_lease& aLease, std::unique_lock<std::mutex>& aLock)
 {
   auto& state = aLease.mState;
   aLock.unlock();
@@ -152,9 +152,9 @@
 }
 
 void
-lease_keeper::WriteOut(kept_lease& aLease,
-                       const lease_step& aStep,
-                       std::unique_lock<std::mutex>& aLock)
+lease_manager::WriteOut(kept_lease& aLease,
+                        const lease_step& aStep,
+                        std::unique_lock<std::mutex>& aLock)
 {
   auto& state = aLease.mState;
   const auto wasHeld = HeldAt(state, boot_clock::now());
@@ -164,7 +164,7 @@
                                        kKind,
                                        state.mName,
                                        aStep.mExpected,
-                                       Describe(aStep.mRecord));
+                                       ToJson(aStep.mRecord));
   aLock.lock();
   TakeWrite(state,
             written,
@@ -181,7 +181,7 @@
 }
 
 void
-lease_keeper::GiveUp(kept_lease& aLease, std::unique_lock<std::mutex>& aLock)
+lease_manager::GiveUp(kept_lease& aLease, std::unique_lock<std::mutex>& aLock)
 {
   if (!aLease.mMayRelease) {
     aLease.mState.mHeld.reset();
@@ -195,7 +195,7 @@
 }
 
 void
-lease_keeper::ShowState(const kept_lease& aLease) const
+lease_manager::ShowState(const kept_lease& aLease) const
 {
   if (mOptions.mMetrics) {
     const auto held = HeldAt(aLease.mState, boot_clock::now());
--- a/Duties/Leases/LeaseKeeper.h
+++ b/Duties/Leases/LeaseKeeper.h
@@ -14,7 +14,7 @@
 
 namespace lavender::leases {
 
-struct keeper_options
+struct lease_manager_options
 {
   platform::client mPlatform;
   /** Name of this entry in the platform's list. */
@@ -28,18 +28,18 @@
 
 /** Wins and renews the leases that this process asks for, with a thread for
  * each, so that a slow answer about one delays no other. */
-class lease_keeper
+class lease_manager
 {
 public:
-  explicit lease_keeper(keeper_options aOptions);
-  ~lease_keeper();
-  lease_keeper(const lease_keeper&) = delete;
-  lease_keeper& operator=(const lease_keeper&) = delete;
+  explicit lease_manager(lease_manager_options aOptions);
+  ~lease_manager();
+  lease_manager(const lease_manager&) = delete;
+  lease_manager& operator=(const lease_manager&) = delete;
 
   /** From now on tries to hold that lease. */
-  void Want(const std::string& aName);
+  void StartAcquiring(const std::string& aName);
   /** Gives the lease up, when held, and no longer tries. */
-  void Unwant(const std::string& aName);
+  void Relinquish(const std::string& aName);
   /** At Stop, doesn't release that lease: something sent under it may still be
    * on its way, which a successor has to wait out. */
   void LetExpire(const std::string& aName);
@@ -69,7 +69,7 @@
   candidate Self(const std::string& aLease) const;
   void ShowState(const kept_lease& aLease) const;
 
-  const keeper_options mOptions;
+  const lease_manager_options mOptions;
   mutable std::mutex mMutex;
   std::condition_variable mChanged;
   bool mIsStopping = false;
--- a/Duties/Leases/TestLease.cpp
+++ b/Duties/Leases/TestLease.cpp
@@ -116,7 +116,7 @@
       edges.insert(TrueTime(each, each.mState.mNextAt) + 1us);
     }
     for (const auto& bytes : mBytes) {
-      edges.insert(bytes.mSentAt + mSettings.mLateBytes);
+      edges.insert(bytes.mSentAt + mSettings.mMaximumTransitTime);
     }
     edges.erase(edges.begin(), edges.upper_bound(mNow));
     if (!edges.empty()) {
@@ -222,7 +222,7 @@
 
   platform::stored_object Stored() const
   {
-    return { "Lease", "L", mStoredRevision, Describe(*mStored) };
+    return { "Lease", "L", mStoredRevision, ToJson(*mStored) };
   }
 
   /** The store carries a request out; the answer may get lost. */
@@ -322,7 +322,7 @@
                                 mBytes.end(),
                                 [&](const auto& aBytes) {
                                   return mNow - aBytes.mSentAt >
-                                         mSettings.mLateBytes;
+                                         mSettings.mMaximumTransitTime;
                                 }),
                  mBytes.end());
     if (mBytes.empty()) {
@@ -520,7 +520,7 @@
               lease_action::Read));
   platform::read_result read;
   read.mState = platform::read_state::Found;
-  read.mObject = { "Lease", "L", 7, Describe(step.mRecord) };
+  read.mObject = { "Lease", "L", 7, ToJson(step.mRecord) };
   TakeRead(state, read, self, settings, start + 3s);
   BOOST_REQUIRE(HeldAt(state, start + 3s).has_value());
   BOOST_TEST((HeldAt(state, start + 3s)->mExpiresAt == start + 9s));
--- a/Duties/Membership/DirectoryState.cpp
+++ b/Duties/Membership/DirectoryState.cpp
@@ -17,9 +17,9 @@
   if (isMoved || !aView.mConnections) {
     // Another process answers there: nothing known of the old one holds.
     aView.mConnections = aMakeConnections(aInstance.mEndpoint);
-    aView.mHeardAt.reset();
-    aView.mFailedAt.reset();
-    aView.mReportedAt = {};
+    aView.mLastResponseAt.reset();
+    aView.mLastFailedPollAt.reset();
+    aView.mReportRequestedAt = {};
     aView.mIncarnation.clear();
     aView.mIsLeaving = false;
   }
@@ -36,7 +36,7 @@
     return true;
   }
   return gone >= aLimits.mForgetSilentAfter &&
-         JudgeHeartbeat({ aView.mHeardAt, aView.mFailedAt },
+         JudgeHeartbeat({ aView.mLastResponseAt, aView.mLastFailedPollAt },
                         aLimits.mHeartbeat,
                         aNow) != liveness::Live;
 }
@@ -59,8 +59,8 @@
         const heartbeat_limits& aLimits,
         time_point aNow)
 {
-  const auto live =
-    JudgeHeartbeat({ aView.mHeardAt, aView.mFailedAt }, aLimits, aNow);
+  const auto live = JudgeHeartbeat(
+    { aView.mLastResponseAt, aView.mLastFailedPollAt }, aLimits, aNow);
   if (live != liveness::Live) {
     return live == liveness::Unknown ? server_state::Unknown
                                      : server_state::Silent;
@@ -73,7 +73,7 @@
 }
 
 const char*
-WordFor(server_state aState)
+ToString(server_state aState)
 {
   switch (aState) {
     case server_state::Live:
@@ -91,11 +91,11 @@
 }
 
 std::vector<std::string>
-TakeList(directory_state& aState,
-         const std::vector<platform::instance>& aList,
-         const directory_limits& aLimits,
-         const connection_maker& aMakeConnections,
-         time_point aNow)
+ApplyList(directory_state& aState,
+          const std::vector<platform::instance>& aList,
+          const directory_limits& aLimits,
+          const connection_maker& aMakeConnections,
+          time_point aNow)
 {
   aState.mListedAt = aNow;
   aState.mEntries.clear();
@@ -125,25 +125,25 @@
 }
 
 report_outcome
-TakeReport(directory_state& aState,
-           const std::string& aName,
-           const wire::agent_report& aReport,
-           const std::shared_ptr<agent_pool>& aConnections,
-           time_point aAskedAt,
-           time_point aNow)
+ApplyReport(directory_state& aState,
+            const std::string& aName,
+            const wire::agent_report& aReport,
+            const std::shared_ptr<agent_pool>& aConnections,
+            time_point aAskedAt,
+            time_point aNow)
 {
   const auto found = aState.mServers.find(aName);
   if (found == aState.mServers.end() ||
       found->second.mConnections != aConnections ||
-      aAskedAt < found->second.mReportedAt) {
+      aAskedAt < found->second.mReportRequestedAt) {
     // A report that was overtaken may be a predecessor's at this address.
     return report_outcome::Outdated;
   }
   auto& view = found->second;
   if (aReport.server_name != aName) {
     // Work for this instance's pool must not go to whoever answers there now.
-    view.mFailedAt = aAskedAt;
-    view.mHeardAt.reset();
+    view.mLastFailedPollAt = aAskedAt;
+    view.mLastResponseAt.reset();
     return report_outcome::OtherInstance;
   }
   view.mIsLeaving =
@@ -157,8 +157,8 @@
   view.mWitnessedRevision = aReport.witnessed_revision;
   view.mWitnessedFreshAge = milliseconds(aReport.witnessed_fresh_age_ms);
   view.mAgentClock = milliseconds(aReport.clock_ms);
-  view.mReportedAt = aAskedAt;
-  view.mHeardAt = aNow;
+  view.mReportRequestedAt = aAskedAt;
+  view.mLastResponseAt = aNow;
   return report_outcome::Taken;
 }
 
@@ -169,14 +169,14 @@
 {
   if (const auto found = aState.mServers.find(aName);
       found != aState.mServers.end()) {
-    found->second.mFailedAt = aAskedAt;
+    found->second.mLastFailedPollAt = aAskedAt;
   }
 }
 
 void
-TakeReply(directory_state& aState,
-          const std::string& aName,
-          const wire::dispatch_reply& aReply)
+ApplyReply(directory_state& aState,
+           const std::string& aName,
+           const wire::dispatch_reply& aReply)
 {
   const auto found = aState.mServers.find(aName);
   if (found == aState.mServers.end()) {
@@ -186,7 +186,7 @@
   if (view.mIncarnation != aReply.agent_incarnation) {
     // A restarted process, or a late word of its predecessor. Which of them
     // serves now, and whether it drains, is for the next report to tell.
-    view.mHeardAt.reset();
+    view.mLastResponseAt.reset();
     return;
   }
   view.mIsLeaving =
--- a/Duties/Membership/DirectoryState.h
+++ b/Duties/Membership/DirectoryState.h
@@ -33,12 +33,12 @@
   std::int64_t mWeightVersion = 0;
   std::int64_t mWitnessedRevision = 0;
   milliseconds mWitnessedFreshAge{ 0 };
-  std::optional<time_point> mHeardAt;
+  std::optional<time_point> mLastResponseAt;
   /** Start of the last poll that got no answer. */
-  std::optional<time_point> mFailedAt;
+  std::optional<time_point> mLastFailedPollAt;
   /** When the last answered poll left: its report is no older. */
-  time_point mReportedAt;
-  /** The agent's clock when the entry heard from it at mHeardAt. */
+  time_point mReportRequestedAt;
+  /** The agent's clock when the entry heard from it at mLastResponseAt. */
   milliseconds mAgentClock{ 0 };
   /** Last list that didn't name the instance any more, from its first on. */
   std::optional<time_point> mGoneSince;
@@ -86,7 +86,7 @@
 
 /** Word for logs, metrics and status. */
 const char*
-WordFor(server_state aState);
+ToString(server_state aState);
 
 using connection_maker =
   std::function<std::shared_ptr<agent_pool>(const http::endpoint&)>;
@@ -95,11 +95,11 @@
  * been gone for long.
  * @return names of the servers that are known now */
 std::vector<std::string>
-TakeList(directory_state& aState,
-         const std::vector<platform::instance>& aList,
-         const directory_limits& aLimits,
-         const connection_maker& aMakeConnections,
-         time_point aNow);
+ApplyList(directory_state& aState,
+          const std::vector<platform::instance>& aList,
+          const directory_limits& aLimits,
+          const connection_maker& aMakeConnections,
+          time_point aNow);
 
 enum class report_outcome
 {
@@ -114,12 +114,12 @@
  * @param aConnections that the report came on
  * @param aAskedAt when the poll left */
 report_outcome
-TakeReport(directory_state& aState,
-           const std::string& aName,
-           const wire::agent_report& aReport,
-           const std::shared_ptr<agent_pool>& aConnections,
-           time_point aAskedAt,
-           time_point aNow);
+ApplyReport(directory_state& aState,
+            const std::string& aName,
+            const wire::agent_report& aReport,
+            const std::shared_ptr<agent_pool>& aConnections,
+            time_point aAskedAt,
+            time_point aNow);
 
 /** Notes that a poll got no answer. */
 void
@@ -129,8 +129,8 @@
 
 /** Takes what any reply told of its agent. */
 void
-TakeReply(directory_state& aState,
-          const std::string& aName,
-          const wire::dispatch_reply& aReply);
+ApplyReply(directory_state& aState,
+           const std::string& aName,
+           const wire::dispatch_reply& aReply);
 
 } // namespace lavender::membership
--- a/Duties/Membership/Heartbeat.cpp
+++ b/Duties/Membership/Heartbeat.cpp
@@ -7,12 +7,13 @@
                const heartbeat_limits& aLimits,
                time_point aNow)
 {
-  if (!aHeartbeat.mHeardAt) {
+  if (!aHeartbeat.mLastResponseAt) {
     return liveness::Unknown;
   }
-  const auto silence = aNow - *aHeartbeat.mHeardAt;
+  const auto silence = aNow - *aHeartbeat.mLastResponseAt;
   const bool hasFailed =
-    aHeartbeat.mFailedAt && *aHeartbeat.mFailedAt >= *aHeartbeat.mHeardAt;
+    aHeartbeat.mLastFailedPollAt &&
+    *aHeartbeat.mLastFailedPollAt >= *aHeartbeat.mLastResponseAt;
   const auto limit = hasFailed ? aLimits.mSilence : aLimits.mLongSilence;
   return silence <= limit ? liveness::Live : liveness::Silent;
 }
--- a/Duties/Membership/Heartbeat.h
+++ b/Duties/Membership/Heartbeat.h
@@ -9,9 +9,9 @@
 /** When an agent was heard, and when it failed to answer. */
 struct heartbeat
 {
-  std::optional<time_point> mHeardAt;
+  std::optional<time_point> mLastResponseAt;
   /** Start of the last poll that got no answer. */
-  std::optional<time_point> mFailedAt;
+  std::optional<time_point> mLastFailedPollAt;
 };
 
 struct heartbeat_limits
--- a/Duties/Membership/ServerDirectory.cpp
+++ b/Duties/Membership/ServerDirectory.cpp
@@ -51,7 +51,7 @@
 
 server_directory::server_directory(directory_options aOptions)
   : mOptions(std::move(aOptions))
-  , mPolls({ mOptions.mPollEvery,
+  , mPolls({ mOptions.mPollInterval,
              mOptions.mPollThreads,
              std::max<std::size_t>(mOptions.mPollThreads / 4, 1),
              [this](const std::string& aName) { return PollOnce(aName); } })
@@ -115,7 +115,7 @@
   std::vector<std::string> names;
   {
     std::lock_guard lock(mMutex);
-    names = TakeList(
+    names = ApplyList(
       mState,
       aList,
       mOptions.mLimits,
@@ -186,7 +186,7 @@
   message.echo = aName;
   message.entry_incarnation = mOptions.mEntryIncarnation;
   message.configuration_revision = digest.mRevision;
-  message.fresh_age_ms = digest.mFreshAge.count();
+  message.fresh_age_ms = digest.mVerificationAge.count();
   const auto askedAt = boot_clock::now();
   const auto outcome = connections->Run<wire::agent_report>(
     mOptions.mPollTimeout, aName, [&](auto& aClient, auto& aReply) {
@@ -201,7 +201,7 @@
     return poll_outcome::Silent;
   }
   std::unique_lock lock(mMutex);
-  const auto taken = TakeReport(
+  const auto taken = ApplyReport(
     mState, aName, outcome.mReply, connections, askedAt, boot_clock::now());
   CountPoll(taken == report_outcome::OtherInstance ? "other_instance"
                                                    : "answered");
@@ -214,32 +214,34 @@
 }
 
 void
-server_directory::OnReport(std::function<void(const server_view&)> aObserver)
+server_directory::SetReportObserver(
+  std::function<void(const server_view&)> aObserver)
 {
   mObserver = std::move(aObserver);
 }
 
-witness_report
-server_directory::Witnesses() const
+agent_freshness
+server_directory::AgentFreshness() const
 {
-  witness_report report;
+  agent_freshness report;
   const auto now = boot_clock::now();
   std::lock_guard lock(mMutex);
   if (mState.mListedAt) {
     report.mKnown = mState.mServers.size();
   }
   for (const auto& [name, view] : mState.mServers) {
-    report.mAsked += view.mHeardAt || view.mFailedAt ? 1 : 0;
-    if (!view.mHeardAt) {
+    report.mPolled += view.mLastResponseAt || view.mLastFailedPollAt ? 1 : 0;
+    if (!view.mLastResponseAt) {
       continue;
     }
-    report.mAudible += now - *view.mHeardAt <= kAudible ? 1 : 0;
-    report.mHighestChanged =
-      std::max(report.mHighestChanged, view.mWitnessedRevision);
+    report.mReachable += now - *view.mLastResponseAt <= kAudible ? 1 : 0;
+    report.mHighestChangedRevision =
+      std::max(report.mHighestChangedRevision, view.mWitnessedRevision);
     // Counted from when the question left, so the proof is no younger than
     // this.
-    const auto proof = view.mReportedAt - view.mWitnessedFreshAge;
-    report.mLatestProof = std::max(report.mLatestProof.value_or(proof), proof);
+    const auto proof = view.mReportRequestedAt - view.mWitnessedFreshAge;
+    report.mLatestVerifiedAt =
+      std::max(report.mLatestVerifiedAt.value_or(proof), proof);
   }
   return report;
 }
@@ -256,7 +258,7 @@
                               server_state::ServerDown,
                               server_state::Unknown }) {
       // Zeros too, so that a series doesn't stay at its last value.
-      counts[{ view.mInstance.mPool, WordFor(state) }] +=
+      counts[{ view.mInstance.mPool, ToString(state) }] +=
         StateOf(view, mOptions.mLimits.mHeartbeat, now) == state ? 1 : 0;
     }
   }
@@ -308,11 +310,11 @@
 }
 
 void
-server_directory::TakeReply(const std::string& aName,
-                            const wire::dispatch_reply& aReply)
+server_directory::ApplyReply(const std::string& aName,
+                             const wire::dispatch_reply& aReply)
 {
   std::lock_guard lock(mMutex);
-  membership::TakeReply(mState, aName, aReply);
+  membership::ApplyReply(mState, aName, aReply);
 }
 
 } // namespace lavender::membership
--- a/Duties/Membership/ServerDirectory.h
+++ b/Duties/Membership/ServerDirectory.h
@@ -16,24 +16,24 @@
 namespace lavender::membership {
 
 /** What an entry tells agents of its configuration with each poll. */
-struct own_digest
+struct configuration_digest
 {
   /** Of the last change to the configuration. */
   std::int64_t mRevision = 0;
-  milliseconds mFreshAge{ 0 };
+  milliseconds mVerificationAge{ 0 };
 };
 
 struct directory_options
 {
   platform::client mPlatform;
   std::string mEntryIncarnation;
-  milliseconds mPollEvery{ 500 };
+  milliseconds mPollInterval{ 500 };
   milliseconds mListEvery{ 1000 };
   /** Threads that poll agents; a quarter as many again poll silent ones. */
   std::size_t mPollThreads = 16;
   /** Longest silence of one poll. */
   milliseconds mPollTimeout{ 1000 };
-  std::function<own_digest()> mDigest;
+  std::function<configuration_digest()> mDigest;
   directory_limits mLimits;
   /** Folder that keeps the last list for a start while the platform is down;
    * empty to keep nothing. */
@@ -44,13 +44,13 @@
 
 /** How many servers could be asked and heard, and the freshest they know of
  * the configuration. */
-struct witness_report
+struct agent_freshness
 {
   std::optional<std::size_t> mKnown;
-  std::size_t mAsked = 0;
-  std::size_t mAudible = 0;
-  std::int64_t mHighestChanged = 0;
-  std::optional<time_point> mLatestProof;
+  std::size_t mPolled = 0;
+  std::size_t mReachable = 0;
+  std::int64_t mHighestChangedRevision = 0;
+  std::optional<time_point> mLatestVerifiedAt;
 };
 
 /** Keeps the views fresh with a thread for the platform's list and a bounded
@@ -75,12 +75,12 @@
   void AddInFlight(const std::string& aName, int aChange);
   /** Called with a copy of each view that a report has changed, from the
    * polling threads. Set before Start. */
-  void OnReport(std::function<void(const server_view&)> aObserver);
+  void SetReportObserver(std::function<void(const server_view&)> aObserver);
   /** Takes what any reply told of its agent. */
-  void TakeReply(const std::string& aName, const wire::dispatch_reply& aReply);
+  void ApplyReply(const std::string& aName, const wire::dispatch_reply& aReply);
 
   /** What the agents tell of the configuration. */
-  witness_report Witnesses() const;
+  agent_freshness AgentFreshness() const;
   /** Sets the gauges of servers by pool and state. */
   void WriteGauges(metrics::registry& aMetrics) const;
 
--- a/Duties/Membership/TestDirectoryState.cpp
+++ b/Duties/Membership/TestDirectoryState.cpp
@@ -78,7 +78,7 @@
       aWorld.mGoneSince[index] = aWorld.mNow;
     }
   }
-  TakeList(
+  ApplyList(
     aWorld.mState,
     list,
     {},
@@ -126,12 +126,12 @@
   const auto report = aWorld.mUnderWay[which];
   aWorld.mUnderWay.erase(aWorld.mUnderWay.begin() +
                          static_cast<std::ptrdiff_t>(which));
-  const auto taken = TakeReport(aWorld.mState,
-                                report.mName,
-                                report.mReport,
-                                report.mConnections,
-                                report.mAskedAt,
-                                aWorld.mNow);
+  const auto taken = ApplyReport(aWorld.mState,
+                                 report.mName,
+                                 report.mReport,
+                                 report.mConnections,
+                                 report.mAskedAt,
+                                 aWorld.mNow);
   if (taken == report_outcome::Taken && report.mReport.draining) {
     aWorld.mSaidDraining.insert(report.mReport.agent_incarnation);
   }
@@ -162,7 +162,7 @@
   const auto found = aWorld.mState.mServers.find(name);
   const bool isCurrent = found != aWorld.mState.mServers.end() &&
                          found->second.mIncarnation == reply.agent_incarnation;
-  TakeReply(aWorld.mState, name, reply);
+  ApplyReply(aWorld.mState, name, reply);
   if (isCurrent && reply.draining) {
     aWorld.mSaidDraining.insert(reply.agent_incarnation);
   }
@@ -199,7 +199,8 @@
     if (StateOf(view, {}, aWorld.mNow) == server_state::Live) {
       RC_ASSERT(aWorld.mSaidDraining.count(view.mIncarnation) == 0u);
       RC_ASSERT(view.mIncarnation != "elsewhere");
-      RC_ASSERT(view.mHeardAt && aWorld.mNow - *view.mHeardAt <= 10s);
+      RC_ASSERT(view.mLastResponseAt &&
+                aWorld.mNow - *view.mLastResponseAt <= 10s);
     }
   }
 }
--- a/Duties/Orders/OrderChannel.cpp
+++ b/Duties/Orders/OrderChannel.cpp
@@ -37,7 +37,7 @@
 bool
 IsSame(const order_record& aOne, const order_record& aOther)
 {
-  return json::Write(Describe(aOne)) == json::Write(Describe(aOther));
+  return json::Write(ToJson(aOne)) == json::Write(ToJson(aOther));
 }
 
 } // namespace
@@ -49,7 +49,7 @@
 }
 
 json::value
-Describe(const order_record& aRecord)
+ToJson(const order_record& aRecord)
 {
   json::value described;
   described.Set("id", aRecord.mId);
@@ -133,7 +133,7 @@
     Count("lease_too_short");
     return order_outcome::TryAgain;
   }
-  auto body = Describe(mRecord);
+  auto body = ToJson(mRecord);
   body.Set("holder", mPlatform.mCaller);
   const auto answer = leases::PostUnderLease(
     mPlatform, "/v1/zones/" + http::EncodeUrl(mZone) + "/orders", body, aLease);
@@ -156,7 +156,7 @@
 {
   aRecord.mFencing = aLease.mFencing;
   const auto written =
-    platform::Write(mPlatform, kKind, mZone, mRevision, Describe(aRecord));
+    platform::Write(mPlatform, kKind, mZone, mRevision, ToJson(aRecord));
   if (written.mState == platform::write_state::Done) {
     mRevision = written.mRevision;
     mRecord = std::move(aRecord);
--- a/Duties/Orders/OrderChannel.h
+++ b/Duties/Orders/OrderChannel.h
@@ -37,7 +37,7 @@
 };
 
 json::value
-Describe(const order_record& aRecord);
+ToJson(const order_record& aRecord);
 order_record
 ParseRecord(const json::value& aValue);
 
--- a/Duties/Orders/Scale.cpp
+++ b/Duties/Orders/Scale.cpp
@@ -55,7 +55,8 @@
 IsIdle(const zone_load& aLoad, const scale_policy& aPolicy)
 {
   return aLoad.mIdlest && !IsBusy(aLoad, aPolicy) &&
-         aLoad.mWork < aPolicy.mLowUse * (aLoad.mSlots - aLoad.mIdlest->mSlots);
+         aLoad.mWork <
+           aPolicy.mLowUtilisation * (aLoad.mSlots - aLoad.mIdlest->mSlots);
 }
 
 scale_decision
@@ -85,9 +86,10 @@
   const auto load = Sum(aServers);
   const bool isBusyLong =
     HasLasted(aState.mBusySince, IsBusy(load, aPolicy), aPolicy.mBusyFor, aNow);
-  const bool isIdleLong =
-    HasLasted(aState.mIdleSince, IsIdle(load, aPolicy), aPolicy.mIdleFor, aNow);
-  if (aState.mChangedAt && aNow - *aState.mChangedAt < aPolicy.mStartTime) {
+  const bool isIdleLong = HasLasted(
+    aState.mIdleSince, IsIdle(load, aPolicy), aPolicy.mScaleDownDelay, aNow);
+  if (aState.mChangedAt &&
+      aNow - *aState.mChangedAt < aPolicy.mStartupDuration) {
     return {};
   }
   if (load.mServers < aPolicy.mMinimum) {
