--- a/Duties/Orders/Scale.h
+++ b/Duties/Orders/Scale.h
@@ -35,15 +35,15 @@
   double mHighUse = 0.8;
   /** A server goes only when the rest would stay below this. The gap between
    * the two keeps a stop from causing the next start. */
-  double mLowUse = 0.5;
+  double mLowUtilisation = 0.5;
   milliseconds mLongQueueDelay{ 500 };
   /** How long it must be busy, or idle, without a break. An idle server costs
    * less than a queue, so stopping is the slower one. */
   milliseconds mBusyFor{ 5000 };
-  milliseconds mIdleFor{ 60000 };
+  milliseconds mScaleDownDelay{ 60000 };
   /** From a start order to the first request; no change meanwhile, since the
    * server that is on its way isn't seen in the load yet. */
-  milliseconds mStartTime{ 60000 };
+  milliseconds mStartupDuration{ 60000 };
 };
 
 /** Memory of the decision between two looks. */
--- a/Duties/Orders/TestScale.cpp
+++ b/Duties/Orders/TestScale.cpp
@@ -52,7 +52,7 @@
   {
     mNow += kStep;
     while (!mStarting.empty() &&
-           mNow - mStarting.front() >= mPolicy.mStartTime) {
+           mNow - mStarting.front() >= mPolicy.mStartupDuration) {
       mStarting.erase(mStarting.begin());
       ++mServers;
     }
@@ -129,7 +129,7 @@
           continue;
         }
         RC_ASSERT(!changedAt ||
-                  zone.mNow - *changedAt >= zone.mPolicy.mStartTime);
+                  zone.mNow - *changedAt >= zone.mPolicy.mStartupDuration);
         changedAt = zone.mNow;
         RC_ASSERT(decision.mAction != scale_action::Stop ||
                   load <= zone.mPolicy.mHighUse * before * 16);
--- a/Duties/Orders/ZoneKeeper.cpp
+++ b/Duties/Orders/ZoneKeeper.cpp
@@ -19,28 +19,29 @@
 
 } // namespace
 
-zone_keeper::zone_keeper(zone_keeper_options aOptions,
-                         configuration::configuration_store& aConfiguration,
-                         membership::server_directory& aDirectory)
+zone_autoscaler::zone_autoscaler(
+  zone_autoscaler_options aOptions,
+  configuration::configuration_store& aConfiguration,
+  membership::server_directory& aDirectory)
   : mOptions(std::move(aOptions))
   , mConfiguration(aConfiguration)
   , mDirectory(aDirectory)
 {
 }
 
-zone_keeper::~zone_keeper()
+zone_autoscaler::~zone_autoscaler()
 {
   Stop();
 }
 
 void
-zone_keeper::Start()
+zone_autoscaler::Start()
 {
   mThread = std::thread([this] { Run(); });
 }
 
 void
-zone_keeper::Stop()
+zone_autoscaler::Stop()
 {
   {
     std::lock_guard lock(mMutex);
@@ -53,14 +54,14 @@
   for (const auto& [name, zone] : mZones) {
     const auto unanswered = zone.mChannel.UnansweredAt();
     if (mOptions.mLetExpire && unanswered &&
-        boot_clock::now() - *unanswered < mOptions.mLateBytes) {
+        boot_clock::now() - *unanswered < mOptions.mMaximumTransitTime) {
       mOptions.mLetExpire(LeaseName(name));
     }
   }
 }
 
 void
-zone_keeper::Run()
+zone_autoscaler::Run()
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
@@ -68,12 +69,12 @@
     LookAtAll();
     lock.lock();
     mStopped.wait_for(
-      lock, mOptions.mLookEvery, [this] { return mIsStopping; });
+      lock, mOptions.mCheckInterval, [this] { return mIsStopping; });
   }
 }
 
 void
-zone_keeper::LookAtAll()
+zone_autoscaler::LookAtAll()
 {
   const auto snapshot = mConfiguration.Current();
   const bool isScaling = std::any_of(
@@ -101,9 +102,9 @@
 }
 
 void
-zone_keeper::LookAt(zone& aZone,
-                    const std::string& aName,
-                    const leases::held_lease& aLease)
+zone_autoscaler::LookAt(zone& aZone,
+                        const std::string& aName,
+                        const leases::held_lease& aLease)
 {
   if (!aZone.mChannel.TakeOver(aLease)) {
     return;
@@ -128,9 +129,9 @@
 }
 
 void
-zone_keeper::Decide(zone& aZone,
-                    const std::string& aName,
-                    const leases::held_lease& aLease)
+zone_autoscaler::Decide(zone& aZone,
+                        const std::string& aName,
+                        const leases::held_lease& aLease)
 {
   for (const auto& [name, pool] : mConfiguration.Current()->mPools) {
     auto policy = mOptions.mPolicy;
@@ -158,7 +159,7 @@
 }
 
 void
-zone_keeper::GoOn(zone& aZone, const leases::held_lease& aLease)
+zone_autoscaler::GoOn(zone& aZone, const leases::held_lease& aLease)
 {
   const auto& order = aZone.mChannel.Current();
   if (order.mStage == order_stage::Draining && !IsDrained(aZone, aLease)) {
@@ -171,7 +172,7 @@
 }
 
 bool
-zone_keeper::IsDrained(zone& aZone, const leases::held_lease& aLease)
+zone_autoscaler::IsDrained(zone& aZone, const leases::held_lease& aLease)
 {
   const auto& order = aZone.mChannel.Current();
   const auto server = mDirectory.Find(order.mServer);
@@ -215,7 +216,7 @@
 }
 
 std::vector<server_load>
-zone_keeper::Loads(const std::string& aZone, const std::string& aPool) const
+zone_autoscaler::Loads(const std::string& aZone, const std::string& aPool) const
 {
   const auto now = boot_clock::now();
   std::vector<server_load> loads;
@@ -232,8 +233,8 @@
     load.mQueueDelay =
       milliseconds(static_cast<std::int64_t>(view.mLoad.queue_delay_ms));
     load.mIsLeaving = view.mIsLeaving;
-    load.mIsHeard = view.mIsServerReachable && view.mHeardAt &&
-                    now - *view.mHeardAt < kOldestReport;
+    load.mIsHeard = view.mIsServerReachable && view.mLastResponseAt &&
+                    now - *view.mLastResponseAt < kOldestReport;
     loads.push_back(std::move(load));
   }
   return loads;
--- a/Duties/Orders/ZoneKeeper.h
+++ b/Duties/Orders/ZoneKeeper.h
@@ -15,7 +15,7 @@
 
 namespace lavender::orders {
 
-struct zone_keeper_options
+struct zone_autoscaler_options
 {
   platform::client mPlatform;
   leases::lease_source mLeases;
@@ -23,10 +23,10 @@
    * them may still be on its way. */
   std::function<void(const std::string&)> mLetExpire;
   /** Within this a sent order has arrived or is lost. */
-  milliseconds mLateBytes{ 3000 };
+  milliseconds mMaximumTransitTime{ 3000 };
   /** Bounds come from each pool; the rest from here. */
   scale_policy mPolicy;
-  milliseconds mLookEvery{ 300 };
+  milliseconds mCheckInterval{ 300 };
   /** A stop whose drain lasts longer is told in the log; it is deferred on,
    * since a planned stop cuts no request. */
   milliseconds mDrainDeadline{ 60000 };
@@ -35,15 +35,15 @@
 
 /** Starts and stops backend servers in the zones whose lease this process
  * holds, with a thread of its own. */
-class zone_keeper
+class zone_autoscaler
 {
 public:
-  zone_keeper(zone_keeper_options aOptions,
-              configuration::configuration_store& aConfiguration,
-              membership::server_directory& aDirectory);
-  ~zone_keeper();
-  zone_keeper(const zone_keeper&) = delete;
-  zone_keeper& operator=(const zone_keeper&) = delete;
+  zone_autoscaler(zone_autoscaler_options aOptions,
+                  configuration::configuration_store& aConfiguration,
+                  membership::server_directory& aDirectory);
+  ~zone_autoscaler();
+  zone_autoscaler(const zone_autoscaler&) = delete;
+  zone_autoscaler& operator=(const zone_autoscaler&) = delete;
 
   void Start();
   void Stop();
@@ -78,7 +78,7 @@
   std::vector<server_load> Loads(const std::string& aZone,
                                  const std::string& aPool) const;
 
-  const zone_keeper_options mOptions;
+  const zone_autoscaler_options mOptions;
   configuration::configuration_store& mConfiguration;
   membership::server_directory& mDirectory;
   std::mutex mMutex;
--- a/Duties/Reports/Remainder.cpp
+++ b/Duties/Reports/Remainder.cpp
@@ -14,11 +14,11 @@
 constexpr milliseconds kRetryEvery = 200ms;
 
 json::value
-Describe(const remainder& aRemainder)
+ToJson(const remainder& aRemainder)
 {
   json::value described;
-  described.Set("buckets", usage::Describe(aRemainder.mBuckets));
-  described.Set("superseded", usage::Describe(aRemainder.mSuperseded));
+  described.Set("buckets", usage::ToJson(aRemainder.mBuckets));
+  described.Set("superseded", usage::ToJson(aRemainder.mSuperseded));
   return described;
 }
 
@@ -49,7 +49,7 @@
   if (left.mBuckets.empty() && left.mSuperseded.empty()) {
     return true;
   }
-  const auto described = Describe(left);
+  const auto described = ToJson(left);
   do {
     const auto written =
       platform::Write(aPlatform, kKind, aEntryIncarnation, 0, described);
--- a/Duties/Reports/UsageReporter.cpp
+++ b/Duties/Reports/UsageReporter.cpp
@@ -129,7 +129,7 @@
     mThread.join();
   }
   if (mOptions.mLetExpire && mUnansweredAt &&
-      boot_clock::now() - *mUnansweredAt < mOptions.mLateBytes) {
+      boot_clock::now() - *mUnansweredAt < mOptions.mMaximumTransitTime) {
     mOptions.mLetExpire(kLease);
   }
 }
@@ -145,7 +145,7 @@
     }
     lock.lock();
     mStopped.wait_for(
-      lock, mOptions.mLookEvery, [this] { return mIsStopping; });
+      lock, mOptions.mCheckInterval, [this] { return mIsStopping; });
   }
 }
 
--- a/Duties/Reports/UsageReporter.h
+++ b/Duties/Reports/UsageReporter.h
@@ -28,10 +28,10 @@
   /** Told of the lease that must not be released at the end, since a report
    * under it may still be on its way. */
   std::function<void(const std::string&)> mLetExpire;
-  milliseconds mLateBytes{ 3000 };
+  milliseconds mMaximumTransitTime{ 3000 };
   std::string mEntryName;
   std::chrono::seconds mWindow{ 60 };
-  milliseconds mLookEvery{ 500 };
+  milliseconds mCheckInterval{ 500 };
   metrics::registry* mMetrics = nullptr;
 };
 
--- a/Duties/Reports/WindowStore.cpp
+++ b/Duties/Reports/WindowStore.cpp
@@ -82,7 +82,7 @@
 window_store::Fix(const usage::window_report& aReport)
 {
   const auto written = platform::Write(
-    mPlatform, kKind, WindowName(aReport.mWindow), 0, usage::Describe(aReport));
+    mPlatform, kKind, WindowName(aReport.mWindow), 0, usage::ToJson(aReport));
   if (written.mState == platform::write_state::Done) {
     mNewest = aReport;
     mRevision = written.mRevision;
@@ -122,7 +122,7 @@
                                        kKind,
                                        WindowName(report.mWindow),
                                        mRevision,
-                                       usage::Describe(report));
+                                       usage::ToJson(report));
   if (written.mState == platform::write_state::Done) {
     mNewest = std::move(report);
     mRevision = written.mRevision;
--- a/Duties/Retirement/RetirementDuty.cpp
+++ b/Duties/Retirement/RetirementDuty.cpp
@@ -12,9 +12,9 @@
 constexpr milliseconds kLookEach = 2000ms;
 } // namespace
 
-retirement_duty::retirement_duty(retirement_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+retirement_duty::retirement_duty(retirement_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
@@ -38,9 +38,9 @@
 void
 retirement_duty::Look()
 {
-  mParts.mStore.mGet(
-    mParts.mKind,
-    mParts.mName,
+  mDependencies.mStore.mGet(
+    mDependencies.mKind,
+    mDependencies.mName,
     objects::freshness::MayBeStale,
     [this](const objects::object_reply& aReply) {
       if (aReply.mOutcome == store_outcome::Done &&
@@ -55,16 +55,16 @@
 void
 retirement_duty::Complete()
 {
-  mParts.mStore.mReplaceStatus(mParts.mKind,
-                               mParts.mName,
-                               0,
-                               R"({"state":"completed"})",
-                               [this](const objects::object_reply& aReply) {
-                                 events::line("retirement_completed")
-                                   .With("outcome",
-                                         objects::WordFor(aReply.mOutcome));
-                                 LookAgain();
-                               });
+  mDependencies.mStore.mReplaceStatus(
+    mDependencies.mKind,
+    mDependencies.mName,
+    0,
+    R"({"state":"completed"})",
+    [this](const objects::object_reply& aReply) {
+      events::line("retirement_completed")
+        .With("outcome", objects::ToString(aReply.mOutcome));
+      LookAgain();
+    });
 }
 
 } // namespace lavender::retirement
--- a/Duties/Retirement/RetirementDuty.h
+++ b/Duties/Retirement/RetirementDuty.h
@@ -8,7 +8,7 @@
 /** Answers an operator's wish to take an instance with a disk away. */
 namespace lavender::retirement {
 
-struct retirement_parts
+struct retirement_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
@@ -23,7 +23,7 @@
 class retirement_duty
 {
 public:
-  explicit retirement_duty(retirement_parts aParts);
+  explicit retirement_duty(retirement_dependencies aParts);
 
   void Start();
 
@@ -32,7 +32,7 @@
   void Look();
   void Complete();
 
-  retirement_parts mParts;
+  retirement_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
 };
 
--- a/Duties/Rewards/RewardCaller.cpp
+++ b/Duties/Rewards/RewardCaller.cpp
@@ -31,20 +31,20 @@
 } // namespace
 
 /** One sending of a call to one server. */
-struct reward_caller::sending
+struct reward_client::sending
 {
-  forwarding::server_pick mPick;
+  forwarding::selected_server mPick;
   edge::call_handle mHandle;
   time_point mSentAt;
   /** Given up as silent then. */
   time_point mEndsAt;
-  site::answer_facts mFacts;
+  site::response_metadata mFacts;
   unsigned mStatus = 0;
   bool mIsHedge = false;
   bool mIsOpen = true;
 };
 
-struct reward_caller::call
+struct reward_client::call
 {
   std::uint64_t mNumber = 0;
   reward_request mRequest;
@@ -62,28 +62,29 @@
   bool mIsOver = false;
 };
 
-reward_caller::reward_caller(caller_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+reward_client::reward_client(client_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
 std::uint64_t
-reward_caller::Start(reward_request aRequest)
+reward_client::Start(reward_request aRequest)
 {
   auto started = std::make_shared<call>();
   started->mNumber = ++mNumbers;
   started->mRequest = std::move(aRequest);
   started->mAskedAt = boot_clock::now();
   started->mNotBefore = started->mAskedAt;
-  started->mTimer = std::make_unique<boost::asio::steady_timer>(mParts.mLoop);
+  started->mTimer =
+    std::make_unique<boost::asio::steady_timer>(mDependencies.mLoop);
   mCalls[started->mNumber] = started;
   PlanDispatch(0ms);
   return started->mNumber;
 }
 
 void
-reward_caller::Cancel(std::uint64_t aNumber)
+reward_client::Cancel(std::uint64_t aNumber)
 {
   const auto found = mCalls.find(aNumber);
   if (found == mCalls.end()) {
@@ -95,7 +96,7 @@
 }
 
 void
-reward_caller::PlanDispatch(milliseconds aPause)
+reward_client::PlanDispatch(milliseconds aPause)
 {
   const auto at = boot_clock::now() + aPause;
   if (mDispatchAt <= at) {
@@ -112,7 +113,7 @@
 }
 
 void
-reward_caller::Dispatch()
+reward_client::Dispatch()
 {
   const auto now = boot_clock::now();
   std::vector<std::pair<reward_rank, call_ptr>> waiting;
@@ -140,10 +141,10 @@
   }
 }
 
-std::optional<forwarding::server_pick>
-reward_caller::PickFor(const call_ptr& aCall, const site::route& aRoute)
+std::optional<forwarding::selected_server>
+reward_client::PickFor(const call_ptr& aCall, const site::route& aRoute)
 {
-  auto pick = mParts.mRouter.Pick(aRoute, aCall->mTried);
+  auto pick = mDependencies.mRouter.SelectServer(aRoute, aCall->mTried);
   if (!pick) {
     // Each server has been tried: all but those that have the call now may be
     // again.
@@ -151,22 +152,23 @@
     for (const auto& open : aCall->mOpen) {
       aCall->mTried.push_back(open->mPick.mServer.mId);
     }
-    pick = mParts.mRouter.Pick(aRoute, aCall->mTried);
+    pick = mDependencies.mRouter.SelectServer(aRoute, aCall->mTried);
   }
   return pick;
 }
 
 std::shared_ptr<const site::route>
-reward_caller::RouteOf(const call& aCall) const
+reward_client::RouteOf(const call& aCall) const
 {
   const auto& asked = aCall.mRequest.mCall;
-  return mParts.mConfiguration
-           ? site::FindRoute(*mParts.mConfiguration, asked.mHost, asked.mPath)
+  return mDependencies.mConfiguration
+           ? site::FindRoute(
+               *mDependencies.mConfiguration, asked.mHost, asked.mPath)
            : nullptr;
 }
 
 bool
-reward_caller::Send(const call_ptr& aCall)
+reward_client::Send(const call_ptr& aCall)
 {
   const auto route = RouteOf(*aCall);
   if (!route) {
@@ -180,7 +182,7 @@
   }
   const auto pick = PickFor(aCall, *route);
   if (!pick || mUnderWay[pick->mPool] >=
-                 MostUnderWay(mParts.mRouter.PlacesOf(pick->mPool))) {
+                 MostUnderWay(mDependencies.mRouter.SlotsOf(pick->mPool))) {
     return false;
   }
   SendTo(aCall, *route, *pick);
@@ -188,9 +190,9 @@
 }
 
 void
-reward_caller::SendTo(const call_ptr& aCall,
+reward_client::SendTo(const call_ptr& aCall,
                       const site::route& aRoute,
-                      const forwarding::server_pick& aPick)
+                      const forwarding::selected_server& aPick)
 {
   const auto now = boot_clock::now();
   const auto timeLeft =
@@ -211,7 +213,7 @@
                       ? time_point::max()
                       : now + HedgeAfter(mDurations, aRoute.mTargetLatency);
   ++mUnderWay[aPick.mPool];
-  mParts.mRouter.NoteSent(aPick, now);
+  mDependencies.mRouter.RecordSent(aPick, now);
   events::line("reward_sent")
     .With("request", aCall->mRequest.mItemId)
     .With("reward", aCall->mRequest.mCall.mId)
@@ -225,7 +227,7 @@
 }
 
 void
-reward_caller::StartSending(const call_ptr& aCall,
+reward_client::StartSending(const call_ptr& aCall,
                             const std::shared_ptr<sending>& aSending,
                             milliseconds aTimeLeft)
 {
@@ -253,27 +255,27 @@
   events.mOnEnd = [this, aCall, aSending](edge::call_end aEnd) {
     TakeEnd(aCall, aSending, aEnd);
   };
-  aSending->mHandle =
-    mParts.mClients.Start(server.mAddress,
-                          mParts.mProtocol.mAddress(request, attempt),
-                          options,
-                          std::move(events));
+  aSending->mHandle = mDependencies.mClients.Start(
+    server.mAddress,
+    mDependencies.mProtocol.mAddress(request, attempt),
+    options,
+    std::move(events));
 }
 
 void
-reward_caller::TakeHead(const std::shared_ptr<sending>& aSending,
+reward_client::TakeHead(const std::shared_ptr<sending>& aSending,
                         const edge::response& aHead)
 {
   aSending->mStatus = aHead.mStatus;
-  aSending->mFacts = mParts.mProtocol.mReadAnswer(aHead);
+  aSending->mFacts = mDependencies.mProtocol.mReadResponseMetadata(aHead);
   if (aSending->mFacts.mLoad) {
-    mParts.mRouter.TakeLoad(
+    mDependencies.mRouter.RecordLoad(
       aSending->mPick, *aSending->mFacts.mLoad, boot_clock::now());
   }
 }
 
 answer_kind
-reward_caller::KindOf(const call& aCall,
+reward_client::KindOf(const call& aCall,
                       const sending& aSending,
                       edge::call_end aEnd)
 {
@@ -281,13 +283,13 @@
   view.mEnd = aEnd;
   view.mStatus = aSending.mStatus;
   view.mIsNotExecuted = aSending.mFacts.mIsNotExecuted;
-  view.mIsForeign = aSending.mFacts.mAttemptId != aCall.mRequest.mCall.mId;
+  view.mIsMismatched = aSending.mFacts.mAttemptId != aCall.mRequest.mCall.mId;
   view.mIsSigned = !aSending.mFacts.mSignature.empty();
   return Judge(view);
 }
 
 void
-reward_caller::TakeEnd(const call_ptr& aCall,
+reward_client::TakeEnd(const call_ptr& aCall,
                        const std::shared_ptr<sending>& aSending,
                        edge::call_end aEnd)
 {
@@ -311,7 +313,7 @@
 }
 
 void
-reward_caller::LogAnswer(const call& aCall,
+reward_client::LogAnswer(const call& aCall,
                          const sending& aSending,
                          answer_kind aKind,
                          edge::call_end aEnd)
@@ -320,18 +322,18 @@
     .With("request", aCall.mRequest.mItemId)
     .With("reward", aCall.mRequest.mCall.mId)
     .With("server", aSending.mPick.mServer.mId)
-    .With("outcome", WordFor(aKind))
-    .With("end", edge::WordFor(aEnd))
+    .With("outcome", ToString(aKind))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aSending.mStatus))
     .With("errors", static_cast<std::int64_t>(aCall.mErrors))
     .With("hedge", static_cast<std::int64_t>(aSending.mIsHedge))
     .With("took_ms", Since(aSending.mSentAt, boot_clock::now()));
-  mParts.mMetrics.Count("lavender_reward_answers_total",
-                        { { "outcome", WordFor(aKind) } });
+  mDependencies.mMetrics.Count("lavender_reward_answers_total",
+                               { { "outcome", ToString(aKind) } });
 }
 
 void
-reward_caller::Decide(const call_ptr& aCall,
+reward_client::Decide(const call_ptr& aCall,
                       const std::shared_ptr<sending>& aSending,
                       answer_kind aKind)
 {
@@ -362,7 +364,7 @@
 }
 
 void
-reward_caller::Arm(const call_ptr& aCall)
+reward_client::Arm(const call_ptr& aCall)
 {
   auto at = aCall->mHedgeAt;
   for (const auto& open : aCall->mOpen) {
@@ -378,7 +380,7 @@
 }
 
 void
-reward_caller::Look(const call_ptr& aCall)
+reward_client::Look(const call_ptr& aCall)
 {
   const auto now = boot_clock::now();
   const auto open = aCall->mOpen;
@@ -394,7 +396,7 @@
   if (now >= aCall->mHedgeAt) {
     aCall->mHedgeAt = time_point::max();
     if (TakeHedge(mBudget) && Send(aCall)) {
-      mParts.mMetrics.Count("lavender_reward_hedges_total", {});
+      mDependencies.mMetrics.Count("lavender_reward_hedges_total", {});
       return;
     }
   }
@@ -402,7 +404,7 @@
 }
 
 void
-reward_caller::Close(const std::shared_ptr<sending>& aSending,
+reward_client::Close(const std::shared_ptr<sending>& aSending,
                      routing::evidence aEvidence)
 {
   if (!aSending->mIsOpen) {
@@ -411,12 +413,12 @@
   aSending->mIsOpen = false;
   aSending->mHandle.Cancel();
   --mUnderWay[aSending->mPick.mPool];
-  mParts.mRouter.NoteEnded(
+  mDependencies.mRouter.RecordEnd(
     aSending->mPick, aSending->mSentAt, aEvidence, boot_clock::now());
 }
 
 void
-reward_caller::Retire(const call_ptr& aCall)
+reward_client::Retire(const call_ptr& aCall)
 {
   mCalls.erase(aCall->mNumber);
   aCall->mIsOver = true;
@@ -428,14 +430,14 @@
 }
 
 void
-reward_caller::Finish(const call_ptr& aCall, std::optional<std::string> aScore)
+reward_client::Finish(const call_ptr& aCall, std::optional<std::string> aScore)
 {
   Retire(aCall);
-  mParts.mMetrics.Count("lavender_rewards_total",
-                        { { "end", aScore ? "scored" : "given_up" } });
-  mParts.mMetrics.Observe("lavender_reward_seconds",
-                          { { "end", aScore ? "scored" : "given_up" } },
-                          boot_clock::now() - aCall->mAskedAt);
+  mDependencies.mMetrics.Count("lavender_rewards_total",
+                               { { "end", aScore ? "scored" : "given_up" } });
+  mDependencies.mMetrics.Observe("lavender_reward_seconds",
+                                 { { "end", aScore ? "scored" : "given_up" } },
+                                 boot_clock::now() - aCall->mAskedAt);
   const auto done = std::move(aCall->mRequest.mOnEnd);
   done(std::move(aScore));
 }
--- a/Duties/Rewards/RewardCaller.h
+++ b/Duties/Rewards/RewardCaller.h
@@ -13,7 +13,7 @@
 namespace lavender::rewards {
 
 /** What the caller works with; all outlive it. */
-struct caller_parts
+struct client_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -28,10 +28,10 @@
  * A call goes by the route that its host and path have in the configuration in
  * force when it is sent, and again, each time to another server, until one
  * answers or the service has failed it as often as the route allows. */
-class reward_caller
+class reward_client
 {
 public:
-  explicit reward_caller(caller_parts aParts);
+  explicit reward_client(client_dependencies aParts);
 
   /** @return a number by which the call can be cancelled; never 0 */
   std::uint64_t Start(reward_request aRequest);
@@ -52,12 +52,12 @@
   bool Send(const call_ptr& aCall);
   void SendTo(const call_ptr& aCall,
               const site::route& aRoute,
-              const forwarding::server_pick& aPick);
+              const forwarding::selected_server& aPick);
   void StartSending(const call_ptr& aCall,
                     const std::shared_ptr<sending>& aSending,
                     milliseconds aTimeLeft);
-  std::optional<forwarding::server_pick> PickFor(const call_ptr& aCall,
-                                                 const site::route& aRoute);
+  std::optional<forwarding::selected_server> PickFor(const call_ptr& aCall,
+                                                     const site::route& aRoute);
   void TakeHead(const std::shared_ptr<sending>& aSending,
                 const edge::response& aHead);
   static answer_kind KindOf(const call& aCall,
@@ -81,7 +81,7 @@
   void Retire(const call_ptr& aCall);
   void Finish(const call_ptr& aCall, std::optional<std::string> aScore);
 
-  caller_parts mParts;
+  client_dependencies mDependencies;
   std::map<std::uint64_t, call_ptr> mCalls;
   /** Sendings under way, by pool. */
   std::map<std::string, int> mUnderWay;
--- a/Duties/Rewards/RewardDecision.cpp
+++ b/Duties/Rewards/RewardDecision.cpp
@@ -25,7 +25,7 @@
 } // namespace
 
 const char*
-WordFor(answer_kind aKind)
+ToString(answer_kind aKind)
 {
   switch (aKind) {
     case answer_kind::Scored:
@@ -43,7 +43,7 @@
 answer_kind
 Judge(const answer_view& aAnswer)
 {
-  if (aAnswer.mEnd != edge::call_end::Complete || aAnswer.mIsForeign) {
+  if (aAnswer.mEnd != edge::call_end::Complete || aAnswer.mIsMismatched) {
     return answer_kind::Unusable;
   }
   if (aAnswer.mIsNotExecuted) {
--- a/Duties/Rewards/RewardDecision.h
+++ b/Duties/Rewards/RewardDecision.h
@@ -21,7 +21,7 @@
 };
 
 const char*
-WordFor(answer_kind aKind);
+ToString(answer_kind aKind);
 
 struct answer_view
 {
@@ -29,7 +29,7 @@
   unsigned mStatus = 0;
   bool mIsNotExecuted = false;
   /** The answer doesn't bear the call's id. */
-  bool mIsForeign = false;
+  bool mIsMismatched = false;
   bool mIsSigned = false;
 };
 
--- a/Duties/Rewards/TestRewardDecision.cpp
+++ b/Duties/Rewards/TestRewardDecision.cpp
@@ -29,7 +29,7 @@
   unsignedAnswer.mIsSigned = false;
   BOOST_TEST((Judge(unsignedAnswer) == answer_kind::Unusable));
   auto foreign = Whole(200);
-  foreign.mIsForeign = true;
+  foreign.mIsMismatched = true;
   BOOST_TEST((Judge(foreign) == answer_kind::Unusable));
   for (const auto end : { edge::call_end::Broken,
                           edge::call_end::Malformed,
@@ -56,7 +56,7 @@
   broken.mEnd = edge::call_end::Broken;
   BOOST_TEST((Judge(broken) == answer_kind::Unusable));
   auto foreign = Whole(500);
-  foreign.mIsForeign = true;
+  foreign.mIsMismatched = true;
   BOOST_TEST((Judge(foreign) == answer_kind::Unusable));
 }
 
--- a/Duties/Routing/Breaker.cpp
+++ b/Duties/Routing/Breaker.cpp
@@ -22,8 +22,8 @@
 void
 Open(breaker& aBreaker, const breaker_limits& aLimits, time_point aNow)
 {
-  aBreaker.mPause =
-    std::clamp(aBreaker.mPause * 2, aLimits.mFirstPause, aLimits.mLongestPause);
+  aBreaker.mPause = std::clamp(
+    aBreaker.mPause * 2, aLimits.mInitialPause, aLimits.mMaximumPause);
   aBreaker.mState = breaker_state::Open;
   aBreaker.mOpenUntil = aNow + aBreaker.mPause;
   aBreaker.mHasProbe = false;
@@ -55,7 +55,7 @@
 }
 
 void
-NoteSent(breaker& aBreaker, time_point aNow)
+RecordSent(breaker& aBreaker, time_point aNow)
 {
   if (aBreaker.mState == breaker_state::Closed ||
       (aBreaker.mState == breaker_state::Open && aNow < aBreaker.mOpenUntil)) {
@@ -66,7 +66,7 @@
 }
 
 void
-NoteEnded(breaker& aBreaker,
+RecordEnd(breaker& aBreaker,
           evidence aEvidence,
           const breaker_limits& aLimits,
           time_point aNow)
@@ -90,8 +90,8 @@
   }
   // Answers to requests sent before the pause change nothing while open.
   if (aBreaker.mState == breaker_state::Closed && hasFailed &&
-      aBreaker.mAttempts >= aLimits.mEnoughAttempts &&
-      FailureShare(aBreaker) >= aLimits.mFailureShare) {
+      aBreaker.mAttempts >= aLimits.mMinimumAttempts &&
+      FailureShare(aBreaker) >= aLimits.mFailureRatio) {
     Open(aBreaker, aLimits, aNow);
   }
 }
--- a/Duties/Routing/Breaker.h
+++ b/Duties/Routing/Breaker.h
@@ -28,10 +28,10 @@
   /** Evidence this old counts half. */
   milliseconds mHalfLife{ 10000 };
   /** Attempts, decayed, below which a failure share says nothing. */
-  double mEnoughAttempts = 3;
-  double mFailureShare = 0.5;
-  milliseconds mFirstPause{ 1000 };
-  milliseconds mLongestPause{ 30000 };
+  double mMinimumAttempts = 3;
+  double mFailureRatio = 0.5;
+  milliseconds mInitialPause{ 1000 };
+  milliseconds mMaximumPause{ 30000 };
 };
 
 /** Keeps a server that fails from getting work.
@@ -57,10 +57,10 @@
 /** Counts a request that is sent; the first one after a pause is the probe,
  * and no other is allowed until it has ended. */
 void
-NoteSent(breaker& aBreaker, time_point aNow);
+RecordSent(breaker& aBreaker, time_point aNow);
 
 void
-NoteEnded(breaker& aBreaker,
+RecordEnd(breaker& aBreaker,
           evidence aEvidence,
           const breaker_limits& aLimits,
           time_point aNow);
--- a/Duties/Routing/OwnRequests.cpp
+++ b/Duties/Routing/OwnRequests.cpp
@@ -5,14 +5,14 @@
 namespace lavender::routing {
 
 void
-NoteSent(own_requests& aOwn, time_point aNow)
+RecordSent(own_requests& aOwn, time_point aNow)
 {
   aOwn.mInFlight.push_back(aNow);
   aOwn.mCorrection += aNow > aOwn.mReportedAt ? 1 : 0;
 }
 
 void
-NoteEnded(own_requests& aOwn, time_point aSentAt, time_point aNow)
+RecordEnd(own_requests& aOwn, time_point aSentAt, time_point aNow)
 {
   const auto sent =
     std::find(aOwn.mInFlight.begin(), aOwn.mInFlight.end(), aSentAt);
--- a/Duties/Routing/OwnRequests.h
+++ b/Duties/Routing/OwnRequests.h
@@ -36,11 +36,11 @@
 };
 
 void
-NoteSent(own_requests& aOwn, time_point aNow);
+RecordSent(own_requests& aOwn, time_point aNow);
 
-/** @param aSentAt what NoteSent was told for this request */
+/** @param aSentAt what RecordSent was told for this request */
 void
-NoteEnded(own_requests& aOwn, time_point aSentAt, time_point aNow);
+RecordEnd(own_requests& aOwn, time_point aSentAt, time_point aNow);
 
 /** @param aMadeAt when the report was made, or earlier */
 void
--- a/Duties/Routing/PoolTable.cpp
+++ b/Duties/Routing/PoolTable.cpp
@@ -17,7 +17,7 @@
 double
 RatePerSlot(const server_row& aRow)
 {
-  return aRow.mReport.mDrainRate / std::max(aRow.mReport.mSlots, 1);
+  return aRow.mReport.mTokensPerSecond / std::max(aRow.mReport.mSlots, 1);
 }
 
 /** Speed relative to the mean of the measured servers. */
@@ -36,7 +36,7 @@
 int
 RequestsOn(const server_row& aRow)
 {
-  return std::max(aRow.mReport.mRequests + aRow.mOwn.mCorrection, 0);
+  return std::max(aRow.mReport.mRequests + aRow.mOwnRequests.mCorrection, 0);
 }
 
 /** Adds a row's part to the sums, or takes it off. */
@@ -79,8 +79,8 @@
 {
   const auto& excluded = aRequest.mExcluded;
   const bool ignoresBreakers = aTable.mOpenBreakers * 2 > aTable.mRows.size();
-  return aRow.mReport.mTakesWork &&
-         aNow - aRow.mReport.mMadeAt < aTable.mLimits.mHeartbeat &&
+  return aRow.mReport.mAcceptsRequests &&
+         aNow - aRow.mReport.mGeneratedAt < aTable.mLimits.mHeartbeat &&
          (ignoresBreakers || AllowsRequest(aRow.mBreaker, aNow)) &&
          std::find(excluded.begin(), excluded.end(), aRow.mReport.mName) ==
            excluded.end();
@@ -158,7 +158,7 @@
     return first->mLoad < second->mLoad ? first : second;
   }
   const auto isNear = [&](const server_row* aRow) {
-    return aRow->mReport.mAvailabilityZone == aRequest.mOwnZone;
+    return aRow->mReport.mAvailabilityZone == aRequest.mLocalZone;
   };
   return isNear(second) && !isNear(first) ? second : first;
 }
@@ -171,8 +171,8 @@
   for (std::size_t i = 0; i < aTable.mRows.size();) {
     auto& row = aTable.mRows[i];
     const bool isGone =
-      aNow - row.mReport.mMadeAt > aTable.mLimits.mForgetAfter &&
-      row.mOwn.mInFlight.empty();
+      aNow - row.mReport.mGeneratedAt > aTable.mLimits.mForgetAfter &&
+      row.mOwnRequests.mInFlight.empty();
     if (!isGone) {
       ++i;
       continue;
@@ -201,21 +201,21 @@
 } // namespace
 
 void
-TakeReport(pool_table& aTable, const server_report& aReport, time_point aNow)
+ApplyReport(pool_table& aTable, const server_report& aReport, time_point aNow)
 {
   auto* known = FindRow(aTable, aReport.mName);
   auto& row = known ? *known : AddRow(aTable, aReport, aNow);
   for (const auto prefix : aReport.mCachedPrefixes) {
-    Remember(aTable.mPrefixes, prefix, aReport.mName, aReport.mMadeAt);
+    Remember(aTable.mPrefixes, prefix, aReport.mName, aReport.mGeneratedAt);
   }
-  if (known && aReport.mMadeAt < row.mReport.mMadeAt) {
+  if (known && aReport.mGeneratedAt < row.mReport.mGeneratedAt) {
     return;
   }
   Sum(aTable, row, -1);
   row.mReport = aReport;
   row.mReport.mCachedPrefixes.clear();
   Sum(aTable, row, 1);
-  TakeReportTime(row.mOwn, aReport.mMadeAt);
+  TakeReportTime(row.mOwnRequests, aReport.mGeneratedAt);
   UpdateLoad(aTable, row);
 }
 
@@ -226,28 +226,28 @@
           time_point aMadeAt)
 {
   auto* row = FindRow(aTable, aServer);
-  if (!row || aMadeAt <= row->mReport.mMadeAt) {
+  if (!row || aMadeAt <= row->mReport.mGeneratedAt) {
     return;
   }
   row->mReport.mRequests = aRequests;
-  row->mReport.mMadeAt = aMadeAt;
-  TakeReportTime(row->mOwn, aMadeAt);
+  row->mReport.mGeneratedAt = aMadeAt;
+  TakeReportTime(row->mOwnRequests, aMadeAt);
   UpdateLoad(aTable, *row);
 }
 
 void
-TakeOut(pool_table& aTable, const std::string& aServer)
+MarkUnavailable(pool_table& aTable, const std::string& aServer)
 {
   if (auto* row = FindRow(aTable, aServer)) {
-    row->mReport.mTakesWork = false;
+    row->mReport.mAcceptsRequests = false;
   }
 }
 
 std::optional<std::string>
-Choose(pool_table& aTable,
-       const route_request& aRequest,
-       std::mt19937_64& aRandom,
-       time_point aNow)
+ChooseServer(pool_table& aTable,
+             const route_request& aRequest,
+             std::mt19937_64& aRandom,
+             time_point aNow)
 {
   if (aTable.mRows.empty()) {
     return std::nullopt;
@@ -272,21 +272,21 @@
 }
 
 void
-NoteSent(pool_table& aTable,
-         const std::string& aServer,
-         std::int64_t aPrefix,
-         time_point aNow)
+RecordSent(pool_table& aTable,
+           const std::string& aServer,
+           std::int64_t aPrefix,
+           time_point aNow)
 {
   if (auto* row = FindRow(aTable, aServer)) {
-    NoteSent(row->mOwn, aNow);
-    NoteSent(row->mBreaker, aNow);
+    RecordSent(row->mOwnRequests, aNow);
+    RecordSent(row->mBreaker, aNow);
     UpdateLoad(aTable, *row);
     Remember(aTable.mPrefixes, aPrefix, aServer, aNow);
   }
 }
 
 void
-NoteEnded(pool_table& aTable,
+RecordEnd(pool_table& aTable,
           const std::string& aServer,
           time_point aSentAt,
           evidence aEvidence,
@@ -297,8 +297,8 @@
     return;
   }
   const bool wasClosed = row->mBreaker.mState == breaker_state::Closed;
-  NoteEnded(row->mOwn, aSentAt, aNow);
-  NoteEnded(row->mBreaker, aEvidence, aTable.mLimits.mBreaker, aNow);
+  RecordEnd(row->mOwnRequests, aSentAt, aNow);
+  RecordEnd(row->mBreaker, aEvidence, aTable.mLimits.mBreaker, aNow);
   const bool isClosed = row->mBreaker.mState == breaker_state::Closed;
   aTable.mOpenBreakers += wasClosed && !isClosed ? 1 : 0;
   aTable.mOpenBreakers -= !wasClosed && isClosed ? 1 : 0;
--- a/Duties/Routing/PoolTable.h
+++ b/Duties/Routing/PoolTable.h
@@ -33,17 +33,17 @@
   int mRequests = 0;
   /** Tokens a second that the server drains with all slots busy, as its agent
    * measured; 0 while unknown. */
-  double mDrainRate = 0;
-  bool mTakesWork = false;
+  double mTokensPerSecond = 0;
+  bool mAcceptsRequests = false;
   /** When the report was made, or earlier, by the own clock. */
-  time_point mMadeAt;
+  time_point mGeneratedAt;
   std::vector<std::int64_t> mCachedPrefixes;
 };
 
 struct server_row
 {
   server_report mReport;
-  own_requests mOwn;
+  own_requests mOwnRequests;
   breaker mBreaker;
   /** Expected work for the server's speed; kept by each change. */
   double mLoad = 0;
@@ -82,7 +82,7 @@
 struct route_request
 {
   std::int64_t mPrefix = 0;
-  std::string mOwnZone;
+  std::string mLocalZone;
   /** Servers tried before. */
   std::vector<std::string> mExcluded;
 };
@@ -90,7 +90,7 @@
 /** Takes a server's report in; one that is older than the last is ignored
  * but for its cache events. */
 void
-TakeReport(pool_table& aTable, const server_report& aReport, time_point aNow);
+ApplyReport(pool_table& aTable, const server_report& aReport, time_point aNow);
 
 /** Takes the count of requests that came with an answer: fresher than the next
  * report, and free.
@@ -103,7 +103,7 @@
 
 /** A server that left or fell silent gets no work until its next report. */
 void
-TakeOut(pool_table& aTable, const std::string& aServer);
+MarkUnavailable(pool_table& aTable, const std::string& aServer);
 
 /** Chooses a server; none when no server can take the request.
  *
@@ -114,21 +114,21 @@
  * breakers are open, the cause is hardly the servers, and breakers are
  * ignored. */
 std::optional<std::string>
-Choose(pool_table& aTable,
-       const route_request& aRequest,
-       std::mt19937_64& aRandom,
-       time_point aNow);
+ChooseServer(pool_table& aTable,
+             const route_request& aRequest,
+             std::mt19937_64& aRandom,
+             time_point aNow);
 
 /** Counts a request that is sent to a server, and learns its prefix. */
 void
-NoteSent(pool_table& aTable,
-         const std::string& aServer,
-         std::int64_t aPrefix,
-         time_point aNow);
+RecordSent(pool_table& aTable,
+           const std::string& aServer,
+           std::int64_t aPrefix,
+           time_point aNow);
 
-/** @param aSentAt what NoteSent was told for this request */
+/** @param aSentAt what RecordSent was told for this request */
 void
-NoteEnded(pool_table& aTable,
+RecordEnd(pool_table& aTable,
           const std::string& aServer,
           time_point aSentAt,
           evidence aEvidence,
--- a/Duties/Routing/TestBreaker.cpp
+++ b/Duties/Routing/TestBreaker.cpp
@@ -27,33 +27,33 @@
         RC_ASSERT(!isAllowed || before != breaker_state::Open ||
                   now >= one.mOpenUntil);
         if (isAllowed) {
-          NoteSent(one, now);
+          RecordSent(one, now);
           ++inFlight;
         }
       } else if (inFlight > 0) {
         --inFlight;
         const auto ending = *rc::gen::element(
           evidence::Success, evidence::Failure, evidence::Neutral);
-        NoteEnded(one, ending, limits, now);
+        RecordEnd(one, ending, limits, now);
         RC_ASSERT(ending == evidence::Failure ||
                   one.mState != breaker_state::Open ||
                   before == breaker_state::Open);
       }
       RC_ASSERT(FailureShare(one) >= 0 && FailureShare(one) <= 1);
-      RC_ASSERT(one.mPause <= limits.mLongestPause);
+      RC_ASSERT(one.mPause <= limits.mMaximumPause);
       // Whatever happened, the server is tried again within the pause.
       RC_ASSERT(one.mState != breaker_state::Open ||
-                AllowsRequest(one, now + limits.mLongestPause));
+                AllowsRequest(one, now + limits.mMaximumPause));
     }
     // All attempts end well from here on: it closes after one probe.
     while (inFlight-- > 0) {
-      NoteEnded(one, evidence::Neutral, limits, now);
+      RecordEnd(one, evidence::Neutral, limits, now);
     }
-    now += limits.mLongestPause;
+    now += limits.mMaximumPause;
     RC_ASSERT(AllowsRequest(one, now));
-    NoteSent(one, now);
+    RecordSent(one, now);
     RC_ASSERT(one.mState == breaker_state::Closed || !AllowsRequest(one, now));
-    NoteEnded(one, evidence::Success, limits, now);
+    RecordEnd(one, evidence::Success, limits, now);
     RC_ASSERT(one.mState == breaker_state::Closed);
   }));
 }
@@ -66,12 +66,12 @@
   breaker one;
   const time_point now(1h);
   for (int i = 0; i < 2; ++i) {
-    NoteEnded(one, evidence::Failure, limits, now);
+    RecordEnd(one, evidence::Failure, limits, now);
     BOOST_TEST(AllowsRequest(one, now));
   }
-  NoteEnded(one, evidence::Failure, limits, now);
+  RecordEnd(one, evidence::Failure, limits, now);
   BOOST_TEST(!AllowsRequest(one, now));
-  BOOST_TEST(AllowsRequest(one, now + limits.mFirstPause));
+  BOOST_TEST(AllowsRequest(one, now + limits.mInitialPause));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/Routing/TestOwnRequests.cpp
+++ b/Duties/Routing/TestOwnRequests.cpp
@@ -48,12 +48,12 @@
       now += milliseconds(*rc::gen::inRange(1, 200));
       const int kind = *rc::gen::inRange(0, 5);
       if (kind < 2) {
-        NoteSent(own, now);
+        RecordSent(own, now);
         inFlight.push_back(now);
         server.Change(now, 1);
       } else if (kind < 4 && !inFlight.empty()) {
         const auto which = *rc::gen::inRange<std::size_t>(0, inFlight.size());
-        NoteEnded(own, inFlight[which], now);
+        RecordEnd(own, inFlight[which], now);
         inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(which));
         server.Change(now, -1);
       } else if (kind == 4) {
--- a/Duties/Routing/TestPoolTable.cpp
+++ b/Duties/Routing/TestPoolTable.cpp
@@ -22,8 +22,8 @@
   report.mAvailabilityZone = "bogota";
   report.mSlots = 16;
   report.mRequests = aRequests;
-  report.mTakesWork = true;
-  report.mMadeAt = aMadeAt;
+  report.mAcceptsRequests = true;
+  report.mGeneratedAt = aMadeAt;
   return report;
 }
 
@@ -32,7 +32,7 @@
 {
   pool_table table;
   for (int i = 0; i < aServers; ++i) {
-    TakeReport(table, MakeReport("s" + std::to_string(i), 0, aNow), aNow);
+    ApplyReport(table, MakeReport("s" + std::to_string(i), 0, aNow), aNow);
   }
   return table;
 }
@@ -53,8 +53,8 @@
   std::size_t open = 0;
   for (const auto& row : aTable.mRows) {
     loads += row.mLoad;
-    rates += row.mReport.mDrainRate / row.mReport.mSlots;
-    measured += row.mReport.mDrainRate > 0 ? 1 : 0;
+    rates += row.mReport.mTokensPerSecond / row.mReport.mSlots;
+    measured += row.mReport.mTokensPerSecond > 0 ? 1 : 0;
     open += row.mBreaker.mState != breaker_state::Closed ? 1 : 0;
     RC_ASSERT(row.mLoad > 0);
     RC_ASSERT(aTable.mIndex.at(row.mReport.mName) < aTable.mRows.size());
@@ -85,10 +85,10 @@
     auto report = MakeReport("s" + std::to_string(*rc::gen::inRange(0, 6)),
                              *rc::gen::inRange(0, 40),
                              mNow - milliseconds(*rc::gen::inRange(0, 5000)));
-    report.mDrainRate = *rc::gen::element(0.0, 100.0, 1000.0, 20000.0);
-    report.mTakesWork = *rc::gen::inRange(0, 5) > 0;
+    report.mTokensPerSecond = *rc::gen::element(0.0, 100.0, 1000.0, 20000.0);
+    report.mAcceptsRequests = *rc::gen::inRange(0, 5) > 0;
     report.mCachedPrefixes = { *rc::gen::inRange<std::int64_t>(1, 4) };
-    TakeReport(mTable, report, mNow);
+    ApplyReport(mTable, report, mNow);
   }
 
   void Send()
@@ -102,17 +102,17 @@
     const bool ignoresBreakers = mTable.mOpenBreakers * 2 > mTable.mRows.size();
     std::set<std::string> usable;
     for (const auto& row : mTable.mRows) {
-      if (row.mReport.mTakesWork && row.mReport.mName != "s0" &&
-          mNow - row.mReport.mMadeAt < mTable.mLimits.mHeartbeat &&
+      if (row.mReport.mAcceptsRequests && row.mReport.mName != "s0" &&
+          mNow - row.mReport.mGeneratedAt < mTable.mLimits.mHeartbeat &&
           (ignoresBreakers || AllowsRequest(row.mBreaker, mNow))) {
         usable.insert(row.mReport.mName);
       }
     }
-    const auto chosen = Choose(mTable, request, mRandom, mNow);
+    const auto chosen = ChooseServer(mTable, request, mRandom, mNow);
     RC_ASSERT(chosen.has_value() == !usable.empty());
     if (chosen) {
       RC_ASSERT(usable.count(*chosen) == 1u);
-      NoteSent(mTable, *chosen, request.mPrefix, mNow);
+      RecordSent(mTable, *chosen, request.mPrefix, mNow);
       mInFlight.push_back({ *chosen, mNow });
     }
   }
@@ -126,7 +126,7 @@
       evidence::Success, evidence::Failure, evidence::Neutral);
     const auto request = mInFlight.front();
     mInFlight.erase(mInFlight.begin());
-    NoteEnded(mTable, request.mServer, request.mAt, ending, mNow);
+    RecordEnd(mTable, request.mServer, request.mAt, ending, mNow);
   }
 };
 
@@ -149,18 +149,18 @@
         std::count_if(running.begin(), running.end(), [&](const auto& aOne) {
           return aOne.mServer == name;
         });
-      TakeReport(table, MakeReport(name, static_cast<int>(held), now), now);
+      ApplyReport(table, MakeReport(name, static_cast<int>(held), now), now);
     }
     const auto chosen = aChoose(table, now);
-    NoteSent(table, chosen, 0, now);
+    RecordSent(table, chosen, 0, now);
     if (chosen == "s0") {
       ++failed;
-      NoteEnded(table, chosen, now, evidence::Failure, now);
+      RecordEnd(table, chosen, now, evidence::Failure, now);
       continue;
     }
     running.push_back({ chosen, now });
     if (running.size() > 40) {
-      NoteEnded(
+      RecordEnd(
         table, running[0].mServer, running[0].mAt, evidence::Success, now);
       running.erase(running.begin());
     }
@@ -199,7 +199,7 @@
       } else if (kind < 9) {
         TakeCount(run.mTable, "s2", *rc::gen::inRange(0, 40), run.mNow - 1ms);
       } else {
-        TakeOut(run.mTable, "s1");
+        MarkUnavailable(run.mTable, "s1");
       }
       CheckSums(run.mTable);
     }
@@ -208,7 +208,7 @@
       run.End();
     }
     run.mNow += run.mTable.mLimits.mForgetAfter + 10s;
-    TakeReport(run.mTable, MakeReport("new", 0, run.mNow), run.mNow);
+    ApplyReport(run.mTable, MakeReport("new", 0, run.mNow), run.mNow);
     RC_ASSERT(run.mTable.mRows.size() == 1u);
     CheckSums(run.mTable);
   }));
@@ -221,8 +221,9 @@
   std::mt19937_64 random(7);
   const int without = CountFailed(
     [&](auto& aTable, auto) { return ChooseByReport(aTable, random); });
-  const int with = CountFailed(
-    [&](auto& aTable, auto aNow) { return *Choose(aTable, {}, random, aNow); });
+  const int with = CountFailed([&](auto& aTable, auto aNow) {
+    return *ChooseServer(aTable, {}, random, aNow);
+  });
   BOOST_TEST_MESSAGE("failed " << without << " by reported load, " << with
                                << " with evidence");
   BOOST_TEST(without > 2000 / 9);
@@ -242,7 +243,7 @@
       route_request request;
       request.mPrefix = 42;
       const auto homes = FindHomes(table.mPrefixes, 42, kStart);
-      const auto chosen = Choose(table, request, random, kStart);
+      const auto chosen = ChooseServer(table, request, random, kStart);
       const auto& row = table.mRows[table.mIndex.at(*chosen)];
       const bool isHome =
         std::any_of(homes.begin(), homes.end(), [&](const auto& aHome) {
@@ -251,7 +252,7 @@
       const double mean = table.mLoadSum / servers;
       RC_ASSERT(!isHome || row.mLoad <= std::max(0.5, 1.25 * mean) ||
                 row.mLoad <= mean + 1);
-      NoteSent(table, *chosen, 42, kStart + std::chrono::nanoseconds(i + 1));
+      RecordSent(table, *chosen, 42, kStart + std::chrono::nanoseconds(i + 1));
     }
     // Nobody holds more than the bound and one request over it.
     for (const auto& row : table.mRows) {
@@ -267,18 +268,18 @@
 {
   auto table = MakeTable(2, kStart);
   auto fast = MakeReport("s0", 0, kStart + 1ms);
-  fast.mDrainRate = 5000;
+  fast.mTokensPerSecond = 5000;
   auto slow = MakeReport("s1", 0, kStart + 1ms);
-  slow.mDrainRate = 1000;
-  TakeReport(table, fast, kStart);
-  TakeReport(table, slow, kStart);
-  TakeReport(table, fast, kStart);
+  slow.mTokensPerSecond = 1000;
+  ApplyReport(table, fast, kStart);
+  ApplyReport(table, slow, kStart);
+  ApplyReport(table, fast, kStart);
   std::mt19937_64 random(3);
   std::map<std::string, int> sent;
   for (int i = 0; i < 60; ++i) {
     const auto now = kStart + milliseconds(2 + i);
-    const auto chosen = Choose(table, {}, random, now);
-    NoteSent(table, *chosen, 0, now);
+    const auto chosen = ChooseServer(table, {}, random, now);
+    RecordSent(table, *chosen, 0, now);
     ++sent[*chosen];
   }
   BOOST_TEST(sent["s0"] >= 3 * sent["s1"]);
--- a/Duties/Samples/BatchStore.cpp
+++ b/Duties/Samples/BatchStore.cpp
@@ -25,7 +25,7 @@
 }
 
 ask_outcome
-Outcome(ask_state aState, batch_record aRecord = {})
+Outcome(delivery_status aState, batch_record aRecord = {})
 {
   return { aState, {}, std::move(aRecord) };
 }
@@ -84,8 +84,8 @@
   shown.Set("nonce", aRecord.mNonce);
   shown.Set("digest", aRecord.mDigest);
   shown.Set("parts", std::move(parts));
-  shown.Set("done", aRecord.mDone);
-  shown.Set("wanted", aRecord.mWanted);
+  shown.Set("done", aRecord.mFinishedSamples);
+  shown.Set("wanted", aRecord.mRequestedSamples);
   shown.Set("beat", aRecord.mBeat);
   shown.Set("released", aRecord.mIsReleased);
   return shown;
@@ -108,8 +108,8 @@
       read.mParts.push_back(part.StringOr(""));
     }
   }
-  read.mDone = json::IntegerAt(kept, "done", 0);
-  read.mWanted = json::IntegerAt(kept, "wanted", 0);
+  read.mFinishedSamples = json::IntegerAt(kept, "done", 0);
+  read.mRequestedSamples = json::IntegerAt(kept, "wanted", 0);
   read.mBeat = json::IntegerAt(kept, "beat", 0);
   read.mIsReleased = json::BooleanAt(kept, "released", false);
   read.mRevision = aObject.mRevision;
@@ -157,7 +157,7 @@
 }
 
 json::value
-Assemble(const batch_shape& aShape,
+Assemble(const batch_spec& aSpec,
          const batch_record& aRecord,
          const sample_table& aTable)
 {
@@ -170,8 +170,8 @@
     }
   }
   json::value batch;
-  batch.Set("run", aShape.mRun);
-  batch.Set("step", aShape.mStep);
+  batch.Set("run", aSpec.mRun);
+  batch.Set("step", aSpec.mStep);
   batch.Set("nonce", aRecord.mNonce);
   batch.Set("samples", std::move(samples));
   return batch;
@@ -179,37 +179,37 @@
 
 ask_outcome
 Deliver(const batch_store& aStore,
-        const batch_shape& aShape,
+        const batch_spec& aSpec,
         std::int64_t aOldestVersion)
 {
-  const auto name = NameOf(aShape);
+  const auto name = NameOf(aSpec);
   // A second round reads what another entry, or a write whose answer was
   // lost, has left.
   for (int round = 0; round < 2; ++round) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState != read_state::Found) {
       return Outcome(read.mState == read_state::Absent
-                       ? ask_state::Absent
-                       : ask_state::Unavailable);
+                       ? delivery_status::Absent
+                       : delivery_status::Unavailable);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(ask_state::Acknowledged, record);
+      return Outcome(delivery_status::Acknowledged, record);
     }
-    if (record.mDigest != DigestOf(aShape)) {
-      return Outcome(ask_state::OtherRequest, record);
+    if (record.mDigest != DigestOf(aSpec)) {
+      return Outcome(delivery_status::RequestMismatch, record);
     }
     if (record.mState == batch_state::Making) {
-      return Outcome(ask_state::InProgress, record);
+      return Outcome(delivery_status::InProgress, record);
     }
-    auto table = MakeTable(aShape.mPrompts.size(), aShape.mSamplesPerPrompt);
+    auto table = MakeTable(aSpec.mPrompts.size(), aSpec.mSamplesPerPrompt);
     if (!LoadParts(aStore, record, table)) {
       continue;
     }
     if (record.mState == batch_state::Fixed) {
       if (HasTooOld(table, aOldestVersion)) {
-        return Outcome(ask_state::TooOld, record);
+        return Outcome(delivery_status::TooOld, record);
       }
       record.mState = batch_state::Delivered;
       const auto written =
@@ -218,9 +218,9 @@
         continue;
       }
     }
-    return { ask_state::Ready, Assemble(aShape, record, table), record };
+    return { delivery_status::Ready, Assemble(aSpec, record, table), record };
   }
-  return Outcome(ask_state::Unavailable);
+  return Outcome(delivery_status::Unavailable);
 }
 
 ask_outcome
@@ -232,18 +232,18 @@
   for (int round = 0; round < 2; ++round) {
     const auto read = aStore.mRead(kBatchKind, name);
     if (read.mState == read_state::Failed) {
-      return Outcome(ask_state::Unavailable);
+      return Outcome(delivery_status::Unavailable);
     }
     if (read.mState == read_state::Absent) {
-      return Outcome(ask_state::NotDelivered);
+      return Outcome(delivery_status::NotDelivered);
     }
     auto record = ToRecord(read.mObject);
     if (record.mState == batch_state::Acknowledged) {
       RemoveParts(aStore, name, record);
-      return Outcome(ask_state::Acknowledged, record);
+      return Outcome(delivery_status::Acknowledged, record);
     }
     if (record.mState != batch_state::Delivered) {
-      return Outcome(ask_state::NotDelivered, record);
+      return Outcome(delivery_status::NotDelivered, record);
     }
     record.mState = batch_state::Acknowledged;
     const auto written =
@@ -251,10 +251,10 @@
     if (written.mState == write_state::Done) {
       record.mRevision = written.mRevision;
       RemoveParts(aStore, name, record);
-      return Outcome(ask_state::Acknowledged, record);
+      return Outcome(delivery_status::Acknowledged, record);
     }
   }
-  return Outcome(ask_state::Unavailable);
+  return Outcome(delivery_status::Unavailable);
 }
 
 } // namespace lavender::samples
--- a/Duties/Samples/BatchStore.h
+++ b/Duties/Samples/BatchStore.h
@@ -49,8 +49,8 @@
   /** Names of the parts that hold finished groups; where a group stands in
    * several, the last one counts. */
   std::vector<std::string> mParts;
-  std::int64_t mDone = 0;
-  std::int64_t mWanted = 0;
+  std::int64_t mFinishedSamples = 0;
+  std::int64_t mRequestedSamples = 0;
   /** Grows with each write of the maker, so that others see it alive. */
   std::int64_t mBeat = 0;
   /** The maker stopped as planned: another may go on at once. */
@@ -85,12 +85,12 @@
 
 /** The batch as the trainer gets it; the same each time for one record. */
 json::value
-Assemble(const batch_shape& aShape,
+Assemble(const batch_spec& aSpec,
          const batch_record& aRecord,
          const sample_table& aTable);
 
 /** How an ask for a batch, or its acknowledgement, ends. */
-enum class ask_state
+enum class delivery_status
 {
   /** The batch, fixed for good. */
   Ready,
@@ -102,14 +102,14 @@
   TooOld,
   Acknowledged,
   /** The step's batch is for another request. */
-  OtherRequest,
+  RequestMismatch,
   NotDelivered,
   Unavailable
 };
 
 struct ask_outcome
 {
-  ask_state mState = ask_state::Unavailable;
+  delivery_status mState = delivery_status::Unavailable;
   json::value mBatch;
   batch_record mRecord;
 };
@@ -119,7 +119,7 @@
  * every later one gives the same batch again. */
 ask_outcome
 Deliver(const batch_store& aStore,
-        const batch_shape& aShape,
+        const batch_spec& aSpec,
         std::int64_t aOldestVersion);
 
 /** Marks a delivered batch as taken, then removes its parts. The record
--- a/Duties/Samples/Sample.cpp
+++ b/Duties/Samples/Sample.cpp
@@ -13,22 +13,22 @@
 }
 
 std::string
-NameOf(const batch_shape& aShape)
+NameOf(const batch_spec& aSpec)
 {
-  return NameOf(aShape.mRun, aShape.mStep);
+  return NameOf(aSpec.mRun, aSpec.mStep);
 }
 
 std::string
-DigestOf(const batch_shape& aShape)
+DigestOf(const batch_spec& aSpec)
 {
   json::array prompts;
-  for (const auto& prompt : aShape.mPrompts) {
+  for (const auto& prompt : aSpec.mPrompts) {
     prompts.emplace_back(prompt);
   }
   json::value all;
   all.Set("prompts", std::move(prompts));
-  all.Set("samples_per_prompt", aShape.mSamplesPerPrompt);
-  all.Set("max_tokens", aShape.mMaximumTokens);
+  all.Set("samples_per_prompt", aSpec.mSamplesPerPrompt);
+  all.Set("max_tokens", aSpec.mMaximumTokens);
   return HashKey(json::Write(all));
 }
 
--- a/Duties/Samples/Sample.h
+++ b/Duties/Samples/Sample.h
@@ -11,7 +11,7 @@
 namespace lavender::samples {
 
 /** What a trainer asks for: one step's batch. */
-struct batch_shape
+struct batch_spec
 {
   std::string mRun;
   std::int64_t mStep = 0;
@@ -27,13 +27,13 @@
 
 /** Name of the step's object, and prefix of its samples' ids. */
 std::string
-NameOf(const batch_shape& aShape);
+NameOf(const batch_spec& aSpec);
 std::string
 NameOf(const std::string& aRun, std::int64_t aStep);
 
 /** Digest of all that decides what the samples are. */
 std::string
-DigestOf(const batch_shape& aShape);
+DigestOf(const batch_spec& aSpec);
 
 /** One finished sample. Its id follows from run, step, group and index. */
 struct sample
--- a/Duties/Samples/SampleDuty.cpp
+++ b/Duties/Samples/SampleDuty.cpp
@@ -19,16 +19,16 @@
 }
 
 const char*
-ReasonFor(ask_state aState)
+ReasonFor(delivery_status aState)
 {
   switch (aState) {
-    case ask_state::Acknowledged:
+    case delivery_status::Acknowledged:
       return "already_acknowledged";
-    case ask_state::OtherRequest:
+    case delivery_status::RequestMismatch:
       return "step_is_for_another_request";
-    case ask_state::NotDelivered:
+    case delivery_status::NotDelivered:
       return "not_delivered";
-    case ask_state::Unavailable:
+    case delivery_status::Unavailable:
       return "platform_unavailable";
     default:
       return "batch_in_progress";
@@ -59,7 +59,7 @@
 void
 sample_duty::Start()
 {
-  for (int i = 0; i < mOptions.mSideBySide; ++i) {
+  for (int i = 0; i < mOptions.mMaximumConcurrency; ++i) {
     mWorkers.emplace_back([this] { WorkLoop(); });
   }
   mSaver = std::thread([this] { SaveLoop(); });
@@ -94,7 +94,7 @@
   double least = 2;
   for (const auto& [name, step] : mSteps) {
     const double share = static_cast<double>(CountDone(step->mJob)) /
-                         static_cast<double>(step->mJob.mShape.SampleCount());
+                         static_cast<double>(step->mJob.mSpec.SampleCount());
     if (step->mPausedUntil <= aNow && share < least && HasNext(step->mJob)) {
       chosen = step;
       least = share;
@@ -124,7 +124,7 @@
       step.mPausedUntil = boot_clock::now() + mOptions.mRetryAfter;
     }
     PutResult(step.mJob, work->mPlace, std::move(made));
-    if (CountDone(step.mJob) == step.mJob.mShape.SampleCount()) {
+    if (CountDone(step.mJob) == step.mJob.mSpec.SampleCount()) {
       mChanged.notify_all();
     }
   }
@@ -182,7 +182,7 @@
   const running_sample running{ aSight.mServer,
                                 std::chrono::duration_cast<milliseconds>(
                                   boot_clock::now() - aSight.mStartedAt),
-                                aStep.mRequest.mShape.mMaximumTokens,
+                                aStep.mRequest.mSpec.mMaximumTokens,
                                 !HasNext(aStep.mJob),
                                 aStep.mMoved.count(place) > 0 };
   auto reason = FindReasonToMove(mPaces, mOptions.mPace, running);
@@ -196,7 +196,7 @@
 sample_duty::MakeSample(working_step& aStep, const sample_place& aPlace)
 {
   const auto& request = aStep.mRequest;
-  const auto& shape = request.mShape;
+  const auto& shape = request.mSpec;
   const auto run = mRuns(shape.mRun);
   if (!run) {
     Retry("unknown_run");
@@ -280,7 +280,7 @@
 sample_duty::SaveStep(const step_pointer& aStep)
 {
   std::unique_lock lock(mMutex);
-  const std::string name = NameOf(aStep->mJob.mShape);
+  const std::string name = NameOf(aStep->mJob.mSpec);
   const auto stopReason =
     aStep->mRequest.mStopReason ? aStep->mRequest.mStopReason() : "";
   const bool isAbandoned =
@@ -292,7 +292,7 @@
     mSteps.erase(name);
     return;
   }
-  const auto oldest = OldestFor(mRuns(aStep->mRequest.mShape.mRun));
+  const auto oldest = OldestFor(mRuns(aStep->mRequest.mSpec.mRun));
   // A few rounds bring a finished batch to its end in one go.
   for (int round = 0; round < 8; ++round) {
     auto job = aStep->mJob;
@@ -319,40 +319,41 @@
   }
 }
 
-batch_outcome
+batch_response
 sample_duty::Describe(const working_step& aStep)
 {
-  batch_outcome outcome;
-  outcome.mState =
-    aStep.mIsStoreDown ? ask_state::Unavailable : ask_state::InProgress;
+  batch_response outcome;
+  outcome.mState = aStep.mIsStoreDown ? delivery_status::Unavailable
+                                      : delivery_status::InProgress;
   outcome.mReason = ReasonFor(outcome.mState);
-  outcome.mDone = static_cast<std::int64_t>(CountDone(aStep.mJob));
-  outcome.mWanted = static_cast<std::int64_t>(aStep.mJob.mShape.SampleCount());
+  outcome.mFinishedSamples = static_cast<std::int64_t>(CountDone(aStep.mJob));
+  outcome.mRequestedSamples =
+    static_cast<std::int64_t>(aStep.mJob.mSpec.SampleCount());
   outcome.mRetryAfter = kAskAgainAfter;
   return outcome;
 }
 
-batch_outcome
+batch_response
 sample_duty::Begin(const batch_request& aRequest,
                    std::int64_t aTakeOverRevision,
-                   ask_state aState)
+                   delivery_status aState)
 {
-  const auto name = NameOf(aRequest.mShape);
+  const auto name = NameOf(aRequest.mSpec);
   std::lock_guard lock(mMutex);
   auto& step = mSteps[name];
   if (!step) {
     if (mSteps.size() > mOptions.mMaximumJobs || mIsStopping) {
       mSteps.erase(name);
-      batch_outcome refused;
+      batch_response refused;
       refused.mReason = "too_many_batches";
       refused.mRetryAfter = kAskAgainAfter;
       return refused;
     }
     step = std::make_shared<working_step>();
     step->mRequest = aRequest;
-    step->mJob = StartJob(aRequest.mShape, MakeRandomName(), aTakeOverRevision);
+    step->mJob = StartJob(aRequest.mSpec, MakeRandomName(), aTakeOverRevision);
     step->mAskedAt = boot_clock::now();
-    step->mIsStoreDown = aState == ask_state::Unavailable;
+    step->mIsStoreDown = aState == delivery_status::Unavailable;
   }
   mChanged.notify_all();
   return Describe(*step);
@@ -377,17 +378,17 @@
   return aRecord.mRevision;
 }
 
-batch_outcome
-sample_duty::Ask(const batch_request& aRequest)
+batch_response
+sample_duty::RequestBatch(const batch_request& aRequest)
 {
-  const auto name = NameOf(aRequest.mShape);
+  const auto name = NameOf(aRequest.mSpec);
   {
     std::lock_guard lock(mMutex);
     if (const auto found = mSteps.find(name); found != mSteps.end()) {
       auto& step = *found->second;
-      if (DigestOf(step.mJob.mShape) != DigestOf(aRequest.mShape)) {
-        batch_outcome refused;
-        refused.mState = ask_state::OtherRequest;
+      if (DigestOf(step.mJob.mSpec) != DigestOf(aRequest.mSpec)) {
+        batch_response refused;
+        refused.mState = delivery_status::RequestMismatch;
         refused.mReason = ReasonFor(refused.mState);
         return refused;
       }
@@ -396,18 +397,18 @@
     }
   }
   auto asked =
-    Deliver(mStore, aRequest.mShape, OldestFor(mRuns(aRequest.mShape.mRun)));
+    Deliver(mStore, aRequest.mSpec, OldestFor(mRuns(aRequest.mSpec.mRun)));
   switch (asked.mState) {
-    case ask_state::Absent:
+    case delivery_status::Absent:
       return Begin(aRequest, 0, asked.mState);
-    case ask_state::Unavailable:
+    case delivery_status::Unavailable:
       // The store may be down for long. The samples are made meanwhile and
       // kept here; a step that turns out to be decided is dropped then.
       return Begin(aRequest, 0, asked.mState);
-    case ask_state::TooOld:
+    case delivery_status::TooOld:
       mMetrics.Count("lavender_batches_remade_total", {});
       return Begin(aRequest, asked.mRecord.mRevision, asked.mState);
-    case ask_state::InProgress:
+    case delivery_status::InProgress:
       if (const auto revision = MayTakeOver(name, asked.mRecord)) {
         return Begin(aRequest, revision, asked.mState);
       }
@@ -417,25 +418,25 @@
       mSights.erase(name);
     }
   }
-  batch_outcome outcome;
+  batch_response outcome;
   outcome.mState = asked.mState;
   outcome.mBatch = std::move(asked.mBatch);
   outcome.mReason = ReasonFor(asked.mState);
-  outcome.mDone = asked.mRecord.mDone;
-  outcome.mWanted = asked.mRecord.mWanted;
-  if (asked.mState == ask_state::InProgress) {
+  outcome.mFinishedSamples = asked.mRecord.mFinishedSamples;
+  outcome.mRequestedSamples = asked.mRecord.mRequestedSamples;
+  if (asked.mState == delivery_status::InProgress) {
     outcome.mRetryAfter = kAskAgainAfter;
   }
   return outcome;
 }
 
-batch_outcome
-sample_duty::Take(const std::string& aRun, std::int64_t aStep)
+batch_response
+sample_duty::ConfirmDelivery(const std::string& aRun, std::int64_t aStep)
 {
-  batch_outcome outcome;
+  batch_response outcome;
   outcome.mState = Acknowledge(mStore, aRun, aStep).mState;
   outcome.mReason = ReasonFor(outcome.mState);
-  if (outcome.mState == ask_state::Unavailable) {
+  if (outcome.mState == delivery_status::Unavailable) {
     outcome.mRetryAfter = kAskAgainAfter;
   }
   return outcome;
--- a/Duties/Samples/SampleDuty.h
+++ b/Duties/Samples/SampleDuty.h
@@ -19,7 +19,7 @@
 /** Who asks for a batch, and for what. */
 struct batch_request
 {
-  batch_shape mShape;
+  batch_spec mSpec;
   std::string mCustomer;
   std::string mKeyId;
   double mWeight = 1;
@@ -31,7 +31,7 @@
 {
   platform::client mPlatform;
   /** Samples of all steps that this entry has under way. */
-  int mSideBySide = 64;
+  int mMaximumConcurrency = 64;
   /** Steps that this entry works on; more are refused. */
   std::size_t mMaximumJobs = 64;
   /** How often finished groups are saved. */
@@ -47,13 +47,13 @@
 };
 
 /** What the trainer is told. */
-struct batch_outcome
+struct batch_response
 {
-  ask_state mState = ask_state::Unavailable;
+  delivery_status mState = delivery_status::Unavailable;
   json::value mBatch;
   std::string mReason;
-  std::int64_t mDone = 0;
-  std::int64_t mWanted = 0;
+  std::int64_t mFinishedSamples = 0;
+  std::int64_t mRequestedSamples = 0;
   milliseconds mRetryAfter{ 0 };
 };
 
@@ -83,8 +83,8 @@
   /** Lets samples under way end, saves what is finished, and stops. */
   void Stop();
 
-  batch_outcome Ask(const batch_request& aRequest);
-  batch_outcome Take(const std::string& aRun, std::int64_t aStep);
+  batch_response RequestBatch(const batch_request& aRequest);
+  batch_response ConfirmDelivery(const std::string& aRun, std::int64_t aStep);
 
 private:
   struct working_step
@@ -130,10 +130,10 @@
   std::string FindFault(const dispatch::call_outcome& aOutcome,
                         const configuration::training_run& aRun) const;
   void Retry(const std::string& aReason);
-  batch_outcome Begin(const batch_request& aRequest,
-                      std::int64_t aTakeOverRevision,
-                      ask_state aState);
-  batch_outcome Describe(const working_step& aStep);
+  batch_response Begin(const batch_request& aRequest,
+                       std::int64_t aTakeOverRevision,
+                       delivery_status aState);
+  batch_response Describe(const working_step& aStep);
   std::int64_t MayTakeOver(const std::string& aName,
                            const batch_record& aRecord);
 
--- a/Duties/Samples/StepJob.cpp
+++ b/Duties/Samples/StepJob.cpp
@@ -29,8 +29,8 @@
 {
   batch_record claim;
   claim.mNonce = aJob.mNonce;
-  claim.mDigest = DigestOf(aJob.mShape);
-  claim.mWanted = static_cast<std::int64_t>(aJob.mShape.SampleCount());
+  claim.mDigest = DigestOf(aJob.mSpec);
+  claim.mRequestedSamples = static_cast<std::int64_t>(aJob.mSpec.SampleCount());
   return claim;
 }
 
@@ -39,7 +39,7 @@
 WriteRecord(step_job& aJob, const batch_store& aStore, batch_record aRecord)
 {
   const auto written = aStore.mWrite(
-    kBatchKind, NameOf(aJob.mShape), aJob.mRecord.mRevision, ToJson(aRecord));
+    kBatchKind, NameOf(aJob.mSpec), aJob.mRecord.mRevision, ToJson(aRecord));
   if (written.mState == write_state::Done) {
     aRecord.mRevision = written.mRevision;
     aJob.mRecord = std::move(aRecord);
@@ -55,7 +55,7 @@
 bool
 LoadSaved(step_job& aJob, const batch_store& aStore)
 {
-  auto kept = MakeTable(aJob.mTable.size(), aJob.mShape.mSamplesPerPrompt);
+  auto kept = MakeTable(aJob.mTable.size(), aJob.mSpec.mSamplesPerPrompt);
   if (!LoadParts(aStore, aJob.mRecord, kept)) {
     return false;
   }
@@ -89,14 +89,14 @@
 {
   auto claim = MakeClaim(aJob);
   claim.mParts = aFound.mParts;
-  claim.mDone = aFound.mDone;
+  claim.mFinishedSamples = aFound.mFinishedSamples;
   claim.mBeat = aFound.mBeat + 1;
   aJob.mRecord.mRevision = aFound.mRevision;
   if (!WriteRecord(aJob, aStore, claim)) {
     return false;
   }
   if (!aJob.mMustReadBack) {
-    aStore.mDelete(kPartKind, UnnamedPart(NameOf(aJob.mShape), aFound));
+    aStore.mDelete(kPartKind, UnnamedPart(NameOf(aJob.mSpec), aFound));
   }
   return true;
 }
@@ -105,7 +105,7 @@
 bool
 Claim(step_job& aJob, const batch_store& aStore)
 {
-  const auto read = aStore.mRead(kBatchKind, NameOf(aJob.mShape));
+  const auto read = aStore.mRead(kBatchKind, NameOf(aJob.mSpec));
   if (read.mState == read_state::Failed) {
     return false;
   }
@@ -157,7 +157,7 @@
     std::move(members.begin(), members.end(), std::back_inserter(samples));
   }
   if (!part.mGroups.empty()) {
-    part.mName = PartName(NameOf(aJob.mShape), aJob.mNonce, aJob.mNextPart++);
+    part.mName = PartName(NameOf(aJob.mSpec), aJob.mNonce, aJob.mNextPart++);
     part.mValue.Set("samples", std::move(samples));
     aJob.mPending = std::move(part);
   }
@@ -177,7 +177,7 @@
   }
   auto record = aJob.mRecord;
   record.mParts.push_back(part.mName);
-  record.mDone = static_cast<std::int64_t>(CountDone(aJob));
+  record.mFinishedSamples = static_cast<std::int64_t>(CountDone(aJob));
   ++record.mBeat;
   return WriteRecord(aJob, aStore, std::move(record));
 }
@@ -213,16 +213,16 @@
 } // namespace
 
 step_job
-StartJob(batch_shape aShape, std::string aNonce, std::int64_t aTakeOverRevision)
+StartJob(batch_spec aSpec, std::string aNonce, std::int64_t aTakeOverRevision)
 {
   step_job job;
-  const auto groups = aShape.mPrompts.size();
-  job.mTable = MakeTable(groups, aShape.mSamplesPerPrompt);
+  const auto groups = aSpec.mPrompts.size();
+  job.mTable = MakeTable(groups, aSpec.mSamplesPerPrompt);
   job.mUnderWay.assign(
     groups,
-    std::vector<int>(static_cast<std::size_t>(aShape.mSamplesPerPrompt), 0));
+    std::vector<int>(static_cast<std::size_t>(aSpec.mSamplesPerPrompt), 0));
   job.mIsSaved.assign(groups, false);
-  job.mShape = std::move(aShape);
+  job.mSpec = std::move(aSpec);
   job.mNonce = std::move(aNonce);
   job.mTakeOverRevision = aTakeOverRevision;
   return job;
--- a/Duties/Samples/StepJob.h
+++ b/Duties/Samples/StepJob.h
@@ -37,7 +37,7 @@
  * it hadn't saved. */
 struct step_job
 {
-  batch_shape mShape;
+  batch_spec mSpec;
   std::string mNonce;
   job_phase mPhase = job_phase::Working;
   /** Record as this job last wrote or read it; revision 0: no claim yet. */
@@ -64,9 +64,7 @@
 constexpr std::size_t kMaximumPartBytes = 700000;
 
 step_job
-StartJob(batch_shape aShape,
-         std::string aNonce,
-         std::int64_t aTakeOverRevision);
+StartJob(batch_spec aSpec, std::string aNonce, std::int64_t aTakeOverRevision);
 
 /** Next sample that nobody makes; marks it as under way. */
 std::optional<sample_place>
--- a/Duties/Samples/TestStepJob.cpp
+++ b/Duties/Samples/TestStepJob.cpp
@@ -170,9 +170,9 @@
   std::string mDelivered;
   std::set<std::int64_t> mOldestInDeliveryWrites;
 
-  static batch_shape Shape()
+  static batch_spec Shape()
   {
-    batch_shape shape;
+    batch_spec shape;
     shape.mRun = "minutes";
     shape.mStep = 7;
     shape.mPrompts = { "first", "second", "third" };
@@ -214,24 +214,24 @@
     mJobs[aEntry].reset();
     const auto outcome = Deliver(mCalls, Shape(), Oldest());
     switch (outcome.mState) {
-      case ask_state::Ready:
+      case delivery_status::Ready:
         CheckBatch(outcome.mBatch);
         break;
-      case ask_state::Absent:
+      case delivery_status::Absent:
         RC_ASSERT(mDelivered.empty());
         Begin(aEntry, 0);
         break;
-      case ask_state::InProgress:
+      case delivery_status::InProgress:
         if (aIsMakerSilent) {
           ++mTally->mTakeOvers;
           Begin(aEntry, outcome.mRecord.mRevision);
         }
         break;
-      case ask_state::TooOld:
+      case delivery_status::TooOld:
         ++mTally->mRemade;
         Begin(aEntry, outcome.mRecord.mRevision);
         break;
-      case ask_state::Acknowledged:
+      case delivery_status::Acknowledged:
         ++mTally->mLateAsks;
         break;
       default:
@@ -307,8 +307,8 @@
   void AcknowledgeAt()
   {
     // The trainer acknowledges only what it was given.
-    if (!mDelivered.empty() &&
-        Acknowledge(mCalls, "minutes", 7).mState == ask_state::Acknowledged) {
+    if (!mDelivered.empty() && Acknowledge(mCalls, "minutes", 7).mState ==
+                                 delivery_status::Acknowledged) {
       mIsAcknowledged = true;
     }
   }
@@ -453,7 +453,7 @@
   store.mTally = &seen;
   store.mOnDeliveryWrite = [](const batch_record&) {};
   const auto calls = store.Interface();
-  batch_shape shape;
+  batch_spec shape;
   shape.mRun = "minutes";
   shape.mPrompts.assign(128, "prompt");
   shape.mSamplesPerPrompt = 8;
@@ -474,12 +474,13 @@
     BOOST_TEST(json::Write(object.mValue).size() < (1u << 20));
   }
   const auto given = Deliver(calls, shape, 0);
-  BOOST_REQUIRE((given.mState == ask_state::Ready));
+  BOOST_REQUIRE((given.mState == delivery_status::Ready));
   BOOST_TEST(given.mBatch.Find("samples")->Elements().size() == 1024u);
   BOOST_TEST(
-    (Acknowledge(calls, "minutes", 0).mState == ask_state::Acknowledged));
+    (Acknowledge(calls, "minutes", 0).mState == delivery_status::Acknowledged));
   BOOST_TEST(store.mObjects.size() == 1u);
-  BOOST_TEST((Deliver(calls, shape, 0).mState == ask_state::Acknowledged));
+  BOOST_TEST(
+    (Deliver(calls, shape, 0).mState == delivery_status::Acknowledged));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/Site/ServerChanges.cpp
+++ b/Duties/Site/ServerChanges.cpp
@@ -5,7 +5,7 @@
 namespace lavender::site {
 
 const char*
-WordFor(server_change aChange)
+ToString(server_change aChange)
 {
   switch (aChange) {
     case server_change::Ready:
@@ -19,7 +19,7 @@
 }
 
 bool
-NoteChange(server_changes& aChanges, server_change aChange)
+RecordChange(server_changes& aChanges, server_change aChange)
 {
   const bool isFirst =
     aChanges.mReady + aChanges.mLeaving + aChanges.mRemoved == 0;
--- a/Duties/Site/ServerChanges.h
+++ b/Duties/Site/ServerChanges.h
@@ -14,7 +14,7 @@
 };
 
 const char*
-WordFor(server_change aChange);
+ToString(server_change aChange);
 
 /** Counts of server changes since the last log line about them. Every entry
  * receives every change, so a line per change would be entries times servers
@@ -27,12 +27,12 @@
 };
 
 /** Time from the first change until the log line that counts it. */
-constexpr milliseconds kSumChangesFor{ 5000 };
+constexpr milliseconds kChangeSummaryDelay{ 5000 };
 
 /** Counts a change.
  * @return whether it is the first one, so that a log line must be scheduled */
 bool
-NoteChange(server_changes& aChanges, server_change aChange);
+RecordChange(server_changes& aChanges, server_change aChange);
 
 /** Returns the counts and resets them. */
 server_changes
--- a/Duties/Site/ServerDirectory.cpp
+++ b/Duties/Site/ServerDirectory.cpp
@@ -5,7 +5,7 @@
 namespace lavender::site {
 
 void
-TakeServer(server_directory& aDirectory, backend_server aServer)
+ApplyServer(server_directory& aDirectory, backend_server aServer)
 {
   auto& row = aDirectory.mRows[aServer.mId];
   row.mServer = std::move(aServer);
@@ -13,9 +13,9 @@
 }
 
 void
-TakeRemoval(server_directory& aDirectory,
-            const std::string& aId,
-            time_point aNow)
+ApplyRemoval(server_directory& aDirectory,
+             const std::string& aId,
+             time_point aNow)
 {
   const auto found = aDirectory.mRows.find(aId);
   if (found == aDirectory.mRows.end()) {
@@ -43,21 +43,21 @@
     }
   }
   for (const auto& id : missing) {
-    TakeRemoval(aDirectory, id, aNow);
+    ApplyRemoval(aDirectory, id, aNow);
   }
   for (const auto& [id, server] : aListed) {
-    TakeServer(aDirectory, server);
+    ApplyServer(aDirectory, server);
   }
 }
 
 void
-NoteOutageEnded(server_directory& aDirectory, time_point aNow)
+RecordOutageEnd(server_directory& aDirectory, time_point aNow)
 {
   aDirectory.mGraceUntil = aNow + kRenewalAfterOutage;
 }
 
 std::optional<time_point>
-DropGone(server_directory& aDirectory, time_point aNow)
+RemoveExpired(server_directory& aDirectory, time_point aNow)
 {
   std::optional<time_point> next;
   for (auto row = aDirectory.mRows.begin(); row != aDirectory.mRows.end();) {
--- a/Duties/Site/ServerDirectory.h
+++ b/Duties/Site/ServerDirectory.h
@@ -48,15 +48,15 @@
 constexpr milliseconds kRenewalAfterOutage{ 2000 };
 
 void
-TakeServer(server_directory& aDirectory, backend_server aServer);
+ApplyServer(server_directory& aDirectory, backend_server aServer);
 
 /** Handles the removal of a server's record. Drops the server at once, except
  * right after an outage, when a server that isn't leaving is kept until
  * mGraceUntil. */
 void
-TakeRemoval(server_directory& aDirectory,
-            const std::string& aId,
-            time_point aNow);
+ApplyRemoval(server_directory& aDirectory,
+             const std::string& aId,
+             time_point aNow);
 
 /** Applies a complete listing: servers that it lacks count as removed. */
 void
@@ -67,11 +67,11 @@
 /** Starts the grace period for missing records, as the store answers again
  * after an outage. */
 void
-NoteOutageEnded(server_directory& aDirectory, time_point aNow);
+RecordOutageEnd(server_directory& aDirectory, time_point aNow);
 
 /** Drops the servers whose grace period is over.
  * @return when to call this again; none if no server is in its grace period */
 std::optional<time_point>
-DropGone(server_directory& aDirectory, time_point aNow);
+RemoveExpired(server_directory& aDirectory, time_point aNow);
 
 } // namespace lavender::site
--- a/Duties/Site/ServerProtocol.h
+++ b/Duties/Site/ServerProtocol.h
@@ -10,12 +10,12 @@
 namespace lavender::site {
 
 /** Metadata in the header fields of a caller's request. */
-struct caller_facts
+struct caller_metadata
 {
   /** Id of this attempt of the caller; each repeat has another id. */
   std::string mAttemptId;
   /** How long the caller waits for the response, from the request's arrival. */
-  std::optional<milliseconds> mPatience;
+  std::optional<milliseconds> mCallerTimeout;
 };
 
 /** One attempt to run a request at one server. */
@@ -41,7 +41,7 @@
 };
 
 /** Metadata in the header fields of a server's response. */
-struct answer_facts
+struct response_metadata
 {
   std::string mAttemptId;
   std::string mServerId;
@@ -58,12 +58,12 @@
  * implemented by the platform's adapter. */
 struct exchange_protocol
 {
-  std::function<caller_facts(const edge::request&)> mReadCaller;
+  std::function<caller_metadata(const edge::request&)> mReadCallerMetadata;
   std::function<const std::string*(const edge::request&)> mFindKey;
   /** Returns the request as it is sent to a server, without the caller's key
    * and the header fields that concern only its connection. */
   std::function<edge::request(const edge::request&, const attempt&)> mAddress;
-  std::function<answer_facts(const edge::response&)> mReadAnswer;
+  std::function<response_metadata(const edge::response&)> mReadResponseMetadata;
   /** Returns the version of the weights in a line of an event, if there is
    * one. */
   std::function<std::optional<std::int64_t>(std::string_view)> mReadVersionLine;
--- a/Duties/Site/SiteConfiguration.cpp
+++ b/Duties/Site/SiteConfiguration.cpp
@@ -55,7 +55,7 @@
 }
 
 bool
-TakeConfiguration(configuration_ptr& aInForce, configuration_ptr aArrived)
+ApplyConfiguration(configuration_ptr& aInForce, configuration_ptr aArrived)
 {
   if (!aArrived || (aInForce && aArrived->mVersion <= aInForce->mVersion)) {
     return false;
--- a/Duties/Site/SiteConfiguration.h
+++ b/Duties/Site/SiteConfiguration.h
@@ -16,7 +16,7 @@
 namespace lavender::site {
 
 /** Whether a request whose outcome is unknown may be repeated. */
-enum class repetition
+enum class retry_policy
 {
   /** It may be repeated. */
   Idempotent,
@@ -37,9 +37,9 @@
   std::string mHost;
   /** Begins and ends with a slash. */
   std::string mPathPrefix;
-  repetition mRepetition = repetition::AtMostOnce;
+  retry_policy mRetryPolicy = retry_policy::AtMostOnce;
   /** Whether requests are submitted in batches that are run later. */
-  bool mTakesBatches = false;
+  bool mAcceptsBatches = false;
   /** Whether responses are streams of events. */
   bool mIsStream = false;
   /** Whether another server may resume a stream after its last event. */
@@ -58,9 +58,9 @@
   /** Pools that share the route's requests. */
   std::vector<weighted_pool> mPools;
   /** Time from a batch's submission after which its items may be abandoned. */
-  milliseconds mMaximumQueueing{ 60000 };
+  milliseconds mMaximumQueueTime{ 60000 };
   /** Time from a batch's submission within which all results are due. */
-  milliseconds mDue{ 60000 };
+  milliseconds mResultsDueAfter{ 60000 };
 };
 
 /** Properties of a pool of model engines. */
@@ -135,6 +135,6 @@
  * configuration.
  * @return whether it is in force now */
 bool
-TakeConfiguration(configuration_ptr& aInForce, configuration_ptr aArrived);
+ApplyConfiguration(configuration_ptr& aInForce, configuration_ptr aArrived);
 
 } // namespace lavender::site
--- a/Duties/Site/TestServerChanges.cpp
+++ b/Duties/Site/TestServerChanges.cpp
@@ -14,16 +14,16 @@
   server_changes changes;
   int lines = 0;
   for (int i = 0; i < 1200; ++i) {
-    lines += NoteChange(changes, server_change::Ready) ? 1 : 0;
+    lines += RecordChange(changes, server_change::Ready) ? 1 : 0;
   }
-  NoteChange(changes, server_change::Leaving);
-  NoteChange(changes, server_change::Removed);
+  RecordChange(changes, server_change::Leaving);
+  RecordChange(changes, server_change::Removed);
   BOOST_TEST(lines == 1);
   const auto counts = TakeChanges(changes);
   BOOST_TEST(counts.mReady == 1200);
   BOOST_TEST(counts.mLeaving == 1);
   BOOST_TEST(counts.mRemoved == 1);
-  BOOST_TEST(NoteChange(changes, server_change::Leaving));
+  BOOST_TEST(RecordChange(changes, server_change::Leaving));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Duties/StoreAccess/HelperChoice.cpp
+++ b/Duties/StoreAccess/HelperChoice.cpp
@@ -21,7 +21,7 @@
 
 std::optional<helper>
 ChooseHelper(const helper_history& aHistory,
-             const helper_view& aView,
+             const helper_candidates& aView,
              const std::set<std::string>& aAsked,
              time_point aNow)
 {
@@ -51,7 +51,7 @@
 
 void
 RecordHelp(helper_history& aHistory,
-           const helper_view& aView,
+           const helper_candidates& aView,
            const std::string& aName)
 {
   aHistory.mAvoidedUntil.erase(aName);
--- a/Duties/StoreAccess/HelperChoice.h
+++ b/Duties/StoreAccess/HelperChoice.h
@@ -22,7 +22,7 @@
 };
 
 /** The entries that this one may ask for help at one moment. */
-struct helper_view
+struct helper_candidates
 {
   std::string mSelf;
   /** The entry whose watch of the store provides this one's feed; the store has
@@ -50,13 +50,13 @@
  * @param aAsked entries already asked for this call */
 std::optional<helper>
 ChooseHelper(const helper_history& aHistory,
-             const helper_view& aView,
+             const helper_candidates& aView,
              const std::set<std::string>& aAsked,
              time_point aNow);
 
 void
 RecordHelp(helper_history& aHistory,
-           const helper_view& aView,
+           const helper_candidates& aView,
            const std::string& aName);
 
 void
--- a/Duties/StoreAccess/StoreAccess.cpp
+++ b/Duties/StoreAccess/StoreAccess.cpp
@@ -84,8 +84,8 @@
   edge::response mLastResponse;
 };
 
-store_access::store_access(access_parts aParts)
-  : mParts(std::move(aParts))
+store_access::store_access(access_dependencies aParts)
+  : mDependencies(std::move(aParts))
 {
 }
 
@@ -98,7 +98,7 @@
   if (aOptions.mProbesConnection) {
     // A watch isn't sent through other entries: the feed between entries
     // replaces it.
-    mParts.mDirect(aRequest, aDeadline, aOptions, std::move(aDone));
+    mDependencies.mDirect(aRequest, aDeadline, aOptions, std::move(aDone));
     return;
   }
   auto call = std::make_shared<helped_call>();
@@ -120,13 +120,14 @@
   aCall->mAwaitsDirect = true;
   const auto left =
     std::chrono::duration_cast<milliseconds>(aCall->mUntil - Now());
-  mParts.mDirect(aCall->mRequest,
-                 left,
-                 aCall->mOptions,
-                 [this, aCall](edge::call_end aEnd, edge::response aResponse) {
-                   HandleDirectResponse(aCall, aEnd, std::move(aResponse));
-                 });
-  RunAfter(mParts.mScheduler, kHelpDelay, [this, aCall] {
+  mDependencies.mDirect(
+    aCall->mRequest,
+    left,
+    aCall->mOptions,
+    [this, aCall](edge::call_end aEnd, edge::response aResponse) {
+      HandleDirectResponse(aCall, aEnd, std::move(aResponse));
+    });
+  RunAfter(mDependencies.mScheduler, kHelpDelay, [this, aCall] {
     if (!aCall->mIsFinished && !aCall->mAwaitsHelp && aCall->mAwaitsDirect) {
       TryNextHelper(aCall);
     }
@@ -139,7 +140,8 @@
                                    edge::response aResponse)
 {
   aCall->mAwaitsDirect = false;
-  const bool isUnavailable = mParts.mIsUnavailable(aEnd, aResponse.mStatus);
+  const bool isUnavailable =
+    mDependencies.mIsUnavailable(aEnd, aResponse.mStatus);
   RecordDirectResult(isUnavailable);
   if (aCall->mIsFinished) {
     return;
@@ -162,7 +164,7 @@
 void
 store_access::TryNextHelper(const call_ptr& aCall)
 {
-  const auto view = mParts.mView();
+  const auto view = mDependencies.mView();
   const auto left =
     std::chrono::duration_cast<milliseconds>(aCall->mUntil - Now());
   const auto chosen = aCall->mAsked.size() < kMaximumAsked && left > 0ms
@@ -176,7 +178,7 @@
   }
   aCall->mAsked.insert(chosen->mName);
   aCall->mAwaitsHelp = true;
-  mParts.mCallEntry(
+  mDependencies.mCallEntry(
     chosen->mAddress,
     EncodeHelp(aCall->mRequest),
     std::min(left, kHelpTimeout),
@@ -196,19 +198,20 @@
   const bool isAnswered = aEnd == edge::call_end::Complete;
   const bool cannotHelp = isAnswered && aResponse.mStatus == kCannotHelp;
   const bool hadNoResponse = isAnswered && aResponse.mStatus == kNoAnswer;
-  const bool isUnavailable = cannotHelp || hadNoResponse ||
-                             mParts.mIsUnavailable(aEnd, aResponse.mStatus);
+  const bool isUnavailable =
+    cannotHelp || hadNoResponse ||
+    mDependencies.mIsUnavailable(aEnd, aResponse.mStatus);
   events::line("store_helped")
     .With("entry", aName)
     .With("target", aCall->mRequest.mTarget)
     .With("tried", static_cast<std::int64_t>(aCall->mAsked.size()))
-    .With("end", edge::WordFor(aEnd))
+    .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aResponse.mStatus));
   if (isUnavailable) {
     RecordRefusal(
       mHistory, aName, isAnswered ? kRefusalBackoff : kSilentBackoff, Now());
   } else {
-    RecordHelp(mHistory, mParts.mView(), aName);
+    RecordHelp(mHistory, mDependencies.mView(), aName);
     if (aCall->mAwaitsDirect) {
       RecordDirectResult(true);
     }
@@ -282,13 +285,13 @@
     return;
   }
   mNextProbeAt = Now() + kProbeInterval;
-  mParts.mDirect(mParts.mProbe,
-                 kProbeTimeout,
-                 {},
-                 [this](edge::call_end aEnd, const edge::response& aResponse) {
-                   RecordDirectResult(
-                     mParts.mIsUnavailable(aEnd, aResponse.mStatus));
-                 });
+  mDependencies.mDirect(
+    mDependencies.mProbe,
+    kProbeTimeout,
+    {},
+    [this](edge::call_end aEnd, const edge::response& aResponse) {
+      RecordDirectResult(mDependencies.mIsUnavailable(aEnd, aResponse.mStatus));
+    });
 }
 
 void
@@ -297,21 +300,21 @@
   if (mUnavailableSince) {
     ProbeDirect();
   }
-  if (mUnavailableSince || mHelped >= kMostHelped) {
+  if (mUnavailableSince || mHelped >= kMaximumHelpedCalls) {
     aDone({ kCannotHelp, {}, {} });
     return;
   }
   ++mHelped;
   edge::call_options options;
   options.mSilenceTimeout = kHelpTimeout;
-  mParts.mDirect(
+  mDependencies.mDirect(
     DecodeHelp(aAsked),
     kHelpTimeout,
     options,
     [this, done = std::move(aDone)](edge::call_end aEnd,
                                     edge::response aResponse) {
       --mHelped;
-      RecordDirectResult(mParts.mIsUnavailable(aEnd, aResponse.mStatus));
+      RecordDirectResult(mDependencies.mIsUnavailable(aEnd, aResponse.mStatus));
       if (aEnd == edge::call_end::NotSent) {
         done({ kCannotHelp, {}, {} });
       } else if (aEnd != edge::call_end::Complete) {
@@ -325,21 +328,22 @@
 void
 store_access::ScheduleProbe()
 {
-  // An entry that is given no work because of CanStore() makes no calls of its
-  // own that could succeed, so it must probe.
-  mNextProbe = mParts.mScheduler.mAfter(kProbeInterval, [this] {
+  // An entry that is given no work because of CanReachStore() makes no calls of
+  // its own that could succeed, so it must probe.
+  mNextProbe = mDependencies.mScheduler.mAfter(kProbeInterval, [this] {
     if (!mUnreachableSince) {
       return;
     }
     if (HasHelpers()) {
-      Call(mParts.mProbe, kProbeTimeout, {}, [](edge::call_end, auto) {});
+      Call(
+        mDependencies.mProbe, kProbeTimeout, {}, [](edge::call_end, auto) {});
     }
     ScheduleProbe();
   });
 }
 
 bool
-store_access::CanStore() const
+store_access::CanReachStore() const
 {
   return !mUnreachableSince || !HasHelpers() ||
          Now() - *mUnreachableSince < kUnreachableAfter;
--- a/Duties/StoreAccess/StoreAccess.h
+++ b/Duties/StoreAccess/StoreAccess.h
@@ -16,7 +16,7 @@
                                            edge::call_options,
                                            edge::whole_answer)>;
 
-struct access_parts
+struct access_dependencies
 {
   scheduler mScheduler;
   store_transport mDirect;
@@ -26,7 +26,7 @@
                      milliseconds aDeadline,
                      edge::whole_answer)>
     mCallEntry;
-  std::function<helper_view()> mView;
+  std::function<helper_candidates()> mView;
   /** Whether the store did not serve this instance, or gave no response, though
    * it may serve another instance. */
   std::function<bool(edge::call_end, unsigned aStatus)> mIsUnavailable;
@@ -48,7 +48,7 @@
 class store_access
 {
 public:
-  explicit store_access(access_parts aParts);
+  explicit store_access(access_dependencies aParts);
 
   void Call(const edge::request& aRequest,
             milliseconds aDeadline,
@@ -60,14 +60,14 @@
   /** False if for a while no call has succeeded, directly or through another
    * entry, though other entries reach the store. True if no entry reaches the
    * store, because then no other entry could do the work either. */
-  bool CanStore() const;
+  bool CanReachStore() const;
 
 private:
   struct helped_call;
   using call_ptr = std::shared_ptr<helped_call>;
 
-  time_point Now() const { return mParts.mScheduler.mNow(); }
-  bool HasHelpers() const { return !mParts.mView().mEntries.empty(); }
+  time_point Now() const { return mDependencies.mScheduler.mNow(); }
+  bool HasHelpers() const { return !mDependencies.mView().mEntries.empty(); }
   void CallDirect(const call_ptr& aCall);
   void HandleDirectResponse(const call_ptr& aCall,
                             edge::call_end aEnd,
@@ -85,7 +85,7 @@
   void ProbeDirect();
   void ScheduleProbe();
 
-  access_parts mParts;
+  access_dependencies mDependencies;
   helper_history mHistory;
   /** Since when the store has been unavailable to this entry directly. */
   std::optional<time_point> mUnavailableSince;
@@ -105,6 +105,6 @@
 constexpr unsigned kNoAnswer = 502;
 /** Maximum number of concurrent calls for other entries. More would take too
  * much of a small instance's processor and bandwidth from its own callers. */
-constexpr int kMostHelped = 16;
+constexpr int kMaximumHelpedCalls = 16;
 
 } // namespace lavender::storeaccess
--- a/Duties/Upkeep/UpkeepDuty.cpp
+++ b/Duties/Upkeep/UpkeepDuty.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 bool
-IsDisposable(const batches::batch_head& aHead,
+IsDisposable(const batches::batch_metadata& aHead,
              milliseconds aKeep,
              std::chrono::system_clock::time_point aNow)
 {
@@ -45,9 +45,9 @@
   return true;
 }
 
-upkeep_duty::upkeep_duty(upkeep_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+upkeep_duty::upkeep_duty(upkeep_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
@@ -65,7 +65,7 @@
     if (aError) {
       return;
     }
-    if (mParts.mIsMyTurn()) {
+    if (mDependencies.mIsMyTurn()) {
       PingEntries();
       DisposeOne();
     } else {
@@ -78,17 +78,17 @@
 void
 upkeep_duty::PingEntries()
 {
-  for (const auto& [name, address] : mParts.mEntries()) {
-    if (name == mParts.mName) {
+  for (const auto& [name, address] : mDependencies.mEntries()) {
+    if (name == mDependencies.mName) {
       continue;
     }
     edge::call_options options;
     options.mConnectTimeout = kPingTimeout;
     edge::FetchWhole(
-      mParts.mClients,
-      mParts.mLoop,
+      mDependencies.mClients,
+      mDependencies.mLoop,
       address,
-      mParts.mPing(),
+      mDependencies.mPing(),
       options,
       kPingTimeout,
       64 << 10,
@@ -98,7 +98,7 @@
           return;
         }
         events::line("entry_removed").With("entry", name);
-        mParts.mStore.mDelete(
+        mDependencies.mStore.mDelete(
           site::kEntryKind, name, [](const objects::object_reply&) {});
       });
   }
@@ -111,8 +111,8 @@
     return;
   }
   const auto now = std::chrono::system_clock::now();
-  for (const auto& head : mParts.mHeads()) {
-    if (IsDisposable(head, mParts.mKeepResults, now)) {
+  for (const auto& head : mDependencies.mHeads()) {
+    if (IsDisposable(head, mDependencies.mKeepResults, now)) {
       mIsDisposing = true;
       DeleteBlocks(head, 0);
       return;
@@ -121,31 +121,31 @@
 }
 
 void
-upkeep_duty::DeleteBlocks(const batches::batch_head& aHead, int aNumber)
+upkeep_duty::DeleteBlocks(const batches::batch_metadata& aHead, int aNumber)
 {
-  mParts.mStore.mDelete(batches::kResultsKind,
-                        batches::ResultsName(aHead.mId, aNumber),
-                        [this, aHead, aNumber](const auto& aReply) {
-                          if (aReply.mOutcome == store_outcome::Done) {
-                            DeleteBlocks(aHead, aNumber + 1);
-                          } else if (aReply.mOutcome ==
-                                     store_outcome::NotFound) {
-                            DeleteItems(aHead, 0);
-                          } else {
-                            mIsDisposing = false;
-                          }
-                        });
+  mDependencies.mStore.mDelete(batches::kBatchResultsKind,
+                               batches::ResultsObjectName(aHead.mId, aNumber),
+                               [this, aHead, aNumber](const auto& aReply) {
+                                 if (aReply.mOutcome == store_outcome::Done) {
+                                   DeleteBlocks(aHead, aNumber + 1);
+                                 } else if (aReply.mOutcome ==
+                                            store_outcome::NotFound) {
+                                   DeleteItems(aHead, 0);
+                                 } else {
+                                   mIsDisposing = false;
+                                 }
+                               });
 }
 
 void
-upkeep_duty::DeleteItems(const batches::batch_head& aHead, int aPart)
+upkeep_duty::DeleteItems(const batches::batch_metadata& aHead, int aPart)
 {
   // The head goes last: while it is there, the rest is found again after a
   // failure.
-  const bool isHead = aPart == aHead.mParts;
-  mParts.mStore.mDelete(
-    isHead ? batches::kHeadKind : batches::kItemsKind,
-    isHead ? aHead.mId : batches::ItemsName(aHead.mId, aPart),
+  const bool isHead = aPart == aHead.mDependencies;
+  mDependencies.mStore.mDelete(
+    isHead ? batches::kBatchMetadataKind : batches::kBatchItemsKind,
+    isHead ? aHead.mId : batches::ItemsObjectName(aHead.mId, aPart),
     [this, aHead, aPart, isHead](const auto& aReply) {
       const bool isGone = aReply.mOutcome == store_outcome::Done ||
                           aReply.mOutcome == store_outcome::NotFound;
--- a/Duties/Upkeep/UpkeepDuty.h
+++ b/Duties/Upkeep/UpkeepDuty.h
@@ -17,7 +17,7 @@
  * trainers may read them, and it is over. One that its trainer has forgotten
  * counts as over in the end. */
 bool
-IsDisposable(const batches::batch_head& aHead,
+IsDisposable(const batches::batch_metadata& aHead,
              milliseconds aKeep,
              std::chrono::system_clock::time_point aNow);
 
@@ -36,7 +36,7 @@
          bool aHasAnswered,
          time_point aNow);
 
-struct upkeep_parts
+struct upkeep_dependencies
 {
   boost::asio::io_context& mLoop;
   const objects::object_store& mStore;
@@ -47,7 +47,7 @@
   /** Whether this entry is the one that looks after the store. */
   std::function<bool()> mIsMyTurn;
   std::function<std::map<std::string, edge::endpoint>()> mEntries;
-  std::function<std::vector<batches::batch_head>()> mHeads;
+  std::function<std::vector<batches::batch_metadata>()> mHeads;
   /** A request that any entry answers. */
   std::function<edge::request()> mPing;
 };
@@ -56,7 +56,7 @@
 class upkeep_duty
 {
 public:
-  explicit upkeep_duty(upkeep_parts aParts);
+  explicit upkeep_duty(upkeep_dependencies aParts);
 
   void Start();
 
@@ -64,10 +64,10 @@
   void LookAgain();
   void PingEntries();
   void DisposeOne();
-  void DeleteBlocks(const batches::batch_head& aHead, int aNumber);
-  void DeleteItems(const batches::batch_head& aHead, int aPart);
+  void DeleteBlocks(const batches::batch_metadata& aHead, int aNumber);
+  void DeleteItems(const batches::batch_metadata& aHead, int aPart);
 
-  upkeep_parts mParts;
+  upkeep_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
   silent_entries mSilent;
   bool mIsDisposing = false;
--- a/Duties/Usage/TestWindowReport.cpp
+++ b/Duties/Usage/TestWindowReport.cpp
@@ -130,7 +130,7 @@
     wire::superseded_run run;
     run.agent_incarnation = aFirst.mIncarnation;
     run.request_id = customer + ".0";
-    aEntry.mAccount->NoteSuperseded(run);
+    aEntry.mAccount->RecordSuperseded(run);
     ServeOne(aOther, aEntry);
     if (aLate) {
       firstRun();
@@ -246,7 +246,7 @@
     }
     for (auto& agent : mAgents) {
       if (!agent.mIsCutOff) {
-        agent.mAccount->TakeOut(agent.mIncarnation, superseded);
+        agent.mAccount->RemoveSupersededRuns(agent.mIncarnation, superseded);
         NoteTold(agent);
         const auto closed =
           agent.mAccount->Close(std::min(window, mNow - agent.mBehind - 1));
@@ -310,7 +310,7 @@
   void Leave(witness& aEntry)
   {
     mRemainders.push_back(
-      ParseBuckets(Describe(aEntry.mAccount->Buckets(1 << 30))));
+      ParseBuckets(ToJson(aEntry.mAccount->Buckets(1 << 30))));
     mFaults.insert(fault::EntryLeft);
     Kill(aEntry);
   }
@@ -479,8 +479,8 @@
   report.mLateRows[{ 5, "brf" }] = row;
   report.mMarks.mAgents["agent"] = 7;
   report.mMarks.mBuckets.insert({ "old", "entry", 6 });
-  const auto text = json::Write(Describe(report));
-  BOOST_TEST(json::Write(Describe(ParseReport(*json::Parse(text)))) == text);
+  const auto text = json::Write(ToJson(report));
+  BOOST_TEST(json::Write(ToJson(ParseReport(*json::Parse(text)))) == text);
 }
 
 // The reporter closes a window while the agent's threads still end runs. Such a
--- a/Duties/Usage/UsageAccount.cpp
+++ b/Duties/Usage/UsageAccount.cpp
@@ -53,7 +53,7 @@
 }
 
 void
-usage_account::NoteSuperseded(const wire::superseded_run& aRun)
+usage_account::RecordSuperseded(const wire::superseded_run& aRun)
 {
   std::lock_guard lock(mMutex);
   Remember(aRun);
@@ -67,8 +67,9 @@
 }
 
 void
-usage_account::TakeOut(const std::string& aAgentIncarnation,
-                       const std::vector<wire::superseded_run>& aRuns)
+usage_account::RemoveSupersededRuns(
+  const std::string& aAgentIncarnation,
+  const std::vector<wire::superseded_run>& aRuns)
 {
   std::lock_guard lock(mMutex);
   for (const auto& run : aRuns) {
--- a/Duties/Usage/UsageAccount.h
+++ b/Duties/Usage/UsageAccount.h
@@ -54,15 +54,15 @@
                         const counted_run& aRun);
 
   /** Notes that an entry repeats that run elsewhere. */
-  void NoteSuperseded(const wire::superseded_run& aRun);
+  void RecordSuperseded(const wire::superseded_run& aRun);
   /** The runs so noted, oldest first. */
   std::vector<wire::superseded_run> Superseded() const;
 
   /** Takes runs of this agent out of its counts, also when they end later: a
    * caller whose call was repeated would pay for both runs. Counts that a
    * report has fixed already stay. */
-  void TakeOut(const std::string& aAgentIncarnation,
-               const std::vector<wire::superseded_run>& aRuns);
+  void RemoveSupersededRuns(const std::string& aAgentIncarnation,
+                            const std::vector<wire::superseded_run>& aRuns);
 
   /** Closes the windows up to that one: whoever is told of their buckets can
    * rely on getting them whole. Closed windows stay closed.
--- a/Duties/Usage/WindowReport.cpp
+++ b/Duties/Usage/WindowReport.cpp
@@ -45,7 +45,7 @@
 }
 
 json::value
-Describe(const wire::usage_row& aRow)
+ToJson(const wire::usage_row& aRow)
 {
   json::value row;
   row.Set("customer", aRow.customer);
@@ -75,7 +75,7 @@
 }
 
 json::value
-Describe(const usage_marks& aMarks)
+ToJson(const usage_marks& aMarks)
 {
   json::array agents;
   for (const auto& [agent, through] : aMarks.mAgents) {
@@ -182,11 +182,11 @@
 {
   json::array rows;
   for (const auto& [customer, row] : aReport.mRows) {
-    rows.push_back(Describe(row));
+    rows.push_back(ToJson(row));
   }
   json::array late;
   for (const auto& [key, row] : aReport.mLateRows) {
-    auto described = Describe(row);
+    auto described = ToJson(row);
     described.Set("window", key.first);
     late.push_back(std::move(described));
   }
@@ -198,13 +198,13 @@
 }
 
 json::value
-Describe(const window_report& aReport)
+ToJson(const window_report& aReport)
 {
   auto status = DescribeFigures(aReport);
   status.Set("reported", aReport.mIsReported);
   json::value described;
   described.Set("status", std::move(status));
-  described.Set("marks", Describe(aReport.mMarks));
+  described.Set("marks", ToJson(aReport.mMarks));
   return described;
 }
 
@@ -232,13 +232,13 @@
 }
 
 json::value
-Describe(const std::vector<wire::usage_bucket>& aBuckets)
+ToJson(const std::vector<wire::usage_bucket>& aBuckets)
 {
   json::array described;
   for (const auto& bucket : aBuckets) {
     json::array rows;
     for (const auto& row : bucket.rows) {
-      rows.push_back(Describe(row));
+      rows.push_back(ToJson(row));
     }
     json::value item;
     item.Set("agent", bucket.agent_incarnation);
@@ -268,7 +268,7 @@
 }
 
 json::value
-Describe(const std::vector<wire::superseded_run>& aRuns)
+ToJson(const std::vector<wire::superseded_run>& aRuns)
 {
   json::array described;
   for (const auto& run : aRuns) {
--- a/Duties/Usage/WindowReport.h
+++ b/Duties/Usage/WindowReport.h
@@ -76,7 +76,7 @@
 
 /** What the Object API holds, kind "UsageWindow". */
 json::value
-Describe(const window_report& aReport);
+ToJson(const window_report& aReport);
 window_report
 ParseReport(const json::value& aValue);
 
@@ -85,12 +85,12 @@
 DescribeFigures(const window_report& aReport);
 
 json::value
-Describe(const std::vector<wire::usage_bucket>& aBuckets);
+ToJson(const std::vector<wire::usage_bucket>& aBuckets);
 std::vector<wire::usage_bucket>
 ParseBuckets(const json::value& aValue);
 
 json::value
-Describe(const std::vector<wire::superseded_run>& aRuns);
+ToJson(const std::vector<wire::superseded_run>& aRuns);
 std::vector<wire::superseded_run>
 ParseSuperseded(const json::value& aValue);
 
--- a/Duties/Versions/Assignments.cpp
+++ b/Duties/Versions/Assignments.cpp
@@ -49,15 +49,16 @@
 
 } // namespace
 
-assignments::assignments(assignment_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
-  , mBurstTimer(mParts.mLoop)
+assignments::assignments(assignment_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
+  , mBurstTimer(mDependencies.mLoop)
 {
 }
 
 void
-assignments::TakeNamed(const std::string& aModel, std::int64_t aVersion)
+assignments::HandleVersionAnnounced(const std::string& aModel,
+                                    std::int64_t aVersion)
 {
   auto& newest = mAnnounced[aModel];
   if (aVersion > newest) {
@@ -94,16 +95,16 @@
 assignments::ServersByAddress() const
 {
   std::unordered_map<std::string, std::string> servers;
-  for (const auto& [id, row] : mParts.mDirectory.mRows) {
+  for (const auto& [id, row] : mDependencies.mDirectory.mRows) {
     servers[row.mServer.mAddress.Text()] = id;
   }
   return servers;
 }
 
 void
-assignments::TakeBatch(const std::string& aModel,
-                       std::int64_t aMinimumVersion,
-                       std::int64_t aExpectedTokens)
+assignments::HandleBatchSubmitted(const std::string& aModel,
+                                  std::int64_t aMinimumVersion,
+                                  std::int64_t aExpectedTokens)
 {
   auto& work = mWork[aModel];
   work = work == 0 ? static_cast<double>(aExpectedTokens)
@@ -127,7 +128,7 @@
 void
 assignments::UpdateModelShares()
 {
-  if (auto shifted = ShiftedWeights(mWork, mModelShares)) {
+  if (auto shifted = UpdatedModelShares(mWork, mModelShares)) {
     mModelShares = std::move(*shifted);
     LogModelShares();
   }
@@ -146,15 +147,15 @@
   }
 }
 
-std::vector<placed_server>
+std::vector<server_versions>
 assignments::ServersOf(const std::string& aPool) const
 {
-  std::vector<placed_server> servers;
-  for (const auto& [id, row] : mParts.mDirectory.mRows) {
+  std::vector<server_versions> servers;
+  for (const auto& [id, row] : mDependencies.mDirectory.mRows) {
     if (row.mServer.mPool != aPool || row.mServer.mIsLeaving) {
       continue;
     }
-    placed_server server{ id, row.mServer.mVersions };
+    server_versions server{ id, row.mServer.mVersions };
     if (const auto reported = mReported.find(id); reported != mReported.end()) {
       for (const auto& [model, version] : reported->second) {
         server.mVersions[model] = std::max(server.mVersions[model], version);
@@ -165,20 +166,20 @@
   return servers;
 }
 
-std::map<std::string, wanted_versions>
+std::map<std::string, target_versions>
 assignments::Decide(time_point aNow)
 {
-  std::map<std::string, wanted_versions> targets;
-  if (!mParts.mConfiguration) {
+  std::map<std::string, target_versions> targets;
+  if (!mDependencies.mConfiguration) {
     return targets;
   }
-  for (const auto& [name, pool] : mParts.mConfiguration->mPools) {
+  for (const auto& [name, pool] : mDependencies.mConfiguration->mPools) {
     if (!pool.mEngine || pool.mEngine->mModels.empty()) {
       continue;
     }
     const auto servers = ServersOf(name);
     const auto placed =
-      PlaceModels(servers, pool.mEngine->mModels, mAnnounced, mModelShares);
+      AssignModels(servers, pool.mEngine->mModels, mAnnounced, mModelShares);
     const auto due = ServersDueToLoad(servers, pool.mEngine->mModels);
     std::size_t loading = 0;
     for (const auto& server : servers) {
@@ -192,7 +193,7 @@
         ++loading;
       }
     }
-    const auto atOnce = LoadsAtOnce(servers.size());
+    const auto atOnce = MaximumConcurrentLoads(servers.size());
     for (const auto& id : due) {
       const auto& model = placed.at(id);
       const bool isLoading = mLoadingSince.count(id) > 0;
@@ -210,17 +211,17 @@
 }
 
 std::vector<std::string>
-assignments::ServersDueToLoad(const std::vector<placed_server>& aServers,
+assignments::ServersDueToLoad(const std::vector<server_versions>& aServers,
                               const std::vector<std::string>& aModels) const
 {
-  const auto placed = PlaceModels(aServers, aModels, mAnnounced, mModelShares);
+  const auto placed = AssignModels(aServers, aModels, mAnnounced, mModelShares);
   std::vector<std::string> due;
   for (const auto& model : aModels) {
     const auto announced = mAnnounced.find(model);
     if (announced == mAnnounced.end()) {
       continue;
     }
-    std::vector<placed_server> share;
+    std::vector<server_versions> share;
     for (const auto& server : aServers) {
       if (placed.at(server.mId) == model) {
         share.push_back(server);
@@ -230,7 +231,7 @@
     const auto lag = lags == mLags.end()
                        ? 0
                        : std::max(lags->second.first, lags->second.second);
-    const auto ids = DueServers(share, model, announced->second, lag);
+    const auto ids = ServersToLoad(share, model, announced->second, lag);
     due.insert(due.end(), ids.begin(), ids.end());
   }
   return due;
@@ -250,13 +251,13 @@
   request.mExchange = aExchange;
   request.mAddress = address->Text();
   request.mClaimName = ClaimName(*address);
-  request.mClaim.mGiver = json::StringAt(*body, "giver", "");
+  request.mClaim.mController = json::StringAt(*body, "giver", "");
   request.mClaim.mEpoch = json::IntegerAt(*body, "epoch", 0);
   request.mHeld = DecodeVersions(body->Find("held"));
   request.mKnown = DecodeVersions(body->Find("known"));
   request.mUntil = boot_clock::now() + kMaximumHold;
-  if (IsSuperseded(mParts.mClaims, request.mClaimName, request.mClaim)) {
-    aExchange->Answer({ kNotGiver, {}, {} });
+  if (IsSuperseded(mDependencies.mClaims, request.mClaimName, request.mClaim)) {
+    aExchange->Answer({ kNotController, {}, {} });
     return;
   }
   mLastAsked[request.mClaimName] = boot_clock::now();
@@ -266,12 +267,13 @@
 }
 
 void
-assignments::RefuseSuperseded()
+assignments::RejectSuperseded()
 {
   std::vector<waiter> kept;
   for (auto& waiting : std::exchange(mWaiters, {})) {
-    if (IsSuperseded(mParts.mClaims, waiting.mClaimName, waiting.mClaim)) {
-      waiting.mExchange->Answer({ kNotGiver, {}, {} });
+    if (IsSuperseded(
+          mDependencies.mClaims, waiting.mClaimName, waiting.mClaim)) {
+      waiting.mExchange->Answer({ kNotController, {}, {} });
     } else {
       kept.push_back(std::move(waiting));
     }
@@ -322,7 +324,7 @@
     }
     const auto targets = mTargetVersions.find(waiting.mServer);
     const auto versions =
-      targets == mTargetVersions.end() ? wanted_versions{} : targets->second;
+      targets == mTargetVersions.end() ? target_versions{} : targets->second;
     if ((!versions.empty() && versions != waiting.mKnown) ||
         now >= waiting.mUntil) {
       Answer(waiting, versions);
@@ -334,7 +336,7 @@
 }
 
 void
-assignments::TurnAway()
+assignments::RejectWaiting()
 {
   const auto waiters = std::move(mWaiters);
   mWaiters.clear();
@@ -360,7 +362,7 @@
 
 void
 assignments::Answer(const waiter& aWaiter,
-                    const wanted_versions& aTargetVersions)
+                    const target_versions& aTargetVersions)
 {
   edge::response answer{ 200, {}, {} };
   answer.mBody =
@@ -369,21 +371,21 @@
 }
 
 edge::request
-EncodeQuestion(const assignment_question& aQuestion)
+EncodeAssignmentRequest(const assignment_request& aQuestion)
 {
   edge::request request;
   request.mMethod = "POST";
   request.mTarget = kAssignmentPath + aQuestion.mServer.Text();
   request.mBody =
-    json::Write(json::object{ { "giver", aQuestion.mClaim.mGiver },
+    json::Write(json::object{ { "giver", aQuestion.mClaim.mController },
                               { "epoch", aQuestion.mClaim.mEpoch },
                               { "held", EncodeVersions(aQuestion.mHeld) },
                               { "known", EncodeVersions(aQuestion.mKnown) } });
   return request;
 }
 
-std::optional<wanted_versions>
-DecodeAssignment(const edge::response& aResponse)
+std::optional<target_versions>
+DecodeAssignmentResponse(const edge::response& aResponse)
 {
   const auto body = json::Parse(aResponse.mBody);
   if (aResponse.mStatus != 200 || !body || !body->Find("wanted")) {
--- a/Duties/Versions/Assignments.h
+++ b/Duties/Versions/Assignments.h
@@ -10,7 +10,7 @@
 
 namespace lavender::versions {
 
-struct assignment_parts
+struct assignment_dependencies
 {
   boost::asio::io_context& mLoop;
   const site::server_directory& mDirectory;
@@ -28,16 +28,16 @@
 class assignments
 {
 public:
-  explicit assignments(assignment_parts aParts);
+  explicit assignments(assignment_dependencies aParts);
 
   /** Handles a trainer's announcement of a version. */
-  void TakeNamed(const std::string& aModel, std::int64_t aVersion);
+  void HandleVersionAnnounced(const std::string& aModel, std::int64_t aVersion);
   /** Handles a trainer's submission of a batch. The lag that the batch allows
    * behind the newest version decides how many servers must load the next
    * version. */
-  void TakeBatch(const std::string& aModel,
-                 std::int64_t aMinimumVersion,
-                 std::int64_t aExpectedTokens);
+  void HandleBatchSubmitted(const std::string& aModel,
+                            std::int64_t aMinimumVersion,
+                            std::int64_t aExpectedTokens);
   /** Schedules an evaluation after servers, the configuration or the announced
    * versions have changed. */
   void Refresh();
@@ -46,12 +46,12 @@
   void Evaluate();
   /** Answers all waiting requests with 503, so that the controllers ask other
    * entries: this one no longer learns of announced versions. */
-  void TurnAway();
+  void RejectWaiting();
   /** Handles a controller's request. */
   void Serve(const edge::exchange_ptr& aExchange);
   /** Rejects the waiting requests of controllers whose claims have been
    * superseded. */
-  void RefuseSuperseded();
+  void RejectSuperseded();
   /** Returns when the controller with that claim last sent a request here, now
    * if one is waiting; none if it never did. */
   std::optional<time_point> LastAsked(const std::string& aClaimName) const;
@@ -66,29 +66,29 @@
     edge::exchange_ptr mExchange;
     std::string mAddress;
     std::string mClaimName;
-    giver_claim mClaim;
+    controller_claim mClaim;
     /** Id of the server at that address; empty while unknown. */
     std::string mServer;
     std::map<std::string, std::int64_t> mHeld;
     /** Target versions that the controller already knows. */
-    wanted_versions mKnown;
+    target_versions mKnown;
     /** When the request is answered even without a change. */
     time_point mUntil;
   };
 
-  std::map<std::string, wanted_versions> Decide(time_point aNow);
-  std::vector<placed_server> ServersOf(const std::string& aPool) const;
+  std::map<std::string, target_versions> Decide(time_point aNow);
+  std::vector<server_versions> ServersOf(const std::string& aPool) const;
   std::vector<std::string> ServersDueToLoad(
-    const std::vector<placed_server>& aServers,
+    const std::vector<server_versions>& aServers,
     const std::vector<std::string>& aModels) const;
-  void Answer(const waiter& aWaiter, const wanted_versions& aTargetVersions);
+  void Answer(const waiter& aWaiter, const target_versions& aTargetVersions);
   std::unordered_map<std::string, std::string> ServersByAddress() const;
   void ScheduleEvaluation();
   void UpdateModelShares();
   void LogModelShares() const;
 
-  assignment_parts mParts;
-  named_versions mAnnounced;
+  assignment_dependencies mDependencies;
+  announced_versions mAnnounced;
   /** Lags behind the newest version that the last two batches of a model
    * allowed. */
   std::map<std::string, std::pair<std::int64_t, std::int64_t>> mLags;
@@ -98,11 +98,11 @@
   std::map<std::string, double> mWork;
   /** Derived from mWork, but changed only when the work has clearly shifted,
    * because a server that is moved to another model must load it first. */
-  model_weights mModelShares;
+  model_shares mModelShares;
   /** Since when a server has been due to load a version that it doesn't
    * hold. */
   std::map<std::string, time_point> mLoadingSince;
-  std::map<std::string, wanted_versions> mTargetVersions;
+  std::map<std::string, target_versions> mTargetVersions;
   std::vector<waiter> mWaiters;
   std::map<std::string, time_point> mLastAsked;
   boost::asio::steady_timer mTimer;
@@ -114,25 +114,25 @@
 /** Path of controllers' requests; the server's address follows. */
 constexpr char kAssignmentPath[] = "/assignments/";
 /** Status for a request whose claim has been superseded. */
-constexpr unsigned kNotGiver = 410;
+constexpr unsigned kNotController = 410;
 
 /** A controller's request for its server's target versions. */
-struct assignment_question
+struct assignment_request
 {
   edge::endpoint mServer;
-  giver_claim mClaim;
+  controller_claim mClaim;
   /** Versions that the server holds. */
   std::map<std::string, std::int64_t> mHeld;
   /** Target versions that the controller already knows. */
-  wanted_versions mKnown;
+  target_versions mKnown;
 };
 
 edge::request
-EncodeQuestion(const assignment_question& aQuestion);
+EncodeAssignmentRequest(const assignment_request& aQuestion);
 
 /** Returns none if the response has another status than 200 or its body is
  * malformed. */
-std::optional<wanted_versions>
-DecodeAssignment(const edge::response& aResponse);
+std::optional<target_versions>
+DecodeAssignmentResponse(const edge::response& aResponse);
 
 } // namespace lavender::versions
--- a/Duties/Versions/GiverClaim.cpp
+++ b/Duties/Versions/GiverClaim.cpp
@@ -21,7 +21,7 @@
                                    { "claim", MakeRandomName() } });
 }
 
-order_right
+order_permission
 GrantOf(const objects::stored_object& aClaimed)
 {
   const auto claim = DecodeClaim(aClaimed);
@@ -40,7 +40,7 @@
   return name;
 }
 
-giver_claim
+controller_claim
 DecodeClaim(const objects::stored_object& aObject)
 {
   return { json::StringAt(aObject.mSpec, "giver", ""),
@@ -49,8 +49,8 @@
 }
 
 void
-TakeClaimListing(claim_table& aTable,
-                 const std::map<std::string, objects::stored_object>& aListed)
+ApplyClaimListing(claim_table& aTable,
+                  const std::map<std::string, objects::stored_object>& aListed)
 {
   aTable.clear();
   for (const auto& [name, object] : aListed) {
@@ -59,7 +59,7 @@
 }
 
 void
-TakeClaimEvent(claim_table& aTable, const objects::object_event& aEvent)
+ApplyClaimEvent(claim_table& aTable, const objects::object_event& aEvent)
 {
   if (aEvent.mIsDeleted) {
     aTable.erase(aEvent.mObject.mName);
@@ -71,7 +71,7 @@
 bool
 IsSuperseded(const claim_table& aTable,
              const std::string& aClaimName,
-             const giver_claim& aRequester)
+             const controller_claim& aRequester)
 {
   const auto known = aTable.find(aClaimName);
   return known != aTable.end() && known->second.mEpoch > aRequester.mEpoch;
@@ -84,13 +84,13 @@
             claim_done aDone)
 {
   aStore.mCreate(
-    kGiverKind,
+    kControllerKind,
     aClaimName,
     EncodeClaim(aGiver, false),
     [&aStore, aClaimName, aGiver, done = std::move(aDone)](
       const objects::object_reply& aReply) {
       if (aReply.mOutcome == store_outcome::Conflict) {
-        ClaimIfStill(
+        ClaimIfUnchanged(
           aStore, aClaimName, DecodeClaim(aReply.mObject), aGiver, done);
       } else if (aReply.mOutcome == store_outcome::Done) {
         done(GrantOf(aReply.mObject));
@@ -101,11 +101,11 @@
 }
 
 void
-ClaimIfStill(const objects::object_store& aStore,
-             const std::string& aClaimName,
-             const giver_claim& aSeen,
-             const std::string& aGiver,
-             claim_done aDone)
+ClaimIfUnchanged(const objects::object_store& aStore,
+                 const std::string& aClaimName,
+                 const controller_claim& aSeen,
+                 const std::string& aGiver,
+                 claim_done aDone)
 {
   const auto take = [done =
                        std::move(aDone)](const objects::object_reply& aReply) {
@@ -114,13 +114,14 @@
            : std::nullopt);
   };
   if (aSeen.mEpoch == 0) {
-    aStore.mCreate(kGiverKind, aClaimName, EncodeClaim(aGiver, false), take);
+    aStore.mCreate(
+      kControllerKind, aClaimName, EncodeClaim(aGiver, false), take);
     return;
   }
   // A controller that restarts and claims again may still have to wait for the
   // last order of the controller before it.
-  const bool isTakenOver = aSeen.mIsTakenOver || aSeen.mGiver != aGiver;
-  aStore.mReplace(kGiverKind,
+  const bool isTakenOver = aSeen.mIsTakenOver || aSeen.mController != aGiver;
+  aStore.mReplace(kControllerKind,
                   aClaimName,
                   aSeen.mEpoch,
                   EncodeClaim(aGiver, isTakenOver),
--- a/Duties/Versions/GiverClaim.h
+++ b/Duties/Versions/GiverClaim.h
@@ -15,15 +15,15 @@
  * revision is the claim's epoch, so epochs grow with each new claim. */
 namespace lavender::versions {
 
-constexpr char kGiverKind[] = "ordergivers";
+constexpr char kControllerKind[] = "ordergivers";
 
 /** Returns the name of the claim object of the server at that address. */
 std::string
 ClaimName(const edge::endpoint& aServer);
 
-struct giver_claim
+struct controller_claim
 {
-  std::string mGiver;
+  std::string mController;
   /** Another controller held the claim before, and its last order may still be
    * in transit. */
   bool mIsTakenOver = false;
@@ -31,22 +31,22 @@
 };
 
 /** All claims known to this process, by name of the claim object. */
-using claim_table = std::map<std::string, giver_claim>;
+using claim_table = std::map<std::string, controller_claim>;
 
-giver_claim
+controller_claim
 DecodeClaim(const objects::stored_object& aObject);
 
 void
-TakeClaimListing(claim_table& aTable,
-                 const std::map<std::string, objects::stored_object>& aListed);
+ApplyClaimListing(claim_table& aTable,
+                  const std::map<std::string, objects::stored_object>& aListed);
 void
-TakeClaimEvent(claim_table& aTable, const objects::object_event& aEvent);
+ApplyClaimEvent(claim_table& aTable, const objects::object_event& aEvent);
 
 /** Whether a later claim on the server is known than the requester's. */
 bool
 IsSuperseded(const claim_table& aTable,
              const std::string& aClaimName,
-             const giver_claim& aRequester);
+             const controller_claim& aRequester);
 
 /** A controller may send orders for this long after it received target
  * versions. Entries send them only to the holder of the claim. */
@@ -58,13 +58,13 @@
 constexpr milliseconds kTakeoverDelay{ 8000 };
 
 /** Permission to send orders with that epoch, from some time on. */
-struct order_right
+struct order_permission
 {
   std::int64_t mEpoch = 0;
   time_point mNotBefore;
 };
 
-using claim_done = std::function<void(std::optional<order_right>)>;
+using claim_done = std::function<void(std::optional<order_permission>)>;
 
 /** Claims a server, whoever holds its claim. Passes none to the callback if the
  * store gave no answer or the claim was changed concurrently. */
@@ -77,10 +77,10 @@
 /** Claims a server if its claim is still the one that was seen.
  * @param aSeen with epoch 0 if the server had no claim */
 void
-ClaimIfStill(const objects::object_store& aStore,
-             const std::string& aClaimName,
-             const giver_claim& aSeen,
-             const std::string& aGiver,
-             claim_done aDone);
+ClaimIfUnchanged(const objects::object_store& aStore,
+                 const std::string& aClaimName,
+                 const controller_claim& aSeen,
+                 const std::string& aGiver,
+                 claim_done aDone);
 
 } // namespace lavender::versions
--- a/Duties/Versions/OrderDecision.cpp
+++ b/Duties/Versions/OrderDecision.cpp
@@ -4,7 +4,7 @@
 
 std::optional<weight_order>
 DecideOrder(const server_report& aReport,
-            const wanted_versions& aTargetVersions)
+            const target_versions& aTargetVersions)
 {
   if (aReport.mIsBusy) {
     return std::nullopt;
--- a/Duties/Versions/OrderDecision.h
+++ b/Duties/Versions/OrderDecision.h
@@ -15,7 +15,7 @@
 enum class swap_mode
 {
   FinishRunsFirst,
-  CutRuns,
+  AbortRuns,
   /** Runs continue with the new version. */
   KeepRunning
 };
@@ -49,13 +49,13 @@
 };
 
 /** Version that a server shall hold, by model. */
-using wanted_versions = std::map<std::string, std::int64_t>;
+using target_versions = std::map<std::string, std::int64_t>;
 
 /** Returns the next order that brings the server to the target versions.
  * Returns none while the server carries out another order, and never orders an
  * older version than the server holds. */
 std::optional<weight_order>
 DecideOrder(const server_report& aReport,
-            const wanted_versions& aTargetVersions);
+            const target_versions& aTargetVersions);
 
 } // namespace lavender::versions
--- a/Duties/Versions/OrderDuty.cpp
+++ b/Duties/Versions/OrderDuty.cpp
@@ -23,7 +23,7 @@
 constexpr milliseconds kPreferredAgainAfter = 10s;
 
 bool
-HoldsAll(const server_report& aReport, const wanted_versions& aTargetVersions)
+HoldsAll(const server_report& aReport, const target_versions& aTargetVersions)
 {
   for (const auto& [model, version] : aTargetVersions) {
     const auto held = aReport.mVersions.find(model);
@@ -36,9 +36,9 @@
 
 } // namespace
 
-order_duty::order_duty(order_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+order_duty::order_duty(order_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
@@ -62,7 +62,7 @@
 void
 order_duty::Claim()
 {
-  mParts.mClaim([this](std::optional<order_right> aRight) {
+  mDependencies.mClaim([this](std::optional<order_permission> aRight) {
     if (!aRight) {
       ScheduleStep(kRetryPause, &order_duty::Claim);
       return;
@@ -70,7 +70,7 @@
     mGrant = *aRight;
     mTargetVersions.clear();
     events::line("server_claimed")
-      .With("server", mParts.mServer.Text())
+      .With("server", mDependencies.mServer.Text())
       .With("epoch", mGrant.mEpoch)
       .With("first_order_in_ms",
             std::chrono::duration_cast<milliseconds>(mGrant.mNotBefore -
@@ -82,7 +82,7 @@
 void
 order_duty::FindEntries()
 {
-  mParts.mEntries([this](std::vector<edge::endpoint> aEntries) {
+  mDependencies.mEntries([this](std::vector<edge::endpoint> aEntries) {
     // Keep the previous list if the entries could not be listed.
     if (!aEntries.empty()) {
       mEntries = std::move(aEntries);
@@ -102,17 +102,17 @@
   edge::call_options options;
   options.mSilenceTimeout = kAskTimeout;
   options.mProbesConnection = true;
-  assignment_question request;
-  request.mServer = mParts.mServer;
-  request.mClaim.mGiver = mParts.mName;
+  assignment_request request;
+  request.mServer = mDependencies.mServer;
+  request.mClaim.mController = mDependencies.mName;
   request.mClaim.mEpoch = mGrant.mEpoch;
   request.mHeld = mHeld;
   request.mKnown = mTargetVersions;
   edge::FetchWhole(
-    mParts.mClients,
-    mParts.mLoop,
+    mDependencies.mClients,
+    mDependencies.mLoop,
     mEntries[mEntry],
-    EncodeQuestion(request),
+    EncodeAssignmentRequest(request),
     options,
     kAskTimeout,
     64 << 10,
@@ -126,18 +126,19 @@
                                      const edge::response& aResponse)
 {
   const bool isComplete = aEnd == edge::call_end::Complete;
-  if (isComplete && aResponse.mStatus == kNotGiver) {
+  if (isComplete && aResponse.mStatus == kNotController) {
     events::line("claim_lost")
-      .With("server", mParts.mServer.Text())
+      .With("server", mDependencies.mServer.Text())
       .With("epoch", mGrant.mEpoch);
     Claim();
     return;
   }
-  const auto target = isComplete ? DecodeAssignment(aResponse) : std::nullopt;
+  const auto target =
+    isComplete ? DecodeAssignmentResponse(aResponse) : std::nullopt;
   if (!target) {
     events::line("entry_silent")
       .With("entry", mEntries[mEntry].Text())
-      .With("end", edge::WordFor(aEnd));
+      .With("end", edge::ToString(aEnd));
     ++mEntry;
     mPreferredAgainAt = boot_clock::now() + kPreferredAgainAfter;
     if (mEntry >= mEntries.size()) {
@@ -165,16 +166,16 @@
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
   edge::FetchWhole(
-    mParts.mClients,
-    mParts.mLoop,
-    mParts.mServer,
-    mParts.mEncodeReport(),
+    mDependencies.mClients,
+    mDependencies.mLoop,
+    mDependencies.mServer,
+    mDependencies.mEncodeReport(),
     options,
     kServerTimeout,
     256 << 10,
     [this](edge::call_end aEnd, const edge::response& aResponse) {
       const auto report = aEnd == edge::call_end::Complete
-                            ? mParts.mDecodeReport(aResponse)
+                            ? mDependencies.mDecodeReport(aResponse)
                             : std::nullopt;
       if (report) {
         HandleReport(*report);
@@ -197,7 +198,7 @@
   }
   auto order = DecideOrder(aReport, mTargetVersions);
   if (!order) {
-    ScheduleStep(mParts.mLoadPollInterval, &order_duty::ReadReport);
+    ScheduleStep(mDependencies.mLoadPollInterval, &order_duty::ReadReport);
     return;
   }
   const auto now = boot_clock::now();
@@ -213,7 +214,7 @@
     RequestAssignment();
     return;
   }
-  order->mHolder = mParts.mName;
+  order->mHolder = mDependencies.mName;
   order->mEpoch = mGrant.mEpoch;
   SendOrder(*order);
 }
@@ -224,10 +225,10 @@
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
   edge::FetchWhole(
-    mParts.mClients,
-    mParts.mLoop,
-    mParts.mServer,
-    mParts.mEncodeOrder(aOrder),
+    mDependencies.mClients,
+    mDependencies.mLoop,
+    mDependencies.mServer,
+    mDependencies.mEncodeOrder(aOrder),
     options,
     kServerTimeout,
     64 << 10,
@@ -238,14 +239,14 @@
         .With("version", aOrder.mVersion)
         .With("epoch", aOrder.mEpoch)
         .With("expect", aOrder.mAcceptedOrders)
-        .With("end", edge::WordFor(aEnd))
+        .With("end", edge::ToString(aEnd))
         .With("status", static_cast<std::int64_t>(aResponse.mStatus));
       // The server's report shows whether the order was carried out, even if
       // the response was lost. A rejected order isn't repeated at once, because
       // the reason for its rejection usually still holds.
       const bool isRejected =
         aEnd == edge::call_end::Complete && aResponse.mStatus >= 300;
-      ScheduleStep(isRejected ? kRetryPause : mParts.mLoadPollInterval,
+      ScheduleStep(isRejected ? kRetryPause : mDependencies.mLoadPollInterval,
                    &order_duty::ReadReport);
     });
 }
--- a/Duties/Versions/OrderDuty.h
+++ b/Duties/Versions/OrderDuty.h
@@ -10,7 +10,7 @@
 
 namespace lavender::versions {
 
-struct order_parts
+struct order_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -38,7 +38,7 @@
 class order_duty
 {
 public:
-  explicit order_duty(order_parts aParts);
+  explicit order_duty(order_dependencies aParts);
 
   void Start();
 
@@ -53,16 +53,16 @@
   void SendOrder(const weight_order& aOrder);
   void ScheduleStep(milliseconds aPause, void (order_duty::*aStep)());
 
-  order_parts mParts;
+  order_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
   std::vector<edge::endpoint> mEntries;
   std::size_t mEntry = 0;
   /** When to ask the preferred entry again, while another one is asked. */
   time_point mPreferredAgainAt;
-  order_right mGrant;
+  order_permission mGrant;
   /** When an entry last sent the target versions. */
   time_point mAssignedAt;
-  wanted_versions mTargetVersions;
+  target_versions mTargetVersions;
   std::map<std::string, std::int64_t> mHeld;
 };
 
--- a/Duties/Versions/Placement.cpp
+++ b/Duties/Versions/Placement.cpp
@@ -13,9 +13,9 @@
  * version. Every server holds version 1 of all models from its start, so
  * version 1 is ignored. */
 std::optional<std::string>
-HeldModel(const placed_server& aServer,
+HeldModel(const server_versions& aServer,
           const std::vector<std::string>& aModels,
-          const named_versions& aAnnounced)
+          const announced_versions& aAnnounced)
 {
   std::optional<std::string> held;
   std::int64_t leastBehind = 0;
@@ -38,10 +38,10 @@
 } // namespace
 
 std::vector<std::string>
-DueServers(const std::vector<placed_server>& aShare,
-           const std::string& aModel,
-           std::int64_t aAnnounced,
-           std::int64_t aLag)
+ServersToLoad(const std::vector<server_versions>& aShare,
+              const std::string& aModel,
+              std::int64_t aAnnounced,
+              std::int64_t aLag)
 {
   struct row
   {
@@ -76,15 +76,15 @@
   return due;
 }
 
-std::optional<model_weights>
-ShiftedWeights(const std::map<std::string, double>& aWork,
-               const model_weights& aBefore)
+std::optional<model_shares>
+UpdatedModelShares(const std::map<std::string, double>& aWork,
+                   const model_shares& aBefore)
 {
   double sum = 0;
   for (const auto& [model, work] : aWork) {
     sum += work;
   }
-  model_weights weights;
+  model_shares weights;
   bool hasShifted = false;
   for (const auto& [model, work] : aWork) {
     const auto weight = weights[model] = sum > 0 ? work / sum : 0;
@@ -97,16 +97,16 @@
 }
 
 std::size_t
-LoadsAtOnce(std::size_t aServers)
+MaximumConcurrentLoads(std::size_t aServers)
 {
   constexpr std::size_t kShare = 5;
   return std::max<std::size_t>(2, (aServers + kShare - 1) / kShare);
 }
 
 std::map<std::string, std::size_t>
-SharesOf(std::size_t aServers,
-         const std::vector<std::string>& aModels,
-         const model_weights& aWeights)
+ServersPerModel(std::size_t aServers,
+                const std::vector<std::string>& aModels,
+                const model_shares& aWeights)
 {
   std::map<std::string, std::size_t> shares;
   std::map<std::string, double> wanted;
@@ -138,16 +138,16 @@
 }
 
 std::map<std::string, std::string>
-PlaceModels(const std::vector<placed_server>& aServers,
-            const std::vector<std::string>& aModels,
-            const named_versions& aAnnounced,
-            const model_weights& aWeights)
+AssignModels(const std::vector<server_versions>& aServers,
+             const std::vector<std::string>& aModels,
+             const announced_versions& aAnnounced,
+             const model_shares& aWeights)
 {
   std::map<std::string, std::string> placed;
   if (aModels.empty()) {
     return placed;
   }
-  const auto shares = SharesOf(aServers.size(), aModels, aWeights);
+  const auto shares = ServersPerModel(aServers.size(), aModels, aWeights);
   std::map<std::string, std::vector<std::string>> byModel;
   std::vector<std::string> free;
   for (const auto& server : aServers) {
--- a/Duties/Versions/Placement.h
+++ b/Duties/Versions/Placement.h
@@ -10,17 +10,17 @@
 namespace lavender::versions {
 
 /** Newest version that a trainer has announced, by model. */
-using named_versions = std::map<std::string, std::int64_t>;
+using announced_versions = std::map<std::string, std::int64_t>;
 
 /** A server and the version that it holds of each model. */
-struct placed_server
+struct server_versions
 {
   std::string mId;
   std::map<std::string, std::int64_t> mVersions;
 };
 
 /** Fraction of the servers' work that each model causes; the sum is one. */
-using model_weights = std::map<std::string, double>;
+using model_shares = std::map<std::string, double>;
 
 /** Servers are moved between models only if some model's share of the work has
  * changed by more than this fraction of itself, because a moved server must
@@ -31,16 +31,16 @@
 /** Returns the models' shares of the work if some share has changed by more
  * than kShareChangeThreshold, else none.
  * @param aWork expected tokens of one batch, by model */
-std::optional<model_weights>
-ShiftedWeights(const std::map<std::string, double>& aWork,
-               const model_weights& aBefore);
+std::optional<model_shares>
+UpdatedModelShares(const std::map<std::string, double>& aWork,
+                   const model_shares& aBefore);
 
 /** Returns the number of servers for each model, in proportion to its share of
  * the work. Every model gets at least one if there are enough servers. */
 std::map<std::string, std::size_t>
-SharesOf(std::size_t aServers,
-         const std::vector<std::string>& aModels,
-         const model_weights& aWeights);
+ServersPerModel(std::size_t aServers,
+                const std::vector<std::string>& aModels,
+                const model_shares& aWeights);
 
 /** Returns the model that each server serves, by server.
  *
@@ -50,10 +50,10 @@
  * share. The result depends on the arguments alone, so entries with the same
  * state agree. */
 std::map<std::string, std::string>
-PlaceModels(const std::vector<placed_server>& aServers,
-            const std::vector<std::string>& aModels,
-            const named_versions& aAnnounced,
-            const model_weights& aWeights);
+AssignModels(const std::vector<server_versions>& aServers,
+             const std::vector<std::string>& aModels,
+             const announced_versions& aAnnounced,
+             const model_shares& aWeights);
 
 /** Returns those of one model's servers that shall load the newest version, the
  * most outdated first.
@@ -66,14 +66,14 @@
  * lag of one thus halves the loads, each of which takes a server about a
  * second. */
 std::vector<std::string>
-DueServers(const std::vector<placed_server>& aShare,
-           const std::string& aModel,
-           std::int64_t aAnnounced,
-           std::int64_t aLag);
+ServersToLoad(const std::vector<server_versions>& aShare,
+              const std::string& aModel,
+              std::int64_t aAnnounced,
+              std::int64_t aLag);
 
 /** Returns how many servers may load at the same time without slowing each
  * other much: a fifth of the servers, at least two. */
 std::size_t
-LoadsAtOnce(std::size_t aServers);
+MaximumConcurrentLoads(std::size_t aServers);
 
 } // namespace lavender::versions
--- a/Duties/Versions/SubstituteGiver.cpp
+++ b/Duties/Versions/SubstituteGiver.cpp
@@ -24,14 +24,14 @@
 } // namespace
 
 bool
-NeedsSubstitute(const giver_view& aView,
-                const std::string& aSelf,
-                time_point aNow)
+NeedsFallbackController(const controller_status& aView,
+                        const std::string& aSelf,
+                        time_point aNow)
 {
   if (!aView.mClaim) {
     return aNow - aView.mKnownSince >= kAgentStartTime;
   }
-  if (aView.mClaim->mGiver == aSelf) {
+  if (aView.mClaim->mController == aSelf) {
     return false;
   }
   const auto lastHeard = aView.mLastAsked.value_or(aView.mKnownSince);
@@ -39,20 +39,20 @@
          HasLastedFor(aView.mLoadingSince, kLoadOverdue, aNow);
 }
 
-substitute_giver::substitute_giver(substitute_parts aParts)
-  : mParts(std::move(aParts))
-  , mTimer(mParts.mLoop)
+fallback_controller::fallback_controller(controller_dependencies aParts)
+  : mDependencies(std::move(aParts))
+  , mTimer(mDependencies.mLoop)
 {
 }
 
 void
-substitute_giver::Start()
+fallback_controller::Start()
 {
   ScheduleCheck();
 }
 
 void
-substitute_giver::ScheduleCheck()
+fallback_controller::ScheduleCheck()
 {
   mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
@@ -64,52 +64,54 @@
 }
 
 bool
-substitute_giver::HasEngine(const site::backend_server& aServer) const
+fallback_controller::HasEngine(const site::backend_server& aServer) const
 {
-  if (!mParts.mConfiguration) {
+  if (!mDependencies.mConfiguration) {
     return false;
   }
-  const auto& pools = mParts.mConfiguration->mPools;
+  const auto& pools = mDependencies.mConfiguration->mPools;
   const auto pool = pools.find(aServer.mPool);
   return pool != pools.end() && pool->second.mEngine;
 }
 
-giver_view
-substitute_giver::StatusOf(const std::string& aClaimName,
-                           const std::string& aServerId,
-                           time_point aNow)
+controller_status
+fallback_controller::StatusOf(const std::string& aClaimName,
+                              const std::string& aServerId,
+                              time_point aNow)
 {
-  giver_view view;
-  if (const auto known = mParts.mClaims.find(aClaimName);
-      known != mParts.mClaims.end()) {
+  controller_status view;
+  if (const auto known = mDependencies.mClaims.find(aClaimName);
+      known != mDependencies.mClaims.end()) {
     view.mClaim = known->second;
   }
   view.mKnownSince = mKnownSince.emplace(aClaimName, aNow).first->second;
-  view.mLastAsked = mParts.mAssignments.LastAsked(aClaimName);
-  view.mLoadingSince = mParts.mAssignments.LoadingSince(aServerId);
+  view.mLastAsked = mDependencies.mAssignments.LastAsked(aClaimName);
+  view.mLoadingSince = mDependencies.mAssignments.LoadingSince(aServerId);
   return view;
 }
 
 void
-substitute_giver::CheckServers()
+fallback_controller::CheckServers()
 {
-  if (!mParts.mMayClaim()) {
+  if (!mDependencies.mMayClaim()) {
     mKnownSince.clear();
     mReplaceable.clear();
     return;
   }
-  mParts.mAssignments.Evaluate();
+  mDependencies.mAssignments.Evaluate();
   const auto now = boot_clock::now();
-  for (const auto& [id, row] : mParts.mDirectory.mRows) {
+  for (const auto& [id, row] : mDependencies.mDirectory.mRows) {
     if (row.mServer.mIsLeaving || !HasEngine(row.mServer)) {
       continue;
     }
     const auto name = ClaimName(row.mServer.mAddress);
     const auto view = StatusOf(name, id, now);
-    const bool isOwn = view.mClaim && view.mClaim->mGiver == mParts.mName;
-    const bool needsSubstitute = NeedsSubstitute(view, mParts.mName, now);
+    const bool isOwn =
+      view.mClaim && view.mClaim->mController == mDependencies.mName;
+    const bool needsSubstitute =
+      NeedsFallbackController(view, mDependencies.mName, now);
     if (needsSubstitute) {
-      mReplaceable[name] = view.mClaim.value_or(giver_claim{});
+      mReplaceable[name] = view.mClaim.value_or(controller_claim{});
     }
     if (isOwn || needsSubstitute) {
       StartController(row.mServer.mAddress);
@@ -118,7 +120,7 @@
 }
 
 void
-substitute_giver::StartController(const edge::endpoint& aServer)
+fallback_controller::StartController(const edge::endpoint& aServer)
 {
   const auto name = ClaimName(aServer);
   auto& controller = mControllers[name];
@@ -126,29 +128,35 @@
     return;
   }
   events::line("orders_without_agent").With("server", aServer.Text());
-  controller = std::make_unique<order_duty>(order_parts{
-    mParts.mLoop,
-    mParts.mClients,
+  controller = std::make_unique<order_duty>(order_dependencies{
+    mDependencies.mLoop,
+    mDependencies.mClients,
     aServer,
-    mParts.mName,
-    [self = mParts.mSelf](
+    mDependencies.mName,
+    [self = mDependencies.mSelf](
       const std::function<void(std::vector<edge::endpoint>)>& aDone) {
       aDone({ self });
     },
     [this, name](const claim_done& aDone) { Claim(name, aDone); },
-    mParts.mEncodeReport,
-    mParts.mDecodeReport,
-    mParts.mEncodeOrder,
+    mDependencies.mEncodeReport,
+    mDependencies.mDecodeReport,
+    mDependencies.mEncodeOrder,
     kRemotePollInterval });
   controller->Start();
 }
 
 void
-substitute_giver::Claim(const std::string& aClaimName, const claim_done& aDone)
+fallback_controller::Claim(const std::string& aClaimName,
+                           const claim_done& aDone)
 {
-  const auto known = mParts.mClaims.find(aClaimName);
-  if (known != mParts.mClaims.end() && known->second.mGiver == mParts.mName) {
-    ClaimIfStill(mParts.mStore, aClaimName, known->second, mParts.mName, aDone);
+  const auto known = mDependencies.mClaims.find(aClaimName);
+  if (known != mDependencies.mClaims.end() &&
+      known->second.mController == mDependencies.mName) {
+    ClaimIfUnchanged(mDependencies.mStore,
+                     aClaimName,
+                     known->second,
+                     mDependencies.mName,
+                     aDone);
     return;
   }
   // The claim is replaced only if a check has found that it may be.
@@ -159,7 +167,8 @@
   }
   const auto seen = replaceable->second;
   mReplaceable.erase(replaceable);
-  ClaimIfStill(mParts.mStore, aClaimName, seen, mParts.mName, aDone);
+  ClaimIfUnchanged(
+    mDependencies.mStore, aClaimName, seen, mDependencies.mName, aDone);
 }
 
 } // namespace lavender::versions
--- a/Duties/Versions/SubstituteGiver.h
+++ b/Duties/Versions/SubstituteGiver.h
@@ -6,10 +6,10 @@
 namespace lavender::versions {
 
 /** What the entry that watches the store knows of one server's controller. */
-struct giver_view
+struct controller_status
 {
   /** None if the server was never claimed. */
-  std::optional<giver_claim> mClaim;
+  std::optional<controller_claim> mClaim;
   /** Since when this entry has known the server and has been the one that
    * claims servers. */
   time_point mKnownSince;
@@ -33,11 +33,11 @@
 /** Whether the entry should claim the server, because the server has no
  * controller, or a silent one and an overdue load. */
 bool
-NeedsSubstitute(const giver_view& aView,
-                const std::string& aSelf,
-                time_point aNow);
+NeedsFallbackController(const controller_status& aView,
+                        const std::string& aSelf,
+                        time_point aNow);
 
-struct substitute_parts
+struct controller_dependencies
 {
   boost::asio::io_context& mLoop;
   edge::client_pool& mClients;
@@ -63,10 +63,10 @@
  * The entry that watches the store claims such servers. An entry that has
  * claimed a server stays its controller until another one takes the claim over,
  * even if it no longer watches the store. */
-class substitute_giver
+class fallback_controller
 {
 public:
-  explicit substitute_giver(substitute_parts aParts);
+  explicit fallback_controller(controller_dependencies aParts);
 
   void Start();
 
@@ -74,19 +74,19 @@
   void ScheduleCheck();
   void CheckServers();
   bool HasEngine(const site::backend_server& aServer) const;
-  giver_view StatusOf(const std::string& aClaimName,
-                      const std::string& aServerId,
-                      time_point aNow);
+  controller_status StatusOf(const std::string& aClaimName,
+                             const std::string& aServerId,
+                             time_point aNow);
   void StartController(const edge::endpoint& aServer);
   void Claim(const std::string& aClaimName, const claim_done& aDone);
 
-  substitute_parts mParts;
+  controller_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
   /** By claim name. */
   std::map<std::string, time_point> mKnownSince;
   /** Claims that this entry may replace, as seen at the last check, by claim
    * name. */
-  std::map<std::string, giver_claim> mReplaceable;
+  std::map<std::string, controller_claim> mReplaceable;
   /** By claim name. */
   std::map<std::string, std::unique_ptr<order_duty>> mControllers;
 };
--- a/Duties/Weights/RollOut.cpp
+++ b/Duties/Weights/RollOut.cpp
@@ -57,7 +57,7 @@
       };
       return triedAt(aOne) < triedAt(aOther);
     });
-  const auto limit = aState.mLimits.mSideBySide;
+  const auto limit = aState.mLimits.mMaximumConcurrency;
   if (limit > 0) {
     due.resize(std::min(due.size(), limit - std::min(limit, swapping)));
   }
--- a/Duties/Weights/RollOut.h
+++ b/Duties/Weights/RollOut.h
@@ -20,7 +20,7 @@
 struct roll_out_limits
 {
   /** Servers that swap side by side; 0 for all at once. */
-  std::size_t mSideBySide = 0;
+  std::size_t mMaximumConcurrency = 0;
   /** An order without effect is given again after this. */
   milliseconds mRepeatAfter{ 3000 };
 };
--- a/Duties/Weights/RollOutDuty.cpp
+++ b/Duties/Weights/RollOutDuty.cpp
@@ -72,7 +72,7 @@
         LookAt(target, servers);
       }
     }
-    mStopSign.Pop(mOptions.mLookEvery);
+    mStopSign.Pop(mOptions.mCheckInterval);
   }
 }
 
--- a/Duties/Weights/RollOutDuty.h
+++ b/Duties/Weights/RollOutDuty.h
@@ -32,7 +32,7 @@
 {
   roll_out_limits mLimits;
   std::string mHolder;
-  milliseconds mLookEvery{ 200 };
+  milliseconds mCheckInterval{ 200 };
   /** Orders that are on the wire side by side. */
   int mSenders = 8;
   milliseconds mOrderTimeout{ 3000 };
--- a/Duties/Weights/TestRollOut.cpp
+++ b/Duties/Weights/TestRollOut.cpp
@@ -43,7 +43,7 @@
     const int count = Draw(1, 30);
     const int broken = Draw(0, 4);
     roll_out_state state;
-    state.mLimits.mSideBySide = static_cast<std::size_t>(Draw(0, 6));
+    state.mLimits.mMaximumConcurrency = static_cast<std::size_t>(Draw(0, 6));
     auto servers = MakeServers(count);
     time_point now{ 1000s };
     const auto isBroken = [&](std::size_t aIndex) {
@@ -52,8 +52,8 @@
     failing += std::min(broken, count - 1);
     for (int round = 0; round < 60; ++round) {
       const auto orders = ChooseOrders(state, kNew, servers, now);
-      if (state.mLimits.mSideBySide > 0) {
-        RC_ASSERT(orders.size() <= state.mLimits.mSideBySide);
+      if (state.mLimits.mMaximumConcurrency > 0) {
+        RC_ASSERT(orders.size() <= state.mLimits.mMaximumConcurrency);
       }
       for (const auto& order : orders) {
         const bool isLost = Draw(0, 5) == 0;
--- a/Duties/Weights/TestVersionTracker.cpp
+++ b/Duties/Weights/TestVersionTracker.cpp
@@ -221,7 +221,7 @@
     mRuns.clear();
     Disturb();
     mTracker = {};
-    mTracker.mLimits.mSettle = kSettle;
+    mTracker.mLimits.mSwapTimeout = kSettle;
     mTracker.mStartedAt = mNow;
   }
 };
--- a/Duties/Weights/VersionTracker.cpp
+++ b/Duties/Weights/VersionTracker.cpp
@@ -9,7 +9,7 @@
 ExpireOpenOrder(version_tracker& aTracker, time_point aNow)
 {
   if (aTracker.mOpen &&
-      aNow - aTracker.mOpen->mOrderedAt > aTracker.mLimits.mSettle) {
+      aNow - aTracker.mOpen->mOrderedAt > aTracker.mLimits.mSwapTimeout) {
     aTracker.mOpen.reset();
     ++aTracker.mEvents;
   }
@@ -100,7 +100,8 @@
   }
   run.mUnorderedChanges = aTracker.mUnorderedChanges;
   run.mIsAccountDoubtful = aTracker.mIsAccountDoubtful;
-  run.mHasUnknownOrder = aNow - aTracker.mStartedAt <= aTracker.mLimits.mSettle;
+  run.mHasUnknownOrder =
+    aNow - aTracker.mStartedAt <= aTracker.mLimits.mSwapTimeout;
   const auto id = aTracker.mNextRun++;
   aTracker.mRuns.emplace(id, std::move(run));
   return id;
--- a/Duties/Weights/VersionTracker.h
+++ b/Duties/Weights/VersionTracker.h
@@ -82,7 +82,7 @@
 struct tracker_limits
 {
   /** An order that isn't carried out after this long counts as dropped. */
-  milliseconds mSettle{ 10000 };
+  milliseconds mSwapTimeout{ 10000 };
 };
 
 /** What one agent process knows of its server's weights. */
--- a/Duties/Weights/WeightGate.cpp
+++ b/Duties/Weights/WeightGate.cpp
@@ -28,10 +28,10 @@
 
 } // namespace
 
-weight_gate::weight_gate(dispatch::backend_server aServer,
-                         std::string aIncarnation,
-                         tracker_limits aLimits,
-                         metrics::registry& aMetrics)
+versioned_backend::versioned_backend(dispatch::backend_server aServer,
+                                     std::string aIncarnation,
+                                     tracker_limits aLimits,
+                                     metrics::registry& aMetrics)
   : mServer(std::move(aServer))
   , mIncarnation(std::move(aIncarnation))
   , mMetrics(aMetrics)
@@ -41,13 +41,13 @@
   mSwapper = std::thread([this] { SwapLoop(); });
 }
 
-weight_gate::~weight_gate()
+versioned_backend::~versioned_backend()
 {
   Stop();
 }
 
 void
-weight_gate::Stop()
+versioned_backend::Stop()
 {
   mOrders.Close();
   if (mSwapper.joinable()) {
@@ -56,7 +56,7 @@
 }
 
 void
-weight_gate::SwapLoop()
+versioned_backend::SwapLoop()
 {
   while (!mOrders.IsClosed()) {
     if (const auto order = mOrders.Pop(std::chrono::seconds(1))) {
@@ -66,18 +66,18 @@
 }
 
 weight_version
-weight_gate::Read(std::uint64_t& aEvents)
+versioned_backend::Read(std::uint64_t& aEvents)
 {
   {
     std::lock_guard lock(mMutex);
     aEvents = mTracker.mEvents;
   }
-  const auto held = dispatch::ReadWeights(mServer);
+  const auto held = dispatch::ReadLoadedWeights(mServer);
   return { held.mModel, held.mVersion };
 }
 
 weight_version
-weight_gate::Refresh()
+versioned_backend::Refresh()
 {
   std::uint64_t events = 0;
   const auto held = Read(events);
@@ -87,7 +87,8 @@
 }
 
 dispatch::backend_run
-weight_gate::Run(const wire::dispatch_order& aOrder, milliseconds aTimeout)
+versioned_backend::Run(const wire::dispatch_order& aOrder,
+                       milliseconds aTimeout)
 {
   return mServer.mKind == dispatch::backend_kind::Engine &&
              aOrder.operation == kSampleOperation
@@ -96,8 +97,8 @@
 }
 
 dispatch::backend_run
-weight_gate::RunSample(const wire::dispatch_order& aOrder,
-                       milliseconds aTimeout)
+versioned_backend::RunSample(const wire::dispatch_order& aOrder,
+                             milliseconds aTimeout)
 {
   std::uint64_t run = 0;
   {
@@ -140,7 +141,8 @@
 }
 
 void
-weight_gate::TakeLabel(const version_label& aLabel, wire::run_result& aResult)
+versioned_backend::TakeLabel(const version_label& aLabel,
+                             wire::run_result& aResult)
 {
   aResult.versions.clear();
   aResult.model = aLabel.mModel;
@@ -167,7 +169,7 @@
 
 /** What keeps an order from being taken; the order itself isn't opened. */
 std::string
-weight_gate::FindRefusal(const wire::swap_order& aOrder)
+versioned_backend::FindRefusal(const wire::swap_order& aOrder)
 {
   if (!aOrder.agent_incarnation.empty() &&
       aOrder.agent_incarnation != mIncarnation) {
@@ -178,7 +180,7 @@
 }
 
 wire::swap_reply
-weight_gate::Order(const wire::swap_order& aOrder)
+versioned_backend::QueueSwap(const wire::swap_order& aOrder)
 {
   wire::swap_reply reply;
   reply.echo = aOrder.echo;
@@ -202,7 +204,7 @@
 }
 
 wire::swap_reply
-weight_gate::Swap(const wire::swap_order& aOrder)
+versioned_backend::Swap(const wire::swap_order& aOrder)
 {
   wire::swap_reply reply;
   reply.echo = aOrder.echo;
@@ -228,7 +230,7 @@
                    { { "reason", reply.reason } });
     return reply;
   }
-  const auto failure = dispatch::OrderWeights(
+  const auto failure = dispatch::RequestWeightLoad(
     mServer, aOrder.model, aOrder.version, aOrder.fencing);
   const auto answer = failure.empty()          ? swap_answer::Done
                       : failure == "no_answer" ? swap_answer::NoAnswer
--- a/Duties/Weights/WeightGate.h
+++ b/Duties/Weights/WeightGate.h
@@ -18,16 +18,16 @@
  * reads of the version that the server holds, and lets one swap order through
  * at a time. Safe to use from any thread; no read or run is made under the
  * lock. */
-class weight_gate
+class versioned_backend
 {
 public:
-  weight_gate(dispatch::backend_server aServer,
-              std::string aIncarnation,
-              tracker_limits aLimits,
-              metrics::registry& aMetrics);
-  ~weight_gate();
-  weight_gate(const weight_gate&) = delete;
-  weight_gate& operator=(const weight_gate&) = delete;
+  versioned_backend(dispatch::backend_server aServer,
+                    std::string aIncarnation,
+                    tracker_limits aLimits,
+                    metrics::registry& aMetrics);
+  ~versioned_backend();
+  versioned_backend(const versioned_backend&) = delete;
+  versioned_backend& operator=(const versioned_backend&) = delete;
 
   /** Runs an order on the server. A sample's result names the versions that
    * truly produced it, or why they aren't known. A server whose weights are
@@ -38,7 +38,7 @@
   /** Takes a swap order, or refuses it, at once. A thread of the gate carries
    * it out, so that whoever gives 1,200 orders waits for none of the loads;
    * what became of it shows in the agent's report. */
-  wire::swap_reply Order(const wire::swap_order& aOrder);
+  wire::swap_reply QueueSwap(const wire::swap_order& aOrder);
   /** Carries an order out and says what the server truly holds then. */
   wire::swap_reply Swap(const wire::swap_order& aOrder);
   /** Ends the thread after the order under way. */
--- a/Libraries/Edge/Caller.cpp
+++ b/Libraries/Edge/Caller.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 const char*
-WordFor(call_end aEnd)
+ToString(call_end aEnd)
 {
   switch (aEnd) {
     case call_end::Complete:
--- a/Libraries/Edge/Caller.h
+++ b/Libraries/Edge/Caller.h
@@ -27,7 +27,7 @@
 };
 
 const char*
-WordFor(call_end aEnd);
+ToString(call_end aEnd);
 
 struct call_options
 {
--- a/Libraries/Http/Client.cpp
+++ b/Libraries/Http/Client.cpp
@@ -91,9 +91,9 @@
 }
 
 void
-TakeReply(cxxtools::http::Client& aClient,
-          reception& aReception,
-          call_result& aOutcome)
+ApplyReply(cxxtools::http::Client& aClient,
+           reception& aReception,
+           call_result& aOutcome)
 {
   const auto& header = aClient.header();
   aOutcome.mResponse.mStatus = static_cast<int>(header.httpReturnCode());
@@ -165,7 +165,7 @@
       outcome.mLastReason = "answer too large";
       return outcome;
     }
-    TakeReply(client, reception, outcome);
+    ApplyReply(client, reception, outcome);
   } catch (const std::exception& error) {
     outcome.mLastReason = error.what();
     if (!IsConnectFailure(error)) {
--- a/Libraries/ObjectStore/Mirror.cpp
+++ b/Libraries/ObjectStore/Mirror.cpp
@@ -72,7 +72,7 @@
                gathered = std::move(aGathered),
                call = ++mCall](list_reply aReply) mutable {
     if (!self->mIsStopped && self->mCall == call) {
-      self->TakeList(std::move(aReply), std::move(gathered));
+      self->ApplyList(std::move(aReply), std::move(gathered));
     }
   };
   mStore.mList(
@@ -80,7 +80,7 @@
 }
 
 void
-mirror::TakeList(list_reply aReply, object_map aGathered)
+mirror::ApplyList(list_reply aReply, object_map aGathered)
 {
   if (aReply.mOutcome != store_outcome::Done) {
     After(mOptions.mRetryPause, &mirror::ListAgain);
@@ -103,7 +103,7 @@
   mLastListing = mScheduler.mNow();
   mHasListed = true;
   mLostSince.reset();
-  mProvenAt = mListsSince;
+  mVerifiedAt = mListsSince;
   if (mEvents.mOnListed) {
     mEvents.mOnListed(mObjects);
   }
@@ -159,7 +159,7 @@
   // Without events the store has waited the whole time before it answered.
   const auto waited =
     aReply.mEvents.empty() ? mOptions.mWatchWait : milliseconds(0);
-  mProvenAt = mWatchesSince + waited;
+  mVerifiedAt = mWatchesSince + waited;
   TakeEvents(aReply.mEvents);
   if (mEvents.mOnProven) {
     mEvents.mOnProven();
--- a/Libraries/ObjectStore/Mirror.h
+++ b/Libraries/ObjectStore/Mirror.h
@@ -58,7 +58,7 @@
    * far as is known. */
   std::optional<time_point> LostSince() const { return mLostSince; }
   /** A time up to which every change is known. */
-  time_point ProvenAt() const { return mProvenAt; }
+  time_point VerifiedAt() const { return mVerifiedAt; }
   /** Every change up to this one is known, but for those unheard. */
   revision_number Revision() const { return mRevision; }
 
@@ -66,7 +66,7 @@
   using object_map = std::map<std::string, stored_object>;
 
   void List(const std::string& aAfter, object_map aGathered);
-  void TakeList(list_reply aReply, object_map aGathered);
+  void ApplyList(list_reply aReply, object_map aGathered);
   void Watch();
   void TakeWatch(watch_reply aReply);
   void TakeEvents(const std::vector<object_event>& aEvents);
@@ -89,7 +89,7 @@
   /** When the present watch began. */
   time_point mWatchesSince;
   time_point mListsSince;
-  time_point mProvenAt;
+  time_point mVerifiedAt;
   std::optional<time_point> mLostSince;
   time_point mLastListing;
   bool mIsStarted = false;
--- a/Libraries/ObjectStore/ObjectStore.cpp
+++ b/Libraries/ObjectStore/ObjectStore.cpp
@@ -3,7 +3,7 @@
 namespace lavender::objects {
 
 const char*
-WordFor(store_outcome aOutcome)
+ToString(store_outcome aOutcome)
 {
   switch (aOutcome) {
     case store_outcome::Done:
--- a/Libraries/ObjectStore/ObjectStore.h
+++ b/Libraries/ObjectStore/ObjectStore.h
@@ -40,7 +40,7 @@
 };
 
 const char*
-WordFor(store_outcome aOutcome);
+ToString(store_outcome aOutcome);
 
 struct object_reply
 {
--- a/Services/Agent/AgentHandler.cpp
+++ b/Services/Agent/AgentHandler.cpp
@@ -24,7 +24,7 @@
 agent_handler::agent_handler(identity aIdentity,
                              dispatch::backend_server aServer,
                              dispatch::agent_dispatch& aDispatch,
-                             weights::weight_gate& aWeights,
+                             weights::versioned_backend& aWeights,
                              usage::usage_account& aUsage,
                              metrics::registry& aMetrics)
   : mIdentity(std::move(aIdentity))
@@ -178,10 +178,10 @@
   aReply.echo = aQuery.echo;
   aReply.incarnation = mIdentity.mIncarnation;
   mUsage.Settle(aQuery.settled);
-  mUsage.TakeOut(mIdentity.mIncarnation, aQuery.superseded);
+  mUsage.RemoveSupersededRuns(mIdentity.mIncarnation, aQuery.superseded);
   // A drained agent counts nothing more, so it hands over the open window too.
   const bool isDrained =
-    mDispatch.IsDraining() && mDispatch.RequestsLeft() == 0;
+    mDispatch.IsDraining() && mDispatch.PendingRequestCount() == 0;
   const auto open =
     usage::WindowOf(std::chrono::system_clock::now(), mIdentity.mUsageWindow);
   aReply.closed_through =
@@ -208,7 +208,8 @@
   }
   mDispatch.StartDrain();
   aReply.draining = true;
-  aReply.requests_left = static_cast<std::int32_t>(mDispatch.RequestsLeft());
+  aReply.requests_left =
+    static_cast<std::int32_t>(mDispatch.PendingRequestCount());
 }
 
 } // namespace lavender::agent
--- a/Services/Agent/AgentHandler.h
+++ b/Services/Agent/AgentHandler.h
@@ -28,7 +28,7 @@
   agent_handler(identity aIdentity,
                 dispatch::backend_server aServer,
                 dispatch::agent_dispatch& aDispatch,
-                weights::weight_gate& aWeights,
+                weights::versioned_backend& aWeights,
                 usage::usage_account& aUsage,
                 metrics::registry& aMetrics);
   ~agent_handler() override;
@@ -77,7 +77,7 @@
   const identity mIdentity;
   const dispatch::backend_server mServer;
   dispatch::agent_dispatch& mDispatch;
-  weights::weight_gate& mWeights;
+  weights::versioned_backend& mWeights;
   usage::usage_account& mUsage;
   metrics::registry& mMetrics;
   std::mutex mMutex;
--- a/Services/Agent/SiteAgent.cpp
+++ b/Services/Agent/SiteAgent.cpp
@@ -91,7 +91,7 @@
 void
 site_agent::StartOrders()
 {
-  versions::order_parts parts{
+  versions::order_dependencies parts{
     mLoop,
     *mClients,
     *mSettings.mServer,
@@ -115,7 +115,7 @@
 void
 site_agent::StartRetirement()
 {
-  mRetirement.emplace(retirement::retirement_parts{
+  mRetirement.emplace(retirement::retirement_dependencies{
     mLoop, mStore, platform::kRetirementKind, mSettings.mName });
   mRetirement->Start();
 }
--- a/Services/Agent/main.cpp
+++ b/Services/Agent/main.cpp
@@ -28,13 +28,13 @@
   constexpr milliseconds kAnnounceFor = 1500ms;
   const auto start = boot_clock::now();
   aDispatch.StartDrain();
-  while (aDispatch.RequestsLeft() > 0 ||
+  while (aDispatch.PendingRequestCount() > 0 ||
          boot_clock::now() - start < kAnnounceFor) {
     if (boot_clock::now() - start > aDeadline || aTermination.WaitFor(50ms)) {
       Log(log_level::Warning,
           "agent",
           "Drain cut short requests_left=" +
-            std::to_string(aDispatch.RequestsLeft()));
+            std::to_string(aDispatch.PendingRequestCount()));
       return false;
     }
   }
@@ -85,8 +85,9 @@
   metrics::registry metrics;
   usage::usage_account account;
   weights::tracker_limits weightLimits;
-  weightLimits.mSettle = aValues.Milliseconds("weight-settle");
-  weights::weight_gate weightGate(backend, incarnation, weightLimits, metrics);
+  weightLimits.mSwapTimeout = aValues.Milliseconds("weight-settle");
+  weights::versioned_backend weightGate(
+    backend, incarnation, weightLimits, metrics);
   dispatch::agent_dispatch dispatcher(
     incarnation,
     limits,
--- a/Services/Entry/CallerApi.cpp
+++ b/Services/Entry/CallerApi.cpp
@@ -248,12 +248,12 @@
   }
   scope_guard leave([this] { --mUnderWay; });
   const auto& customer = authorization->mCustomer;
-  admission::admission_answer entered;
+  admission::admission_decision entered;
   {
-    const double share = admission::ShareOf(mDispatch.DemandOf(customer.mName),
-                                            mDirectory.Entries().size());
+    const double share = admission::EntryShare(
+      mDispatch.DemandOf(customer.mName), mDirectory.Entries().size());
     std::lock_guard lock(mLimitMutex);
-    entered = admission::Enter(mLimits, customer, share, start);
+    entered = admission::AdmitRequest(mLimits, customer, share, start);
   }
   if (!entered.mIsAdmitted) {
     return Refuse(
@@ -261,7 +261,7 @@
   }
   scope_guard leaveLimits([&] {
     std::lock_guard lock(mLimitMutex);
-    admission::Leave(mLimits, customer.mName);
+    admission::ReleaseRequest(mLimits, customer.mName);
   });
   const auto patience =
     ToNumber(http::HeaderOr(aRequest.mHeaders,
@@ -298,7 +298,7 @@
   made.mWeight = aAdmitted.mAuthorization.mCustomer.mWeight;
   made.mDeadline = aAdmitted.mDeadline;
   made.mStopReason = [this, hash = aAdmitted.mAuthorization.mKeyHash] {
-    return keys::FindWithdrawal(*mConfiguration.Current(), hash);
+    return keys::FindKeyRejection(*mConfiguration.Current(), hash);
   };
   made.mQueuedStopReason = [this] {
     return keys::IsFreshEnough(mOptions.mKeyGate->Check())
@@ -370,12 +370,12 @@
   {
     std::lock_guard lock(mPressureMutex);
     std::uniform_real_distribution<double> draw(0, 1);
-    refused = admission::CheckPressure(mPressures,
-                                       aCall.mPool,
-                                       aCall.mCustomer,
-                                       {},
-                                       draw(mRandom),
-                                       boot_clock::now());
+    refused = admission::CheckBackPressure(mPressures,
+                                           aCall.mPool,
+                                           aCall.mCustomer,
+                                           {},
+                                           draw(mRandom),
+                                           boot_clock::now());
   }
   if (refused) {
     call_outcome outcome;
@@ -388,15 +388,15 @@
     outcome.mRan != ran::NotRun || !IsForWantOfRoom(outcome.mReason);
   std::lock_guard lock(mPressureMutex);
   const auto now = boot_clock::now();
-  admission::NoteOutcome(mPressures,
-                         aCall.mPool,
-                         aCall.mCustomer,
-                         hasRoom ? std::nullopt
-                                 : std::optional(outcome.mRetryAfter),
-                         {},
-                         now);
+  admission::RecordOutcome(mPressures,
+                           aCall.mPool,
+                           aCall.mCustomer,
+                           hasRoom ? std::nullopt
+                                   : std::optional(outcome.mRetryAfter),
+                           {},
+                           now);
   if (++mOutcomes % kForgetEvery == 0) {
-    admission::ForgetIdle(mPressures, now);
+    admission::RemoveIdle(mPressures, now);
   }
   return outcome;
 }
--- a/Services/Entry/CallerApi.h
+++ b/Services/Entry/CallerApi.h
@@ -46,7 +46,7 @@
   http::response Serve(const http::request& aRequest);
 
   /** Requests under way. */
-  std::int64_t RequestsLeft() const { return mUnderWay; }
+  std::int64_t PendingRequestCount() const { return mUnderWay; }
 
 private:
   struct admitted_request
@@ -75,7 +75,7 @@
   http::response GiveBatch(const http::request& aRequest,
                            const http::path_parts& aParts,
                            const admitted_request& aAdmitted);
-  http::response RefuseBatch(const samples::batch_outcome& aOutcome,
+  http::response RefuseBatch(const samples::batch_response& aOutcome,
                              const std::string& aRequestId);
   bool OwnsRun(const admitted_request& aAdmitted,
                const std::string& aRun) const;
@@ -106,9 +106,9 @@
   std::atomic<std::int64_t> mUnderWay{ 0 };
   std::atomic<std::uint64_t> mNextRequest{ 1 };
   std::mutex mLimitMutex;
-  admission::limit_state mLimits;
+  admission::customer_limit_state mLimits;
   std::mutex mPressureMutex;
-  admission::pressure_map mPressures;
+  admission::back_pressure_map mPressures;
   std::mt19937_64 mRandom{ std::random_device()() };
   std::uint64_t mOutcomes = 0;
 };
--- a/Services/Entry/EntryDuties.cpp
+++ b/Services/Entry/EntryDuties.cpp
@@ -10,35 +10,36 @@
 namespace {
 
 /** What peers and agents together tell of the configuration. */
-keys::witness_summary
+keys::remote_freshness
 Summarize(const configuration::peer_report& aPeers,
-          const membership::witness_report& aAgents)
+          const membership::agent_freshness& aAgents)
 {
-  keys::witness_summary summary;
+  keys::remote_freshness summary;
   if (aAgents.mKnown) {
     summary.mKnown = *aAgents.mKnown + aPeers.mKnown;
   }
-  summary.mAsked = aAgents.mAsked + aPeers.mAsked;
-  summary.mAudible = aAgents.mAudible + aPeers.mAudible;
-  summary.mHighestChanged =
-    std::max(aAgents.mHighestChanged, aPeers.mHighestChanged);
-  summary.mLatestProof = std::max(aAgents.mLatestProof, aPeers.mLatestProof);
+  summary.mPolled = aAgents.mPolled + aPeers.mPolled;
+  summary.mReachable = aAgents.mReachable + aPeers.mReachable;
+  summary.mHighestChangedRevision =
+    std::max(aAgents.mHighestChangedRevision, aPeers.mHighestChangedRevision);
+  summary.mLatestVerifiedAt =
+    std::max(aAgents.mLatestVerifiedAt, aPeers.mLatestVerifiedAt);
   return summary;
 }
 
 /** What the status of resources is made from. */
-configuration::status_facts
+configuration::status_inputs
 GatherFacts(const configuration::peer_report& aPeers,
             const std::vector<membership::server_view>& aServers)
 {
-  configuration::status_facts facts;
-  facts.mEverywhere = aPeers.mLowestKnown;
+  configuration::status_inputs facts;
+  facts.mRevisionOnAllEntries = aPeers.mLowestKnownRevision;
   facts.mEntries = static_cast<std::int64_t>(aPeers.mKnown) + 1;
   const auto now = boot_clock::now();
   for (const auto& server : aServers) {
     auto& pool = facts.mPools[server.mInstance.mPool];
     const auto state = membership::StateOf(server, {}, now);
-    ++pool.mServers[membership::WordFor(state)];
+    ++pool.mServers[membership::ToString(state)];
     if (state == membership::server_state::Live) {
       ++pool.mHolding[server.mWeightVersion];
     }
@@ -77,18 +78,18 @@
   const auto peers = aPeers.Report();
   aMetrics.SetGauge("lavender_configuration_revision",
                     {},
-                    static_cast<double>(digest.mKnownUpTo));
+                    static_cast<double>(digest.mKnownRevision));
   aMetrics.SetGauge("lavender_configuration_changed_revision",
                     {},
-                    static_cast<double>(digest.mChanged));
+                    static_cast<double>(digest.mChangedRevision));
   aMetrics.SetGauge(
     "lavender_configuration_proof_age_seconds",
     {},
-    std::chrono::duration<double>(aConfiguration.FreshAge()).count());
+    std::chrono::duration<double>(aConfiguration.VerificationAge()).count());
   aMetrics.SetGauge(
     "lavender_peers", { { "state", "known" } }, double(peers.mKnown));
   aMetrics.SetGauge(
-    "lavender_peers", { { "state", "audible" } }, double(peers.mAudible));
+    "lavender_peers", { { "state", "audible" } }, double(peers.mReachable));
   aDirectory.WriteGauges(aMetrics);
 }
 
@@ -137,20 +138,21 @@
 }
 
 /** The keeper prefers the entries of the directory's list. */
-leases::keeper_options
+leases::lease_manager_options
 KeeperOptions(const settings::values& aValues,
               const platform::client& aPlatform,
               const std::string& aIncarnation,
               const membership::server_directory& aDirectory,
               metrics::registry& aMetrics)
 {
-  leases::keeper_options options;
+  leases::lease_manager_options options;
   options.mPlatform = aPlatform;
   options.mName = aValues.Text("name");
   options.mIncarnation = aIncarnation;
   options.mSettings.mDuration = aValues.Milliseconds("lease-duration");
-  options.mSettings.mHandicap = options.mSettings.mDuration / 6;
-  options.mSettings.mLateBytes = aValues.Milliseconds("lease-late-bytes");
+  options.mSettings.mDelayPerRank = options.mSettings.mDuration / 6;
+  options.mSettings.mMaximumTransitTime =
+    aValues.Milliseconds("lease-late-bytes");
   options.mMetrics = &aMetrics;
   options.mEntries = [&aDirectory] {
     std::vector<std::string> names;
@@ -167,7 +169,7 @@
 reports::reporter_options
 ReporterOptions(const settings::values& aValues,
                 const platform::client& aPlatform,
-                leases::lease_keeper& aLeases,
+                leases::lease_manager& aLeases,
                 metrics::registry& aMetrics)
 {
   reports::reporter_options options;
@@ -176,7 +178,7 @@
   options.mLetExpire = [&aLeases](const std::string& aName) {
     aLeases.LetExpire(aName);
   };
-  options.mLateBytes = aValues.Milliseconds("lease-late-bytes");
+  options.mMaximumTransitTime = aValues.Milliseconds("lease-late-bytes");
   options.mEntryName = aValues.Text("name");
   options.mWindow = std::chrono::seconds(aValues.Integer("usage-window"));
   options.mMetrics = &aMetrics;
@@ -206,10 +208,11 @@
   membership::directory_options options;
   options.mPlatform = aPlatform;
   options.mEntryIncarnation = aIncarnation;
-  options.mPollEvery = aValues.Milliseconds("load-poll");
+  options.mPollInterval = aValues.Milliseconds("load-poll");
   options.mDigest = [&aConfiguration] {
-    return membership::own_digest{ aConfiguration.Digest().mChanged,
-                                   aConfiguration.FreshAge() };
+    return membership::configuration_digest{
+      aConfiguration.Digest().mChangedRevision, aConfiguration.VerificationAge()
+    };
   };
   options.mDataFolder = aValues.Text("data-folder");
   options.mMetrics = &aMetrics;
@@ -237,33 +240,34 @@
             metrics::registry& aMetrics)
 {
   keys::key_gate_options options;
-  options.mOwn = [&aConfiguration] {
+  options.mLocal = [&aConfiguration] {
     const auto digest = aConfiguration.Digest();
-    return keys::own_freshness{ digest.mKnownUpTo, digest.mProvenAt };
+    return keys::local_freshness{ digest.mKnownRevision, digest.mVerifiedAt };
   };
-  options.mWitnesses = [&aPeers, &aDirectory] {
-    return Summarize(aPeers.Report(), aDirectory.Witnesses());
+  options.mRemote = [&aPeers, &aDirectory] {
+    return Summarize(aPeers.Report(), aDirectory.AgentFreshness());
   };
   options.mMetrics = &aMetrics;
   return options;
 }
 
-orders::zone_keeper_options
+orders::zone_autoscaler_options
 ZoneOptions(const settings::values& aValues,
             const platform::client& aPlatform,
-            leases::lease_keeper& aLeases,
+            leases::lease_manager& aLeases,
             metrics::registry& aMetrics)
 {
-  orders::zone_keeper_options options;
+  orders::zone_autoscaler_options options;
   options.mPlatform = aPlatform;
   options.mLeases = aLeases.Source();
   options.mLetExpire = [&aLeases](const std::string& aName) {
     aLeases.LetExpire(aName);
   };
-  options.mLateBytes = aValues.Milliseconds("lease-late-bytes");
-  options.mPolicy.mStartTime = aValues.Milliseconds("server-start-time");
-  options.mPolicy.mIdleFor = aValues.Milliseconds("server-idle-time");
-  options.mLookEvery = std::min(options.mLookEvery, options.mPolicy.mStartTime);
+  options.mMaximumTransitTime = aValues.Milliseconds("lease-late-bytes");
+  options.mPolicy.mStartupDuration = aValues.Milliseconds("server-start-time");
+  options.mPolicy.mScaleDownDelay = aValues.Milliseconds("server-idle-time");
+  options.mCheckInterval =
+    std::min(options.mCheckInterval, options.mPolicy.mStartupDuration);
   options.mMetrics = &aMetrics;
   return options;
 }
@@ -275,13 +279,13 @@
 {
   dispatch::entry_dispatch_options options;
   options.mEntryIncarnation = aIncarnation;
-  options.mOwnZone = aValues.Text("zone");
+  options.mLocalZone = aValues.Text("zone");
   options.mRouting = RoutingLimits(aValues);
   options.mOnSuperseded = [&aAccount](const dispatch::attempt_ticket& aTicket) {
     wire::superseded_run run;
     run.agent_incarnation = aTicket.mIncarnation;
     run.request_id = aTicket.mId;
-    aAccount.NoteSuperseded(run);
+    aAccount.RecordSuperseded(run);
     Log(log_level::Info,
         "usage",
         "Repeated elsewhere, first run not billed run=" + aTicket.mId +
@@ -296,7 +300,7 @@
 {
   samples::sample_duty_options options;
   options.mPlatform = aPlatform;
-  options.mSideBySide =
+  options.mMaximumConcurrency =
     static_cast<int>(aValues.Integer("samples-side-by-side"));
   options.mTakeOverAfter = aValues.Milliseconds("batch-take-over");
   return options;
@@ -307,7 +311,7 @@
 {
   weights::roll_out_options options;
   options.mHolder = aValues.Text("name");
-  options.mLimits.mSideBySide =
+  options.mLimits.mMaximumConcurrency =
     static_cast<std::size_t>(aValues.Integer("swaps-side-by-side"));
   return options;
 }
--- a/Services/Entry/EntryDuties.h
+++ b/Services/Entry/EntryDuties.h
@@ -39,8 +39,8 @@
   configuration::peer_exchange mPeers;
   configuration::status_duty mStatus;
   keys::key_gate mKeyGate;
-  leases::lease_keeper mLeases;
-  orders::zone_keeper mZones;
+  leases::lease_manager mLeases;
+  orders::zone_autoscaler mZones;
   dispatch::entry_dispatch mDispatch;
   usage::usage_account mAccount;
   reports::usage_reporter mReporter;
--- a/Services/Entry/EntryHandler.cpp
+++ b/Services/Entry/EntryHandler.cpp
@@ -19,10 +19,10 @@
   aReply.echo = aDigest.echo;
   aReply.entry_incarnation = mIdentity.mIncarnation;
   aReply.name = mIdentity.mName;
-  aReply.configuration_revision = own.mKnownUpTo;
-  aReply.changed_revision = own.mChanged;
+  aReply.configuration_revision = own.mKnownRevision;
+  aReply.changed_revision = own.mChangedRevision;
   aReply.fresh_age_ms =
-    configuration::AgeOf(own.mProvenAt, boot_clock::now()).count();
+    configuration::AgeOf(own.mVerifiedAt, boot_clock::now()).count();
 }
 
 void
--- a/Services/Entry/Refusal.cpp
+++ b/Services/Entry/Refusal.cpp
@@ -9,7 +9,7 @@
 {
   json::value error;
   error.Set("reason", aRefusal.mReason);
-  error.Set("ran", dispatch::WordFor(aRefusal.mRan));
+  error.Set("ran", dispatch::ToString(aRefusal.mRan));
   if (!aRefusal.mRequestId.empty()) {
     error.Set("request_id", aRefusal.mRequestId);
   }
--- a/Services/Entry/SiteEntry.cpp
+++ b/Services/Entry/SiteEntry.cpp
@@ -95,7 +95,7 @@
         mMetrics,
         mRewards,
         [this](const std::string& aBatchId, batches::item_result aResult) {
-          mBatches.TakeResult(aBatchId, std::move(aResult));
+          mBatches.AddResult(aBatchId, std::move(aResult));
         } })
   , mBatches({ mLoop,
                mStore,
@@ -106,9 +106,9 @@
                mSettings.mName,
                [this](const std::string& aName) { return FindPeer(aName); },
                [this] { return WeighedEntries(); },
-               [this] { return mStoreAccess.CanStore(); },
-               [this](const batches::batch_head& aHead) {
-                 mAssignments.TakeBatch(
+               [this] { return mStoreAccess.CanReachStore(); },
+               [this](const batches::batch_metadata& aHead) {
+                 mAssignments.HandleBatchSubmitted(
                    aHead.mModel, aHead.mMinimumVersion, aHead.mExpectedTokens);
                } })
   , mAssignments({ mLoop, mDirectory, mConfiguration, mClaims })
@@ -152,9 +152,9 @@
             },
             [this](bool aIsReachable) {
               if (aIsReachable) {
-                site::NoteOutageEnded(mDirectory, boot_clock::now());
+                site::RecordOutageEnd(mDirectory, boot_clock::now());
               } else {
-                mAssignments.TurnAway();
+                mAssignments.RejectWaiting();
               }
             } },
           FollowedKinds())
@@ -184,7 +184,7 @@
                 }
                 return entries;
               },
-              [this] { return mBatches.Heads(); },
+              [this] { return mBatches.ListBatches(); },
               [] {
                 edge::request ping;
                 ping.mMethod = "GET";
@@ -300,10 +300,10 @@
                  });
 }
 
-storeaccess::helper_view
+storeaccess::helper_candidates
 site_entry::Helpers() const
 {
-  storeaccess::helper_view view{ mSettings.mName, mFeed.Origin(), {} };
+  storeaccess::helper_candidates view{ mSettings.mName, mFeed.Origin(), {} };
   // One that watches for itself is served, or hears of nobody who is.
   if (mFeed.Source()) {
     for (const auto& [name, known] : mPeers) {
@@ -407,7 +407,7 @@
                        return;
                      }
                      done(aAnswer.mStatus == 200
-                            ? billing::report_outcome::Taken
+                            ? billing::report_outcome::Accepted
                             : billing::report_outcome::Refused);
                    });
 }
--- a/Services/Entry/SiteEntry.h
+++ b/Services/Entry/SiteEntry.h
@@ -36,10 +36,10 @@
   };
 
   std::string Open();
-  std::vector<feed::followed_kind> FollowedKinds();
+  std::vector<feed::watched_kind> FollowedKinds();
   void Announce();
   void JoinPeers();
-  void TakeConfiguration(const objects::stored_object& aObject);
+  void ApplyConfiguration(const objects::stored_object& aObject);
   void TakeVersion(const objects::stored_object& aObject);
   void TakePeer(const objects::stored_object& aObject);
   void DropPeer(const std::string& aName);
@@ -66,7 +66,7 @@
             const char* aReason);
   std::optional<edge::endpoint> FindPeer(const std::string& aName) const;
   /** Entries that may reach the store for this one. */
-  storeaccess::helper_view Helpers() const;
+  storeaccess::helper_candidates Helpers() const;
   std::vector<std::string> EntryNames() const;
   /** A model's batches run at one entry and can't be split, so a small instance
    * is a bad place for them: one with five times the processor gets
@@ -92,14 +92,14 @@
   std::map<std::string, peer> mPeers;
   forwarding::pool_router mRouter;
   forwarding::forwarder mForwarder;
-  rewards::reward_caller mRewards;
+  rewards::reward_client mRewards;
   batches::batch_runner mRunner;
   batches::batch_service mBatches;
   versions::claim_table mClaims;
   versions::assignments mAssignments;
   billing::usage_duty mUsage;
   feed::store_feed mFeed;
-  versions::substitute_giver mSubstitute;
+  versions::fallback_controller mSubstitute;
   upkeep::upkeep_duty mUpkeep;
   edge::listener mCallers;
   edge::listener mReadiness;
--- a/Services/Entry/SiteEntryFeed.cpp
+++ b/Services/Entry/SiteEntryFeed.cpp
@@ -24,12 +24,12 @@
 /** A watch that died without a sign may delay these changes by as much. */
 constexpr milliseconds kWatchLong = 2000ms;
 
-feed::followed_kind
+feed::watched_kind
 KindWatchedLong(const char* aKind, milliseconds aGatherFor)
 {
-  feed::followed_kind kind;
+  feed::watched_kind kind;
   kind.mKind = aKind;
-  kind.mProof = feed::kind_proof::WatchNotLost;
+  kind.mProof = feed::freshness_rule::WatchConnected;
   kind.mOptions.mWatchWait = kWatchLong;
   kind.mOptions.mGatherFor = aGatherFor;
   return kind;
@@ -41,7 +41,7 @@
 site_entry::TakeVersion(const objects::stored_object& aObject)
 {
   if (const auto named = platform::DecodeVersion(aObject)) {
-    mAssignments.TakeNamed(named->mModel, named->mVersion);
+    mAssignments.HandleVersionAnnounced(named->mModel, named->mVersion);
   }
 }
 
@@ -86,21 +86,21 @@
   }
 }
 
-std::vector<feed::followed_kind>
+std::vector<feed::watched_kind>
 site_entry::FollowedKinds()
 {
-  feed::followed_kind configuration;
+  feed::watched_kind configuration;
   configuration.mKind = platform::kConfigurationKind;
   configuration.mOnListed = [this](const feed::object_map& aObjects) {
     if (const auto found = aObjects.find(platform::kConfigurationName);
         found != aObjects.end()) {
-      TakeConfiguration(found->second);
+      ApplyConfiguration(found->second);
     }
   };
   configuration.mOnEvent = [this](const objects::object_event& aEvent) {
     if (!aEvent.mIsDeleted &&
         aEvent.mObject.mName == platform::kConfigurationName) {
-      TakeConfiguration(aEvent.mObject);
+      ApplyConfiguration(aEvent.mObject);
     }
   };
 
@@ -147,7 +147,7 @@
     }
   };
 
-  auto heads = KindWatchedLong(batches::kHeadKind, kGatherHeads);
+  auto heads = KindWatchedLong(batches::kBatchMetadataKind, kGatherHeads);
   heads.mOnListed = [this](const feed::object_map& aObjects) {
     mBatches.TakeListing(aObjects);
   };
@@ -167,20 +167,20 @@
     }
   };
 
-  auto claims = KindWatchedLong(versions::kGiverKind, kGatherClaims);
+  auto claims = KindWatchedLong(versions::kControllerKind, kGatherClaims);
   claims.mOnListed = [this](const feed::object_map& aObjects) {
-    versions::TakeClaimListing(mClaims, aObjects);
-    mAssignments.RefuseSuperseded();
+    versions::ApplyClaimListing(mClaims, aObjects);
+    mAssignments.RejectSuperseded();
   };
   claims.mOnEvent = [this](const objects::object_event& aEvent) {
-    versions::TakeClaimEvent(mClaims, aEvent);
-    mAssignments.RefuseSuperseded();
+    versions::ApplyClaimEvent(mClaims, aEvent);
+    mAssignments.RejectSuperseded();
   };
   return { configuration, servers, peers, heads, named, claims };
 }
 
 void
-site_entry::TakeConfiguration(const objects::stored_object& aObject)
+site_entry::ApplyConfiguration(const objects::stored_object& aObject)
 {
   auto decoded = platform::DecodeConfiguration(aObject.mSpec);
   if (!decoded) {
@@ -188,7 +188,7 @@
       .With("reason", decoded.mLastReason);
     return;
   }
-  if (!site::TakeConfiguration(mConfiguration, *decoded)) {
+  if (!site::ApplyConfiguration(mConfiguration, *decoded)) {
     return;
   }
   const auto connections = mLimits->mMaximumConnections;
@@ -216,14 +216,14 @@
   NoteServerChange(server->mId,
                    server->mIsLeaving ? site::server_change::Leaving
                                       : site::server_change::Ready);
-  site::TakeServer(mDirectory, std::move(*server));
+  site::ApplyServer(mDirectory, std::move(*server));
 }
 
 void
 site_entry::TakeServerRemoval(const std::string& aId)
 {
   NoteServerChange(aId, site::server_change::Removed);
-  site::TakeRemoval(mDirectory, aId, boot_clock::now());
+  site::ApplyRemoval(mDirectory, aId, boot_clock::now());
 }
 
 void
@@ -236,12 +236,12 @@
   if (mFeed.IsWatching() && isNews) {
     events::line("server_entry")
       .With("server", aId)
-      .With("state", site::WordFor(aChange));
+      .With("state", site::ToString(aChange));
   }
-  if (!site::NoteChange(mServerChanges, aChange)) {
+  if (!site::RecordChange(mServerChanges, aChange)) {
     return;
   }
-  mServerLogTimer.expires_after(site::kSumChangesFor);
+  mServerLogTimer.expires_after(site::kChangeSummaryDelay);
   mServerLogTimer.async_wait([this](const auto& aError) {
     if (aError) {
       return;
@@ -277,7 +277,7 @@
 site_entry::AfterServersChanged()
 {
   const auto now = boot_clock::now();
-  if (const auto next = site::DropGone(mDirectory, now)) {
+  if (const auto next = site::RemoveExpired(mDirectory, now)) {
     mDirectoryTimer.expires_after(*next - now + 1ms);
     mDirectoryTimer.async_wait([this](const auto& aError) {
       if (!aError) {
@@ -285,7 +285,7 @@
       }
     });
   }
-  mRouter.TakeServers(now);
+  mRouter.SyncServers(now);
   mAssignments.Refresh();
   mRunner.Dispatch();
 }
--- a/Services/Entry/SiteEntryServing.cpp
+++ b/Services/Entry/SiteEntryServing.cpp
@@ -21,7 +21,8 @@
                  const char* aReason)
 {
   events::line("denied")
-    .With("request", mProtocol.mReadCaller(aExchange->mRequest).mAttemptId)
+    .With("request",
+          mProtocol.mReadCallerMetadata(aExchange->mRequest).mAttemptId)
     .With("status", static_cast<std::int64_t>(aStatus))
     .With("reason", aReason)
     .With("configuration", mConfiguration ? mConfiguration->mVersion : -1)
@@ -67,7 +68,7 @@
     Deny(aExchange, 401, "unknown key");
     return;
   }
-  if (route->mTakesBatches) {
+  if (route->mAcceptsBatches) {
     ServeSubmission(aExchange,
                     check.mCustomer ? check.mCustomer->mName : std::string());
     return;
@@ -116,7 +117,7 @@
     aExchange->Answer({ 400, {}, {} });
     return;
   }
-  mBatches.SubmitHere(aExchange, passed->mOrigin, std::move(*submission));
+  mBatches.SubmitLocally(aExchange, passed->mOrigin, std::move(*submission));
 }
 
 void
@@ -127,7 +128,7 @@
     return std::string_view(target).substr(0, aPrefix.size()) == aPrefix;
   };
   if (target == feed::kFeedPath) {
-    mFeed.Serve(aExchange->mRequest, feed::AskerOf(aExchange));
+    mFeed.Serve(aExchange->mRequest, feed::RequesterOf(aExchange));
   } else if (target == storeaccess::kHelpPath) {
     mStoreAccess.Help(aExchange->mRequest, [aExchange](edge::response aAnswer) {
       aExchange->Answer(std::move(aAnswer));
@@ -147,7 +148,7 @@
     const auto window = edge::ParseInteger(
       std::string_view(target).substr(sizeof billing::kUsagePath - 1));
     aExchange->Answer(
-      { window ? 200u : 400u, {}, mUsage.Share(window.value_or(0)) });
+      { window ? 200u : 400u, {}, mUsage.CountsAsJson(window.value_or(0)) });
   } else {
     aExchange->Answer({ 404, {}, {} });
   }
--- a/Services/Entry/TrainerApi.cpp
+++ b/Services/Entry/TrainerApi.cpp
@@ -23,7 +23,7 @@
 /** Reads what the trainer asks for.
  * @return what is wrong with it; empty when nothing is */
 std::string
-ReadShape(const json::value& aBody, samples::batch_shape& aShape)
+ReadBatchSpec(const json::value& aBody, samples::batch_spec& aSpec)
 {
   const auto* prompts = aBody.Find("prompts");
   if (!prompts || !prompts->IsArray() || prompts->Elements().empty()) {
@@ -33,30 +33,30 @@
     if (!prompt.IsString()) {
       return "$.prompts must be a list of texts";
     }
-    aShape.mPrompts.push_back(prompt.StringOr(""));
+    aSpec.mPrompts.push_back(prompt.StringOr(""));
   }
   const auto perPrompt = json::IntegerAt(aBody, "samples_per_prompt", 1);
   if (perPrompt < 1 ||
-      perPrompt * static_cast<std::int64_t>(aShape.mPrompts.size()) >
+      perPrompt * static_cast<std::int64_t>(aSpec.mPrompts.size()) >
         kMaximumSamples) {
     return "$.samples_per_prompt is out of range";
   }
-  aShape.mSamplesPerPrompt = static_cast<int>(perPrompt);
-  aShape.mMaximumTokens = json::IntegerAt(aBody, "max_tokens", kDefaultTokens);
-  if (aShape.mMaximumTokens < 1 || aShape.mMaximumTokens > kMaximumTokens) {
+  aSpec.mSamplesPerPrompt = static_cast<int>(perPrompt);
+  aSpec.mMaximumTokens = json::IntegerAt(aBody, "max_tokens", kDefaultTokens);
+  if (aSpec.mMaximumTokens < 1 || aSpec.mMaximumTokens > kMaximumTokens) {
     return "$.max_tokens must be a whole number from 1 to 100000";
   }
   return {};
 }
 
 int
-StatusFor(samples::ask_state aState)
+StatusFor(samples::delivery_status aState)
 {
   switch (aState) {
-    case samples::ask_state::Acknowledged:
+    case samples::delivery_status::Acknowledged:
       return 410;
-    case samples::ask_state::OtherRequest:
-    case samples::ask_state::NotDelivered:
+    case samples::delivery_status::RequestMismatch:
+    case samples::delivery_status::NotDelivered:
       return 409;
     default:
       return 503;
@@ -74,7 +74,7 @@
 } // namespace
 
 http::response
-caller_api::RefuseBatch(const samples::batch_outcome& aOutcome,
+caller_api::RefuseBatch(const samples::batch_response& aOutcome,
                         const std::string& aRequestId)
 {
   refusal refused;
@@ -84,9 +84,10 @@
   refused.mRan = ran::NotRun;
   refused.mRetryAfter = aOutcome.mRetryAfter;
   refused.mRequestId = aRequestId;
-  if (aOutcome.mWanted > 0) {
-    refused.mMessage = std::to_string(aOutcome.mDone) + " of " +
-                       std::to_string(aOutcome.mWanted) + " samples are made";
+  if (aOutcome.mRequestedSamples > 0) {
+    refused.mMessage = std::to_string(aOutcome.mFinishedSamples) + " of " +
+                       std::to_string(aOutcome.mRequestedSamples) +
+                       " samples are made";
   }
   return Refuse(std::move(refused));
 }
@@ -118,9 +119,9 @@
     return Refuse({ 404, "unknown_step", ran::NotRun, 0ms, id, "" });
   }
   samples::batch_request batch;
-  batch.mShape.mRun = aParts[0];
-  batch.mShape.mStep = *step;
-  if (auto fault = ReadShape(*body, batch.mShape); !fault.empty()) {
+  batch.mSpec.mRun = aParts[0];
+  batch.mSpec.mStep = *step;
+  if (auto fault = ReadBatchSpec(*body, batch.mSpec); !fault.empty()) {
     return Refuse({ 400, "bad_request", ran::NotRun, 0ms, id, fault });
   }
   const auto call = MakeCall(aRequest, aAdmitted);
@@ -128,8 +129,8 @@
   batch.mKeyId = call.mKeyId;
   batch.mWeight = call.mWeight;
   batch.mStopReason = call.mStopReason;
-  const auto outcome = mSamples.Ask(batch);
-  return outcome.mState == samples::ask_state::Ready
+  const auto outcome = mSamples.RequestBatch(batch);
+  return outcome.mState == samples::delivery_status::Ready
            ? JsonResponse(outcome.mBatch)
            : RefuseBatch(outcome, id);
 }
@@ -146,8 +147,8 @@
   if (!step) {
     return Refuse({ 404, "unknown_step", ran::NotRun, 0ms, id, "" });
   }
-  const auto outcome = mSamples.Take(aParts[0], *step);
-  return outcome.mState == samples::ask_state::Acknowledged
+  const auto outcome = mSamples.ConfirmDelivery(aParts[0], *step);
+  return outcome.mState == samples::delivery_status::Acknowledged
            ? JsonResponse(json::object{})
            : RefuseBatch(outcome, id);
 }
--- a/Services/Entry/main.cpp
+++ b/Services/Entry/main.cpp
@@ -48,7 +48,7 @@
                              "text/plain",
                              {},
                              std::string("not ready ") +
-                               keys::WordFor(freshness) + "\n" };
+                               keys::ToString(freshness) + "\n" };
     }
     return http::response{ 200, "text/plain", {}, "ready\n" };
   });
@@ -67,13 +67,13 @@
 {
   constexpr milliseconds kAnnounceFor = 500ms;
   const auto start = boot_clock::now();
-  while (aCallers.RequestsLeft() > 0 ||
+  while (aCallers.PendingRequestCount() > 0 ||
          boot_clock::now() - start < kAnnounceFor) {
     if (boot_clock::now() - start > aDeadline || aTermination.WaitFor(50ms)) {
       Log(log_level::Warning,
           "entry",
           "Drain cut short requests_left=" +
-            std::to_string(aCallers.RequestsLeft()));
+            std::to_string(aCallers.PendingRequestCount()));
       return;
     }
   }
@@ -101,7 +101,7 @@
   http::server operatorServer(
     ListenerFor(aValues, "operator-listen", 64),
     [&](const http::request& aRequest) {
-      return configuration::ServeOperators(
+      return configuration::ServeOperatorRequest(
         operatorRoutes, aValues.Text("operator-key-hash"), aRequest);
     });
   http::server healthServer(ListenerFor(aValues, "health-listen", 16),
--- a/Tests/Site/Support/BatchEntry.cpp
+++ b/Tests/Site/Support/BatchEntry.cpp
@@ -11,7 +11,7 @@
   auto route = std::make_shared<site::route>();
   route->mHost = "train.example";
   route->mPathPrefix = "/r/";
-  route->mTakesBatches = true;
+  route->mAcceptsBatches = true;
   route->mMaximumAttempts = 3;
   route->mPools = { { "pool", 1 } };
   auto configuration = std::make_shared<site::site_configuration>();
@@ -36,13 +36,13 @@
 void
 batch_site::SetMaximumQueueing(milliseconds aTime)
 {
-  Change([&](site::route& aRoute) { aRoute.mMaximumQueueing = aTime; });
+  Change([&](site::route& aRoute) { aRoute.mMaximumQueueTime = aTime; });
 }
 
 void
 batch_site::Add(const model_server& aServer)
 {
-  site::TakeServer(mDirectory, aServer.Entry());
+  site::ApplyServer(mDirectory, aServer.Entry());
 }
 
 void
@@ -50,8 +50,8 @@
                 const std::string& aId,
                 const std::string& aPool)
 {
-  site::TakeServer(mDirectory, aServer.Entry(aId, aPool));
-  mRouter.TakeServers(boot_clock::now());
+  site::ApplyServer(mDirectory, aServer.Entry(aId, aPool));
+  mRouter.SyncServers(boot_clock::now());
 }
 
 void
@@ -66,7 +66,7 @@
     auto route = std::make_shared<site::route>();
     route->mHost = "score.example";
     route->mPathPrefix = "/score/";
-    route->mRepetition = site::repetition::Idempotent;
+    route->mRetryPolicy = site::retry_policy::Idempotent;
     route->mMaximumAttempts = 4;
     route->mTargetLatency = milliseconds(800);
     route->mTimeout = milliseconds(3000);
@@ -99,7 +99,7 @@
               aSite.mMetrics,
               mRewards,
               [this](const auto& aBatchId, auto aResult) {
-                mService.TakeResult(aBatchId, std::move(aResult));
+                mService.AddResult(aBatchId, std::move(aResult));
               } })
   , mService(
       { aSite.mLoop.mLoop,
@@ -123,8 +123,8 @@
           }
           return entries;
         },
-        [this] { return mCanStore; },
-        [](const batches::batch_head&) {} })
+        [this] { return mCanReachStore; },
+        [](const batches::batch_metadata&) {} })
   , mListener(aSite.mLoop.mLoop,
               std::make_shared<edge::listener_limits>(),
               [this](const auto& aExchange) { Serve(aExchange); })
@@ -133,7 +133,7 @@
   mListener.Open({ "127.0.0.1", 0 });
   aSite.mPeers[aName] = { "127.0.0.1", mListener.Port() };
   objects::mirror_options options;
-  options.mKind = batches::kHeadKind;
+  options.mKind = batches::kBatchMetadataKind;
   objects::mirror_events heard;
   heard.mOnListed = [this](const auto& aHeads) {
     mService.TakeListing(aHeads);
@@ -151,7 +151,7 @@
                                                    const std::string& aName,
                                                    std::string aSpecJson,
                                                    objects::object_done aDone) {
-    if (mCanStore) {
+    if (mCanReachStore) {
       create(aKind, aName, std::move(aSpecJson), std::move(aDone));
     } else {
       aDone({ objects::store_outcome::Refused, {} });
@@ -163,7 +163,7 @@
                                             objects::revision_number aExpected,
                                             std::string aStatusJson,
                                             objects::object_done aDone) {
-      if (mCanStore) {
+      if (mCanReachStore) {
         replace(
           aKind, aName, aExpected, std::move(aStatusJson), std::move(aDone));
       } else {
@@ -194,7 +194,7 @@
     if (mLosesAnswers) {
       mHeld.push_back(aExchange);
     }
-    mService.SubmitHere(
+    mService.SubmitLocally(
       answered,
       passed->mOrigin,
       *platform::DecodeSubmission(passed->mBatchId, passed->mBody));
