--- a/Tests/Site/Support/BatchEntry.h
+++ b/Tests/Site/Support/BatchEntry.h
@@ -65,14 +65,14 @@
 
   batch_site& mSite;
   objects::object_store mStore;
-  rewards::reward_caller mRewards;
+  rewards::reward_client mRewards;
   batches::batch_runner mRunner;
   batches::batch_service mService;
   std::shared_ptr<objects::mirror> mHeads;
   /** False stands for an entry that is cut off from callers and peers. */
   bool mIsReachable = true;
   /** False stands for an entry whose writes don't reach the store. */
-  bool mCanStore = true;
+  bool mCanReachStore = true;
   /** True stands for answers to other entries that are lost on their way. */
   bool mLosesAnswers = false;
   /** True stands for a narrow link: pages for other entries take 1.5 s. */
--- a/Tests/Site/Support/SimulatedFeed.cpp
+++ b/Tests/Site/Support/SimulatedFeed.cpp
@@ -22,8 +22,8 @@
   , mBehind(standin::MakeMemoryStore(aSite.mClock.Scheduler(), aSite.mState))
   , mStore(MakeStore())
 {
-  feed::feed_parts parts{ OwnScheduler(), mStore,    mStore, {},
-                          mName,          "entries", {},     {} };
+  feed::feed_dependencies parts{ OwnScheduler(), mStore,    mStore, {},
+                                 mName,          "entries", {},     {} };
   parts.mCall = [this](const auto& aAddress,
                        const auto& aRequest,
                        const auto& aOptions,
@@ -39,24 +39,24 @@
     }
     return candidates;
   };
-  parts.mOnContact = [this](bool aIsReachable) {
+  parts.mOnReachabilityChange = [this](bool aIsReachable) {
     if (aIsReachable) {
       mValueAtContact = Value(kBusyKind);
     }
   };
   auto busy = KindOf(kBusyKind);
   auto quiet = KindOf(kQuietKind);
-  quiet.mProof = feed::kind_proof::WatchNotLost;
+  quiet.mProof = feed::freshness_rule::WatchConnected;
   quiet.mOptions.mWatchWait = kLongWatch;
-  std::vector<feed::followed_kind> kinds{ busy, quiet };
+  std::vector<feed::watched_kind> kinds{ busy, quiet };
   mFeed =
     std::make_unique<feed::store_feed>(std::move(parts), std::move(kinds));
 }
 
-feed::followed_kind
+feed::watched_kind
 simulated_entry::KindOf(const std::string& aKind)
 {
-  feed::followed_kind kind;
+  feed::watched_kind kind;
   kind.mKind = aKind;
   kind.mOnListed = [this, aKind](const auto& aObjects) {
     Hear(aKind, aObjects);
@@ -325,7 +325,7 @@
         }
       });
     };
-  const feed::feed_asker asker{ answer, [hasEnded] { return *hasEnded; } };
+  const feed::feed_requester asker{ answer, [hasEnded] { return *hasEnded; } };
   auto& entry = *target->second;
   RunAfter(uses,
            kWayBetweenEntries,
--- a/Tests/Site/Support/SimulatedFeed.h
+++ b/Tests/Site/Support/SimulatedFeed.h
@@ -62,7 +62,7 @@
     std::function<void()> mEnd;
   };
 
-  feed::followed_kind KindOf(const std::string& aKind);
+  feed::watched_kind KindOf(const std::string& aKind);
   scheduler OwnScheduler();
   objects::object_store MakeStore();
   /** Passes an answer on unless the call was lost, or ends it unanswered. */
--- a/Tests/Site/TestBatchOwners.cpp
+++ b/Tests/Site/TestBatchOwners.cpp
@@ -165,14 +165,14 @@
   batch_entry other(site, "b");
   BOOST_TEST(owner.Submit("b1", 4).mAnswer.mStatus == 202u);
   BOOST_TEST(OwnerOf(site, "b1") == "a");
-  owner.mCanStore = false;
+  owner.mCanReachStore = false;
   site.mWeights["b"] = 1;
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return OwnerOf(site, "b1") == "b"; }, 3s));
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return other.ListedIds("b1").size() == 4; }));
   // Back again, it asks the new owner as any other entry does.
-  owner.mCanStore = true;
+  owner.mCanReachStore = true;
   BOOST_TEST(owner.ListedIds("b1").size() == 4u);
   BOOST_TEST(OwnerOf(site, "b1") == "b");
 }
@@ -190,7 +190,7 @@
   batch_entry asked(site, "a");
   batch_entry cutOff(site, "b");
   batch_entry fit(site, "c");
-  asked.mCanStore = cutOff.mCanStore = false;
+  asked.mCanReachStore = cutOff.mCanReachStore = false;
   BOOST_TEST(asked.Submit("b1", 3).mAnswer.mStatus == 202u);
   BOOST_TEST(OwnerOf(site, "b1") == "c");
   BOOST_TEST(
@@ -203,7 +203,7 @@
   batch_site site;
   batch_entry asked(site, "a");
   batch_entry other(site, "b");
-  asked.mCanStore = other.mCanStore = false;
+  asked.mCanReachStore = other.mCanReachStore = false;
   const auto start = boot_clock::now();
   const auto answer = asked.Submit("b1", 3).mAnswer;
   BOOST_TEST(answer.mStatus == 503u);
@@ -228,7 +228,7 @@
   batch_entry second(site, "b");
   first.Submit("b1", 2);
   const auto isStored = [&] {
-    const auto blocks = site.mState.mKinds.find(batches::kResultsKind);
+    const auto blocks = site.mState.mKinds.find(batches::kBatchResultsKind);
     return blocks != site.mState.mKinds.end() && !blocks->second.empty();
   };
   BOOST_TEST(site.mLoop.RunUntil(isStored));
--- a/Tests/Site/TestBatchPositions.cpp
+++ b/Tests/Site/TestBatchPositions.cpp
@@ -120,8 +120,8 @@
                                          {},
                                          {} };
       standin::PutDirectly(site.mState,
-                           batches::kResultsKind,
-                           batches::ResultsName("b1", aBlock),
+                           batches::kBatchResultsKind,
+                           batches::ResultsObjectName("b1", aBlock),
                            batches::EncodeBlock(block));
     };
     list(0, "b1i0");
--- a/Tests/Site/TestDecisions.cpp
+++ b/Tests/Site/TestDecisions.cpp
@@ -26,7 +26,7 @@
                                edge::call_end::TimedOut);
   end.mStatus = *rc::gen::element(200u, 404u, 421u, 429u, 500u, 503u, 504u);
   end.mIsNotExecuted = *rc::gen::arbitrary<bool>();
-  end.mIsForeign = *rc::gen::arbitrary<bool>();
+  end.mIsMismatched = *rc::gen::arbitrary<bool>();
   return end;
 }
 
@@ -71,16 +71,16 @@
   BOOST_TEST(rc::check("attempts", [] {
     const auto end = AnyEnd();
     forwarding::attempt_budget budget;
-    budget.mRepetition = *rc::gen::element(site::repetition::Idempotent,
-                                           site::repetition::AtMostOnce);
+    budget.mRetryPolicy = *rc::gen::element(site::retry_policy::Idempotent,
+                                            site::retry_policy::AtMostOnce);
     budget.mAttemptsLeft = *rc::gen::inRange(0, 3);
     budget.mTimeLeft = milliseconds(*rc::gen::inRange(0, 100));
     budget.mMayHaveRun = *rc::gen::arbitrary<bool>();
     const auto known = forwarding::ExecutionOf(end);
     const auto step = forwarding::DecideNext(end, budget);
-    if (step == forwarding::next_step::TryElsewhere) {
+    if (step == forwarding::next_step::RetryOnAnotherServer) {
       RC_ASSERT(known == forwarding::execution::NotRun ||
-                budget.mRepetition == site::repetition::Idempotent);
+                budget.mRetryPolicy == site::retry_policy::Idempotent);
       RC_ASSERT(budget.mAttemptsLeft > 0);
     }
     if (step == forwarding::next_step::RefuseNotRun) {
@@ -89,9 +89,9 @@
     }
     if (step == forwarding::next_step::Deliver) {
       RC_ASSERT(known == forwarding::execution::Ran);
-      RC_ASSERT(!end.mIsForeign);
+      RC_ASSERT(!end.mIsMismatched);
     }
-    if (end.mIsForeign && end.mEnd != edge::call_end::NotSent) {
+    if (end.mIsMismatched && end.mEnd != edge::call_end::NotSent) {
       RC_ASSERT(known == forwarding::execution::Unknown);
     }
   }));
@@ -149,13 +149,13 @@
       engine.mBlockedUntil = now + milliseconds(*rc::gen::inRange(-5, 5));
       engines.push_back(engine);
     }
-    batches::item_need need;
+    batches::item_requirements need;
     need.mPools = { "p" };
     need.mModel = "m";
     need.mMinimumVersion = *rc::gen::inRange(1, 4);
     need.mGroup = "g";
     need.mAvoided = "s0";
-    const batches::group_homes homes = { { "g", { "s1", now } } };
+    const batches::group_affinities homes = { { "g", { "s1", now } } };
     const auto mayRun = [&](const batches::engine_view& aEngine) {
       return aEngine.mPool == "p" && aEngine.mOwnRuns < aEngine.mSlots &&
              aEngine.mVersions.at("m") >= need.mMinimumVersion &&
@@ -182,7 +182,7 @@
 BOOST_AUTO_TEST_CASE(GroupsOfLongAgoAreForgotten)
 {
   const auto now = boot_clock::now();
-  batches::group_homes homes = {
+  batches::group_affinities homes = {
     { "old", { "s1", now - batches::kHomeKept - 1ms } },
     { "recent", { "s1", now - batches::kHomeKept + 1ms } }
   };
@@ -220,7 +220,7 @@
          *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 20))) {
       auto arrived = std::make_shared<site::site_configuration>();
       arrived->mVersion = version;
-      site::TakeConfiguration(inForce, arrived);
+      site::ApplyConfiguration(inForce, arrived);
       highest = std::max<std::int64_t>(highest, version);
       RC_ASSERT(inForce->mVersion == highest);
     }
@@ -234,18 +234,18 @@
 {
   const auto start = boot_clock::now();
   site::server_directory directory;
-  site::TakeServer(directory, Server("back"));
-  site::TakeServer(directory, Server("gone"));
-  site::NoteOutageEnded(directory, start);
+  site::ApplyServer(directory, Server("back"));
+  site::ApplyServer(directory, Server("gone"));
+  site::RecordOutageEnd(directory, start);
   site::TakeListing(directory, {}, start + 10ms);
   BOOST_TEST(directory.mRows.size() == 2u);
-  site::TakeServer(directory, Server("back"));
-  BOOST_TEST(site::DropGone(directory, start + 1900ms).has_value());
+  site::ApplyServer(directory, Server("back"));
+  BOOST_TEST(site::RemoveExpired(directory, start + 1900ms).has_value());
   BOOST_TEST(directory.mRows.size() == 2u);
-  site::DropGone(directory, start + 2000ms);
+  site::RemoveExpired(directory, start + 2000ms);
   BOOST_TEST(directory.mRows.count("back") == 1u);
   BOOST_TEST(directory.mRows.count("gone") == 0u);
-  site::TakeRemoval(directory, "back", start + 3000ms);
+  site::ApplyRemoval(directory, "back", start + 3000ms);
   BOOST_TEST(directory.mRows.empty());
 }
 
@@ -316,8 +316,8 @@
     RC_ASSERT(time >= billing::EndOf(window - 1, 5000ms));
   }));
   for (std::size_t place = 0; place < 4; ++place) {
-    BOOST_TEST((billing::ActAfter(place) < 10s));
-    BOOST_TEST((billing::ActAfter(place + 1) > billing::ActAfter(place)));
+    BOOST_TEST((billing::ReportDelay(place) < 10s));
+    BOOST_TEST((billing::ReportDelay(place + 1) > billing::ReportDelay(place)));
   }
 }
 
--- a/Tests/Site/TestFeed.cpp
+++ b/Tests/Site/TestFeed.cpp
@@ -56,7 +56,7 @@
             mLosses += aIsReachable ? 0 : 1;
           } },
         { { "things",
-            feed::kind_proof::EachAnswer,
+            feed::freshness_rule::EveryResponse,
             {},
             [this](const feed::object_map& aObjects) { mThings = aObjects; },
             [this](const objects::object_event& aEvent) {
@@ -72,7 +72,8 @@
                   if (mIsSilent) {
                     mUnanswered.push_back(aExchange);
                   } else {
-                    mFeed.Serve(aExchange->mRequest, feed::AskerOf(aExchange));
+                    mFeed.Serve(aExchange->mRequest,
+                                feed::RequesterOf(aExchange));
                   }
                 })
   {
@@ -160,7 +161,7 @@
   std::map<std::string, int> followers;
   std::map<std::string, int> depth;
   for (const auto& entry : all) {
-    const auto order = feed::FeedOrder(all, entry.mName);
+    const auto order = feed::SourcePreference(all, entry.mName);
     BOOST_TEST(order.size() == static_cast<std::size_t>(&entry - all.data()));
     for (const auto& asked : order) {
       BOOST_TEST(asked.mName < entry.mName);
@@ -272,7 +273,7 @@
 {
   BOOST_TEST(rc::check("feeds agree", [] {
     feed::feed_state state;
-    std::vector<std::pair<feed::feed_number, feed::object_map>> known = {
+    std::vector<std::pair<feed::feed_sequence, feed::object_map>> known = {
       { 0, {} }
     };
     objects::revision_number revision = 1;
--- a/Tests/Site/TestForwarding.cpp
+++ b/Tests/Site/TestForwarding.cpp
@@ -13,7 +13,7 @@
 /** An entry that forwards everything to the given servers. */
 struct forwarding_site
 {
-  explicit forwarding_site(site::repetition aRepetition)
+  explicit forwarding_site(site::retry_policy aRepetition)
     : mForwarder(
         { mLoop.mLoop,
           *mClients,
@@ -27,7 +27,7 @@
                   mForwarder.Serve(aExchange, mRoute, mCustomer);
                 })
   {
-    mRoute->mRepetition = aRepetition;
+    mRoute->mRetryPolicy = aRepetition;
     mRoute->mMaximumAttempts = 2;
     mRoute->mPools = { { "pool", 1 } };
     mCustomer->mName = "customer";
@@ -36,8 +36,8 @@
 
   void Add(const std::string& aId, const plain_server& aServer)
   {
-    site::TakeServer(mDirectory, aServer.Entry(aId, "pool"));
-    mRouter.TakeServers(boot_clock::now());
+    site::ApplyServer(mDirectory, aServer.Entry(aId, "pool"));
+    mRouter.SyncServers(boot_clock::now());
   }
 
   edge::request Request() const
@@ -78,9 +78,9 @@
 // connection breaks, and the entry sends it to the second.
 BOOST_AUTO_TEST_CASE(ABrokenAnswerIsRepeatedOnlyWhenThatIsAllowed)
 {
-  for (const auto repetition :
-       { site::repetition::AtMostOnce, site::repetition::Idempotent }) {
-    forwarding_site site(repetition);
+  for (const auto retry_policy :
+       { site::retry_policy::AtMostOnce, site::retry_policy::Idempotent }) {
+    forwarding_site site(retry_policy);
     plain_server first(site.mLoop);
     plain_server second(site.mLoop);
     const auto breaks = [](const auto& aExchange) { aExchange->Abort(); };
@@ -88,7 +88,7 @@
     site.Add("s1", first);
     site.Add("s2", second);
     const auto result = site.Send();
-    const bool isOnce = repetition == site::repetition::AtMostOnce;
+    const bool isOnce = retry_policy == site::retry_policy::AtMostOnce;
     BOOST_TEST(first.mRequests + second.mRequests == (isOnce ? 1 : 2));
     BOOST_TEST(result.mAnswer.mStatus == 502u);
     // Counted once for the bill, however often it was tried.
@@ -100,7 +100,7 @@
 // told so at once, with when to come back.
 BOOST_AUTO_TEST_CASE(ARequestThatNoServerRanIsRefusedAtOnce)
 {
-  forwarding_site site(site::repetition::AtMostOnce);
+  forwarding_site site(site::retry_policy::AtMostOnce);
   plain_server server(site.mLoop);
   server.mServe = [](const auto& aExchange) {
     aExchange->Answer(plain_server::TurnAway(aExchange));
@@ -116,7 +116,7 @@
 // connection that was used again.
 BOOST_AUTO_TEST_CASE(AnAnswerToAnotherAttemptIsNeverPassedOn)
 {
-  forwarding_site site(site::repetition::AtMostOnce);
+  forwarding_site site(site::retry_policy::AtMostOnce);
   plain_server server(site.mLoop);
   server.mServe = [](const auto& aExchange) {
     edge::response answer{ 200, {}, "not yours" };
@@ -133,7 +133,7 @@
 // be closed when the caller's is.
 BOOST_AUTO_TEST_CASE(AServerIsToldThatItsCallerHasLeft)
 {
-  forwarding_site site(site::repetition::AtMostOnce);
+  forwarding_site site(site::retry_policy::AtMostOnce);
   plain_server server(site.mLoop);
   server.mServe = [](const auto&) {};
   site.Add("s1", server);
@@ -148,7 +148,7 @@
 // get it well before the caller's time is over.
 BOOST_AUTO_TEST_CASE(ADarkServerDoesntHoldARequestToItsDeadline)
 {
-  forwarding_site site(site::repetition::Idempotent);
+  forwarding_site site(site::retry_policy::Idempotent);
   plain_server dark(site.mLoop);
   plain_server sound(site.mLoop);
   dark.mServe = [](const auto&) {};
--- a/Tests/Site/TestGivers.cpp
+++ b/Tests/Site/TestGivers.cpp
@@ -29,7 +29,7 @@
     pool.mEngine = site::engine_pool{ 12, { "model" } };
     known->mPools["pool"] = pool;
     mConfiguration = known;
-    site::TakeServer(mDirectory, mServer.Entry());
+    site::ApplyServer(mDirectory, mServer.Entry());
   }
 
   std::string Name() const { return ClaimName(mServer.Entry().mAddress); }
@@ -58,32 +58,33 @@
   {
     mListener.Open({ "127.0.0.1", 0 });
     objects::mirror_options options;
-    options.mKind = kGiverKind;
+    options.mKind = kControllerKind;
     objects::mirror_events callbacks;
     callbacks.mOnListed = [this](const auto& aObjects) {
-      TakeClaimListing(mClaims, aObjects);
-      mAssignments.RefuseSuperseded();
+      ApplyClaimListing(mClaims, aObjects);
+      mAssignments.RejectSuperseded();
     };
     callbacks.mOnEvent = [this](const auto& aEvent) {
-      TakeClaimEvent(mClaims, aEvent);
-      mAssignments.RefuseSuperseded();
+      ApplyClaimEvent(mClaims, aEvent);
+      mAssignments.RejectSuperseded();
     };
     mMirror = std::make_shared<objects::mirror>(
       edge::LoopScheduler(aSite.mLoop.mLoop), aSite.mStore, options, callbacks);
     mMirror->Start();
-    mFallback.emplace(substitute_parts{ aSite.mLoop.mLoop,
-                                        *aSite.mClients,
-                                        aSite.mStore,
-                                        aName,
-                                        { "127.0.0.1", mListener.Port() },
-                                        aSite.mDirectory,
-                                        aSite.mConfiguration,
-                                        mClaims,
-                                        mAssignments,
-                                        [this] { return mMayClaim; },
-                                        platform::EncodeReportRequest,
-                                        platform::DecodeReport,
-                                        platform::EncodeOrder });
+    mFallback.emplace(
+      controller_dependencies{ aSite.mLoop.mLoop,
+                               *aSite.mClients,
+                               aSite.mStore,
+                               aName,
+                               { "127.0.0.1", mListener.Port() },
+                               aSite.mDirectory,
+                               aSite.mConfiguration,
+                               mClaims,
+                               mAssignments,
+                               [this] { return mMayClaim; },
+                               platform::EncodeReportRequest,
+                               platform::DecodeReport,
+                               platform::EncodeOrder });
     mFallback->Start();
   }
 
@@ -94,18 +95,18 @@
   assignments mAssignments;
   edge::listener mListener;
   std::shared_ptr<objects::mirror> mMirror;
-  std::optional<substitute_giver> mFallback;
+  std::optional<fallback_controller> mFallback;
 };
 
-std::optional<order_right>
+std::optional<order_permission>
 Claim(controller_site& aSite, const std::string& aController)
 {
-  std::optional<order_right> grant;
+  std::optional<order_permission> grant;
   bool isDone = false;
   ClaimServer(aSite.mStore,
               aSite.Name(),
               aController,
-              [&](std::optional<order_right> aGrant) {
+              [&](std::optional<order_permission> aGrant) {
                 grant = aGrant;
                 isDone = true;
               });
@@ -118,21 +119,21 @@
 std::shared_ptr<unsigned>
 StartRequest(controller_site& aSite,
              controlling_entry& aEntry,
-             const giver_claim& aClaim,
+             const controller_claim& aClaim,
              const std::map<std::string, std::int64_t>& aHeld)
 {
   const auto status = std::make_shared<unsigned>(0);
-  edge::FetchWhole(
-    *aSite.mClients,
-    aSite.mLoop.mLoop,
-    { "127.0.0.1", aEntry.mListener.Port() },
-    EncodeQuestion({ aSite.mServer.Entry().mAddress, aClaim, aHeld, {} }),
-    {},
-    20s,
-    1 << 20,
-    [status](edge::call_end, const edge::response& aAnswer) {
-      *status = aAnswer.mStatus;
-    });
+  edge::FetchWhole(*aSite.mClients,
+                   aSite.mLoop.mLoop,
+                   { "127.0.0.1", aEntry.mListener.Port() },
+                   EncodeAssignmentRequest(
+                     { aSite.mServer.Entry().mAddress, aClaim, aHeld, {} }),
+                   {},
+                   20s,
+                   1 << 20,
+                   [status](edge::call_end, const edge::response& aAnswer) {
+                     *status = aAnswer.mStatus;
+                   });
   return status;
 }
 
@@ -140,7 +141,7 @@
 unsigned
 Request(controller_site& aSite,
         controlling_entry& aEntry,
-        const giver_claim& aClaim)
+        const controller_claim& aClaim)
 {
   const auto status = StartRequest(aSite, aEntry, aClaim, { { "model", 1 } });
   BOOST_TEST(aSite.mLoop.RunUntil([&] { return *status != 0; }));
@@ -160,12 +161,12 @@
   controller_site site;
   controlling_entry first(site, "front-1");
   controlling_entry second(site, "front-2");
-  first.mAssignments.TakeNamed("model", 2);
-  second.mAssignments.TakeNamed("model", 2);
+  first.mAssignments.HandleVersionAnnounced("model", 2);
+  second.mAssignments.HandleVersionAnnounced("model", 2);
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return site.mServer.mVersion == 2; }, 12s));
-  first.mAssignments.TakeNamed("model", 3);
-  second.mAssignments.TakeNamed("model", 3);
+  first.mAssignments.HandleVersionAnnounced("model", 3);
+  second.mAssignments.HandleVersionAnnounced("model", 3);
   BOOST_TEST(
     site.mLoop.RunUntil([&] { return site.mServer.mVersion == 3; }, 5s));
   std::set<std::string> controllers;
@@ -223,10 +224,11 @@
     StartRequest(site, asked, { "front-1", false, entry->mEpoch }, {});
   const auto agent = Claim(site, "side-1");
   BOOST_REQUIRE(agent);
-  BOOST_TEST(site.mLoop.RunUntil([&] { return *status == kNotGiver; }, 5s));
+  BOOST_TEST(
+    site.mLoop.RunUntil([&] { return *status == kNotController; }, 5s));
   BOOST_TEST(Request(site, asked, { "front-1", false, entry->mEpoch }) ==
-             kNotGiver);
-  asked.mAssignments.TakeNamed("model", 2);
+             kNotController);
+  asked.mAssignments.HandleVersionAnnounced("model", 2);
   BOOST_TEST(Request(site, asked, { "side-1", false, agent->mEpoch }) == 200u);
 }
 
@@ -236,21 +238,21 @@
 BOOST_AUTO_TEST_CASE(ASilentControllerIsReplacedWhenALoadIsOverdue)
 {
   const auto now = boot_clock::now();
-  giver_view view;
+  controller_status view;
   view.mKnownSince = now - 1s;
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
   view.mKnownSince = now - 60s;
-  BOOST_TEST(NeedsSubstitute(view, "front-1", now));
-  view.mClaim = giver_claim{ "side-1", false, 7 };
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(NeedsFallbackController(view, "front-1", now));
+  view.mClaim = controller_claim{ "side-1", false, 7 };
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
   view.mLoadingSince = now - 11s;
-  BOOST_TEST(NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(NeedsFallbackController(view, "front-1", now));
   view.mLastAsked = now - 9s;
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
   view.mLastAsked = now - 21s;
-  BOOST_TEST(NeedsSubstitute(view, "front-1", now));
-  view.mClaim->mGiver = "front-1";
-  BOOST_TEST(!NeedsSubstitute(view, "front-1", now));
+  BOOST_TEST(NeedsFallbackController(view, "front-1", now));
+  view.mClaim->mController = "front-1";
+  BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/Site/TestStoreAccess.cpp
+++ b/Tests/Site/TestStoreAccess.cpp
@@ -52,8 +52,8 @@
     auto& added = mEntries[aName];
     mAddresses.push_back(
       { aName, { aName, static_cast<unsigned short>(mAddresses.size() + 1) } });
-    added.mAccess =
-      std::make_unique<storeaccess::store_access>(storeaccess::access_parts{
+    added.mAccess = std::make_unique<storeaccess::store_access>(
+      storeaccess::access_dependencies{
         mClock.Scheduler(),
         [this, aName](const edge::request&,
                       milliseconds aDeadline,
@@ -68,7 +68,7 @@
           CallEntry(aEntry.mAddress, aRequest, aDeadline, aDone);
         },
         [this, aName] {
-          return storeaccess::helper_view{ aName, mOrigin, mAddresses };
+          return storeaccess::helper_candidates{ aName, mOrigin, mAddresses };
         },
         [](edge::call_end aEnd, unsigned aStatus) {
           return aEnd != edge::call_end::Complete || aStatus == 503;
@@ -246,7 +246,7 @@
   for (const auto& [name, entry] : site.mEntries) {
     busiest = std::max(busiest, entry.mHelped);
     BOOST_TEST(entry.mMaximumConcurrentlyHelped <=
-               storeaccess::kMostHelped + 1);
+               storeaccess::kMaximumHelpedCalls + 1);
   }
   // The mean is half a call per round.
   BOOST_TEST(busiest <= 8 * kRounds);
@@ -260,14 +260,14 @@
   access_site site(2);
   int refused = 0;
   int answered = 0;
-  for (int i = 0; i < 3 * storeaccess::kMostHelped; ++i) {
+  for (int i = 0; i < 3 * storeaccess::kMaximumHelpedCalls; ++i) {
     site.At("entry-0").mAccess->Help({}, [&](const edge::response& aAnswer) {
       (aAnswer.mStatus == storeaccess::kCannotHelp ? refused : answered) += 1;
     });
   }
   site.mClock.RunFor(1s);
-  BOOST_TEST(answered == storeaccess::kMostHelped);
-  BOOST_TEST(refused == 2 * storeaccess::kMostHelped);
+  BOOST_TEST(answered == storeaccess::kMaximumHelpedCalls);
+  BOOST_TEST(refused == 2 * storeaccess::kMaximumHelpedCalls);
 }
 
 // Guards against an entry whose calls still go through another one after the
@@ -319,13 +319,13 @@
   auto& cut = site.At("entry-1");
   cut.mStore = store_response::Silent;
   site.At("entry-0").mIsIsolated = site.At("entry-2").mIsIsolated = true;
-  BOOST_TEST(cut.mAccess->CanStore());
+  BOOST_TEST(cut.mAccess->CanReachStore());
   site.Call("entry-1");
   site.mClock.RunFor(1100ms);
-  BOOST_TEST(!cut.mAccess->CanStore());
+  BOOST_TEST(!cut.mAccess->CanReachStore());
   site.At("entry-2").mIsIsolated = false;
   site.mClock.RunFor(8s);
-  BOOST_TEST(cut.mAccess->CanStore());
+  BOOST_TEST(cut.mAccess->CanReachStore());
 }
 
 // Guards against entries that hand their batches to each other in vain during
@@ -338,7 +338,7 @@
   cut.mStore = store_response::Silent;
   site.Call("entry-1");
   site.mClock.RunFor(5s);
-  BOOST_TEST(cut.mAccess->CanStore());
+  BOOST_TEST(cut.mAccess->CanReachStore());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/Site/TestStoreHelp.cpp
+++ b/Tests/Site/TestStoreHelp.cpp
@@ -52,7 +52,7 @@
                          std::move(aDone));
       },
       [this] {
-        return storeaccess::helper_view{
+        return storeaccess::helper_candidates{
           "self", "helper", { { "helper", { "127.0.0.1", mHelperPort } } }
         };
       },
@@ -72,7 +72,7 @@
       outcome = aReply.mOutcome;
     });
     BOOST_TEST(mLoop.RunUntil([&] { return outcome.has_value(); }));
-    return outcome ? objects::WordFor(*outcome) : "none";
+    return outcome ? objects::ToString(*outcome) : "none";
   }
 
   test_loop mLoop;
--- a/Tests/Site/TestUpkeep.cpp
+++ b/Tests/Site/TestUpkeep.cpp
@@ -12,7 +12,7 @@
 BOOST_AUTO_TEST_CASE(ResultsAreKeptAsLongAsTrainersMayRead)
 {
   const auto now = std::chrono::system_clock::now();
-  batches::batch_head head;
+  batches::batch_metadata head;
   head.mIsEnded = true;
   head.mSubmittedAt = now - 119s;
   BOOST_TEST(!upkeep::IsDisposable(head, 120s, now));
@@ -61,7 +61,7 @@
       1ms,
       [] { return true; },
       [] { return std::map<std::string, edge::endpoint>{}; },
-      [&] { return entry.mService.Heads(); },
+      [&] { return entry.mService.ListBatches(); },
       [] { return edge::request{}; } });
   duty.Start();
   BOOST_TEST(site.mLoop.RunUntil(
@@ -72,8 +72,8 @@
       BOOST_TEST(name.substr(0, 2) == "b2");
     }
   }
-  BOOST_TEST(
-    site.mLoop.RunUntil([&] { return entry.mService.Heads().size() == 1; }));
+  BOOST_TEST(site.mLoop.RunUntil(
+    [&] { return entry.mService.ListBatches().size() == 1; }));
   BOOST_TEST(entry.ListedIds("b2").size() == 5u);
 }
 
--- a/Tests/Site/TestUsageDuty.cpp
+++ b/Tests/Site/TestUsageDuty.cpp
@@ -102,7 +102,7 @@
               [&aSite](const auto& aReport, const auto& aDone) {
                 aSite.mReports.push_back(aReport);
                 aSite.mSentAt.push_back(boot_clock::now());
-                aDone(billing::report_outcome::Taken);
+                aDone(billing::report_outcome::Accepted);
               } })
     , mListener(aSite.mLoop.mLoop,
                 std::make_shared<edge::listener_limits>(),
@@ -120,7 +120,7 @@
     if (mIsSilent) {
       mHeld.push_back(aExchange);
     } else {
-      aExchange->Answer({ 200, {}, mDuty.Share(window.value_or(0)) });
+      aExchange->Answer({ 200, {}, mDuty.CountsAsJson(window.value_or(0)) });
     }
   }
 
--- a/Tests/Site/TestVersions.cpp
+++ b/Tests/Site/TestVersions.cpp
@@ -55,22 +55,22 @@
     std::make_shared<edge::listener_limits>(),
     [&](const auto& aExchange) { assigned.Serve(aExchange); });
   listener.Open({ "127.0.0.1", 0 });
-  std::optional<wanted_versions> wanted;
+  std::optional<target_versions> wanted;
   edge::FetchWhole(
     *clients,
     loop.mLoop,
     { "127.0.0.1", listener.Port() },
-    EncodeQuestion({ { "10.0.0.1", 80 }, {}, { { "m", 1 } }, {} }),
+    EncodeAssignmentRequest({ { "10.0.0.1", 80 }, {}, { { "m", 1 } }, {} }),
     {},
     20s,
     1 << 20,
     [&](edge::call_end, const edge::response& aAnswer) {
-      wanted = DecodeAssignment(aAnswer);
+      wanted = DecodeAssignmentResponse(aAnswer);
     });
   loop.RunUntil([] { return false; }, 50ms);
   configuration = TwoModels();
-  site::TakeServer(directory, Server("s1", 1));
-  assigned.TakeNamed("m", 2);
+  site::ApplyServer(directory, Server("s1", 1));
+  assigned.HandleVersionAnnounced("m", 2);
   BOOST_TEST(loop.RunUntil([&] { return wanted.has_value(); }));
   // Without a second look-up of the server the hold ends with an empty
   // response.
@@ -85,7 +85,7 @@
   test_loop loop;
   auto clients = std::make_shared<edge::client_pool>(loop.mLoop);
   site::server_directory directory;
-  site::TakeServer(directory, Server("s1", 1));
+  site::ApplyServer(directory, Server("s1", 1));
   site::configuration_ptr configuration = TwoModels();
   claim_table claims;
   assignments assigned({ loop.mLoop, directory, configuration, claims });
@@ -102,7 +102,7 @@
     *clients,
     loop.mLoop,
     { "127.0.0.1", listener.Port() },
-    EncodeQuestion({ { "10.0.0.1", 80 }, {}, { { "m", 1 } }, {} }),
+    EncodeAssignmentRequest({ { "10.0.0.1", 80 }, {}, { { "m", 1 } }, {} }),
     {},
     20s,
     1 << 20,
@@ -110,7 +110,7 @@
       status = aAnswer.mStatus;
     });
   BOOST_TEST(loop.RunUntil([&] { return asked == 1; }));
-  assigned.TurnAway();
+  assigned.RejectWaiting();
   BOOST_TEST(loop.RunUntil([&] { return status != 0; }));
   BOOST_TEST(status == 503u);
 }
@@ -122,14 +122,14 @@
 {
   BOOST_TEST(rc::check("shares", [] {
     const auto models = std::vector<std::string>{ "m", "n", "o" };
-    named_versions named;
+    announced_versions named;
     for (const auto& model : models) {
       named[model] = *rc::gen::inRange(2, 6);
     }
-    std::vector<placed_server> servers;
+    std::vector<server_versions> servers;
     const int count = *rc::gen::inRange(1, 30);
     for (int i = 0; i < count; ++i) {
-      placed_server server;
+      server_versions server;
       server.mId = "s" + std::to_string(i);
       for (const auto& model : models) {
         server.mVersions[model] =
@@ -137,20 +137,20 @@
       }
       servers.push_back(server);
     }
-    model_weights weights;
+    model_shares weights;
     if (*rc::gen::arbitrary<bool>()) {
       const int first = *rc::gen::inRange(0, 90);
       weights = { { "m", first / 100.0 },
                   { "n", 0.1 },
                   { "o", 0.9 - first / 100.0 } };
     }
-    const auto placed = PlaceModels(servers, models, named, weights);
+    const auto placed = AssignModels(servers, models, named, weights);
     std::map<std::string, int> sizes;
     for (const auto& server : servers) {
       ++sizes[placed.at(server.mId)];
     }
     const auto shares =
-      SharesOf(static_cast<std::size_t>(count), models, weights);
+      ServersPerModel(static_cast<std::size_t>(count), models, weights);
     std::size_t sum = 0;
     for (const auto& model : models) {
       RC_ASSERT(static_cast<std::size_t>(sizes[model]) == shares.at(model));
@@ -167,7 +167,7 @@
       const auto& model = placed.at(server.mId);
       server.mVersions[model] = named[model];
     }
-    RC_ASSERT(PlaceModels(servers, models, named, weights) == placed);
+    RC_ASSERT(AssignModels(servers, models, named, weights) == placed);
   }));
 }
 
@@ -185,17 +185,17 @@
     work[models.back()] = 1000;
   }
   work["m3"] = 400;
-  const auto guessed = ShiftedWeights(work, {});
+  const auto guessed = UpdatedModelShares(work, {});
   BOOST_REQUIRE(guessed);
-  BOOST_TEST(SharesOf(kServers, models, *guessed).at("m3") <= 3u);
+  BOOST_TEST(ServersPerModel(kServers, models, *guessed).at("m3") <= 3u);
   work["m3"] = 1000;
-  const auto known = ShiftedWeights(work, *guessed);
+  const auto known = UpdatedModelShares(work, *guessed);
   BOOST_REQUIRE(known);
-  BOOST_TEST(SharesOf(kServers, models, *known).at("m3") >= 5u);
+  BOOST_TEST(ServersPerModel(kServers, models, *known).at("m3") >= 5u);
   // Batches that differ a little move nothing.
   work["m3"] = 1150;
   work["m5"] = 900;
-  BOOST_TEST(!ShiftedWeights(work, *known));
+  BOOST_TEST(!UpdatedModelShares(work, *known));
 }
 
 /** After each announcement and the loads that follow, at least one server in
@@ -206,14 +206,14 @@
   BOOST_TEST(rc::check("loads", [] {
     const int count = *rc::gen::inRange(1, 12);
     const std::int64_t lag = *rc::gen::inRange(0, 3);
-    std::vector<placed_server> share;
+    std::vector<server_versions> share;
     for (int i = 0; i < count; ++i) {
       share.push_back({ "s" + std::to_string(i), { { "m", 1 } } });
     }
     std::size_t loads = 0;
     constexpr int kVersions = 24;
     for (std::int64_t named = 2; named < 2 + kVersions; ++named) {
-      const auto due = DueServers(share, "m", named, lag);
+      const auto due = ServersToLoad(share, "m", named, lag);
       loads += due.size();
       std::size_t newest = 0;
       for (auto& server : share) {
--- a/Tests/TestOneInCharge.cpp
+++ b/Tests/TestOneInCharge.cpp
@@ -36,7 +36,7 @@
  * three zones: the pool is below its minimum and no server ever comes. */
 struct site
 {
-  const std::string mLateBytes;
+  const std::string mMaximumTransitTime;
   fleet mFleet;
   std::map<std::string, std::unique_ptr<delaying_relay>> mRelays;
   std::mt19937 mRandom{ kSeed };
@@ -44,7 +44,7 @@
   int mMetMidOrder = 0;
 
   explicit site(std::string aLateBytes = "400")
-    : mLateBytes(std::move(aLateBytes))
+    : mMaximumTransitTime(std::move(aLateBytes))
   {
     for (const std::string name : { "entry-1", "entry-2" }) {
       mRelays[name] = std::make_unique<delaying_relay>(mFleet.PlatformPort());
@@ -80,7 +80,7 @@
              "--lease-duration",
              "600",
              "--lease-late-bytes",
-             mLateBytes,
+             mMaximumTransitTime,
              "--server-start-time",
              "50" };
   }
