--- a/Duties/Configuration/ConfigurationStore.cpp
+++ b/Duties/Configuration/ConfigurationStore.cpp
@@ -50,7 +50,7 @@
 {
   wire::configuration_copy message;
   message.revision = aCopy.mRevision;
-  message.changed_revision = aCopy.mChanged;
+  message.changed_revision = aCopy.mChangedRevision;
   message.fresh_age_ms = AgeOf(aCopy.mVerifiedAt, aNow).count();
   message.objects.reserve(aCopy.mObjects.size());
   for (const auto& [identity, object] : aCopy.mObjects) {
@@ -69,7 +69,7 @@
 {
   whole_copy copy;
   copy.mRevision = aMessage.revision;
-  copy.mChanged = aMessage.changed_revision;
+  copy.mChangedRevision = aMessage.changed_revision;
   copy.mVerifiedAt = ProofAt(milliseconds(aMessage.fresh_age_ms), aAskedAt);
   for (const auto& record : aMessage.objects) {
     copy.mObjects[{ record.kind, record.name }] = { record.revision,
@@ -126,7 +126,7 @@
   // What was proven before the restart says nothing of what happened since.
   auto copy = FromMessage(*message, boot_clock::now());
   copy.mVerifiedAt.reset();
-  mSavedChanged = copy.mChanged;
+  mSavedChanged = copy.mChangedRevision;
   Note("disk", TakeCopy(std::move(copy)));
 }
 
--- a/Duties/Dispatch/IdempotentDecision.h
+++ b/Duties/Dispatch/IdempotentDecision.h
@@ -15,7 +15,7 @@
 
 enum class record_step
 {
-  /** SelectServer a server, issue an attempt, set mOwn and write it. */
+  /** Select a server, issue an attempt, set mOwn and write it. */
   WriteNew,
   /** Write mOwn once more, under the same condition. */
   WriteAgain,
--- a/Duties/Upkeep/UpkeepDuty.cpp
+++ b/Duties/Upkeep/UpkeepDuty.cpp
@@ -142,7 +142,7 @@
 {
   // The head goes last: while it is there, the rest is found again after a
   // failure.
-  const bool isHead = aPart == aHead.mDependencies;
+  const bool isHead = aPart == aHead.mParts;
   mDependencies.mStore.mDelete(
     isHead ? batches::kBatchMetadataKind : batches::kBatchItemsKind,
     isHead ? aHead.mId : batches::ItemsObjectName(aHead.mId, aPart),
