--- a/Duties/Feed/FeedOrder.cpp
+++ b/Duties/Feed/FeedOrder.cpp
@@ -14,11 +14,11 @@
 std::size_t
 RankOf(const std::vector<feed_candidate>& aAll, const std::string& aName)
 {
-  std::size_t place = 0;
-  while (place < aAll.size() && aAll[place].mName < aName) {
-    ++place;
+  std::size_t rank = 0;
+  while (rank < aAll.size() && aAll[rank].mName < aName) {
+    ++rank;
   }
-  return place;
+  return rank;
 }
 
 std::vector<feed_candidate>
@@ -28,14 +28,14 @@
   const auto own = RankOf(aAll, aName);
   std::vector<feed_candidate> order;
   std::vector<bool> isTaken(own, false);
-  for (auto place = own; place > 0;) {
-    place = (place - 1) / kFollowersPerEntry;
-    order.push_back(aAll[place]);
-    isTaken[place] = true;
+  for (auto rank = own; rank > 0;) {
+    rank = (rank - 1) / kFollowersPerEntry;
+    order.push_back(aAll[rank]);
+    isTaken[rank] = true;
   }
-  for (std::size_t place = 0; place < own; ++place) {
-    if (!isTaken[place]) {
-      order.push_back(aAll[place]);
+  for (std::size_t rank = 0; rank < own; ++rank) {
+    if (!isTaken[rank]) {
+      order.push_back(aAll[rank]);
     }
   }
   return order;
--- a/Duties/Feed/FeedState.cpp
+++ b/Duties/Feed/FeedState.cpp
@@ -55,9 +55,9 @@
 } // namespace
 
 void
-TakeListing(feed_state& aState,
-            const std::string& aKind,
-            const object_map& aListed)
+ApplyListing(feed_state& aState,
+             const std::string& aKind,
+             const object_map& aListed)
 {
   auto& known = aState.mKinds[aKind];
   for (const auto& [name, object] : known) {
@@ -75,9 +75,9 @@
 }
 
 void
-TakeEvent(feed_state& aState,
-          const std::string& aKind,
-          const objects::object_event& aEvent)
+ApplyEvent(feed_state& aState,
+           const std::string& aKind,
+           const objects::object_event& aEvent)
 {
   auto& known = aState.mKinds[aKind];
   if (aEvent.mIsDeleted) {
@@ -89,9 +89,9 @@
 }
 
 void
-NoteRevision(feed_state& aState,
-             const std::string& aKind,
-             objects::revision_number aRevision)
+RecordRevision(feed_state& aState,
+               const std::string& aKind,
+               objects::revision_number aRevision)
 {
   auto& known = aState.mRevisions[aKind];
   known = std::max(known, aRevision);
@@ -135,11 +135,11 @@
   const feed_sequence oldest =
     aState.mNewest - static_cast<feed_sequence>(aState.mChanges.size());
   encoded_changes changes;
-  changes.mIsWhole = !aSince || *aSince < oldest || *aSince > aState.mNewest;
+  changes.mIsComplete = !aSince || *aSince < oldest || *aSince > aState.mNewest;
   const auto add = [&](const std::string& aJson) {
     changes.mJson += changes.mJson.empty() ? aJson : "," + aJson;
   };
-  if (changes.mIsWhole) {
+  if (changes.mIsComplete) {
     for (const auto& [kind, known] : aState.mKinds) {
       for (const auto& [name, object] : known) {
         add(EncodeChange(kind, { object, false }));
@@ -157,7 +157,7 @@
 
 std::string
 EncodeFeed(const feed_state& aState,
-           const std::string& aLife,
+           const std::string& aIncarnation,
            const encoded_changes& aChanges,
            const feed_provenance& aProof)
 {
@@ -166,9 +166,9 @@
     revisions.Set(kind, revision);
   }
   const json::value head =
-    json::object{ { "life", aLife },
+    json::object{ { "life", aIncarnation },
                   { "newest", aState.mNewest },
-                  { "whole", aChanges.mIsWhole },
+                  { "whole", aChanges.mIsComplete },
                   { "origin", aProof.mOrigin },
                   { "age_ms", static_cast<std::int64_t>(aProof.mAge.count()) },
                   { "held_ms",
@@ -190,7 +190,7 @@
   decoded_feed feed;
   feed.mIncarnation = json::StringAt(*body, "life", "");
   feed.mNewest = json::IntegerAt(*body, "newest", 0);
-  feed.mIsWhole = json::BooleanAt(*body, "whole", false);
+  feed.mIsComplete = json::BooleanAt(*body, "whole", false);
   feed.mProof = { json::StringAt(*body, "origin", ""),
                   milliseconds(json::IntegerAt(*body, "age_ms", 0)),
                   milliseconds(json::IntegerAt(*body, "held_ms", 0)) };
--- a/Duties/Feed/FeedState.h
+++ b/Duties/Feed/FeedState.h
@@ -41,20 +41,20 @@
 
 /** Replaces the objects of a kind, and appends a change for each difference. */
 void
-TakeListing(feed_state& aState,
-            const std::string& aKind,
-            const object_map& aListed);
+ApplyListing(feed_state& aState,
+             const std::string& aKind,
+             const object_map& aListed);
 
 void
-TakeEvent(feed_state& aState,
-          const std::string& aKind,
-          const objects::object_event& aEvent);
+ApplyEvent(feed_state& aState,
+           const std::string& aKind,
+           const objects::object_event& aEvent);
 
 /** Raises the revision up to which the kind is known; never lowers it. */
 void
-NoteRevision(feed_state& aState,
-             const std::string& aKind,
-             objects::revision_number aRevision);
+RecordRevision(feed_state& aState,
+               const std::string& aKind,
+               objects::revision_number aRevision);
 
 /** Merges a kind's objects received from another entry with those known here.
  * Objects that are newer here are kept, so that a source that lags behind
@@ -89,7 +89,7 @@
 struct encoded_changes
 {
   /** Whether these are all objects instead of changes. */
-  bool mIsWhole = false;
+  bool mIsComplete = false;
   /** Elements of a JSON array, without its brackets. */
   std::string mJson;
 };
@@ -100,10 +100,11 @@
 EncodeChanges(const feed_state& aState, std::optional<feed_sequence> aSince);
 
 /** Encodes the body of a response.
- * @param aLife identifies the process whose sequence numbers these are */
+ * @param aIncarnation identifies the process whose sequence numbers these are
+ */
 std::string
 EncodeFeed(const feed_state& aState,
-           const std::string& aLife,
+           const std::string& aIncarnation,
            const encoded_changes& aChanges,
            const feed_provenance& aProof);
 
@@ -117,7 +118,7 @@
 {
   std::string mIncarnation;
   feed_sequence mNewest = 0;
-  bool mIsWhole = false;
+  bool mIsComplete = false;
   feed_provenance mProof;
   kind_revisions mRevisions;
   std::vector<decoded_change> mChanges;
--- a/Duties/Feed/StoreFeed.cpp
+++ b/Duties/Feed/StoreFeed.cpp
@@ -31,7 +31,7 @@
 constexpr milliseconds kStandbyStep = 80ms;
 constexpr std::size_t kStandbys = 6;
 /** An entry that didn't respond isn't tried again for this long. */
-constexpr milliseconds kSilentBackoff = 5000ms;
+constexpr milliseconds kUnresponsiveBackoff = 5000ms;
 /** An entry that rejected a request isn't tried again for this long, since it
  * may have a recent state soon. Longer than it takes to try all other entries:
  * else two that reject would be tried in turn and a third one never. */
@@ -45,7 +45,7 @@
  * others. */
 constexpr std::size_t kCommonCandidates = 3;
 /** An entry that has just lost its own source is tried again after this. */
-constexpr milliseconds kRetryPause = 200ms;
+constexpr milliseconds kRetryDelay = 200ms;
 constexpr int kMaximumRetries = 3;
 /** Entries that one without access to the store tries between two probes. In an
  * outage of the store for all, hundreds of entries would overload each other
@@ -220,9 +220,9 @@
   if (const auto rest = candidates.begin() + same; rest != candidates.end()) {
     // Each entry begins at another candidate, because the first ones by name
     // may all be unresponsive.
-    const auto places = static_cast<std::uint64_t>(candidates.end() - rest);
+    const auto count = static_cast<std::uint64_t>(candidates.end() - rest);
     const auto shift =
-      RendezvousHash(mDependencies.mName, mIncarnation) % places;
+      RendezvousHash(mDependencies.mName, mIncarnation) % count;
     std::rotate(
       rest, rest + static_cast<std::ptrdiff_t>(shift), candidates.end());
   }
@@ -245,7 +245,7 @@
     RequestFrom(*candidate);
     return;
   }
-  mNextSearch = mDependencies.mScheduler.mAfter(kRetryPause, [this] {
+  mNextSearch = mDependencies.mScheduler.mAfter(kRetryDelay, [this] {
     if (mIsWatching && !mDoesStoreAnswer) {
       TryAnySource();
     } else if (mIsWatching) {
@@ -274,7 +274,7 @@
   mIsRequestOutstanding = true;
   mDependencies.mCall(
     mSource,
-    EncodeFeedRequest({ mSourceLife, mSourceNumber, Age() }),
+    EncodeFeedRequest({ mSourceIncarnation, mSourceNumber, Age() }),
     options,
     kResponseTimeout,
     [this, sent](edge::call_end aEnd, const edge::response& aResponse) {
@@ -313,7 +313,7 @@
       Age() < kStandbyAge) {
     ++mRetries;
     mNextSearch =
-      mDependencies.mScheduler.mAfter(kRetryPause, [this] { ChooseSource(); });
+      mDependencies.mScheduler.mAfter(kRetryDelay, [this] { ChooseSource(); });
     return;
   }
   events::line("feed_lost")
@@ -325,8 +325,8 @@
   // An entry that follows this one may start to watch the store soon.
   const bool isAskedAgainSoon = mayKnowSoon && mIsWatching && !mDoesStoreAnswer;
   Avoid(aSent.mEntry,
-        !isComplete        ? kSilentBackoff
-        : isAskedAgainSoon ? kRetryPause
+        !isComplete        ? kUnresponsiveBackoff
+        : isAskedAgainSoon ? kRetryDelay
                            : kRefusalBackoff);
   TryNextSource();
 }
@@ -390,23 +390,23 @@
 void
 store_feed::ApplyFeed(const decoded_feed& aFeed)
 {
-  mSourceLife = aFeed.mIncarnation;
+  mSourceIncarnation = aFeed.mIncarnation;
   mSourceNumber = aFeed.mNewest;
-  if (aFeed.mIsWhole) {
+  if (aFeed.mIsComplete) {
     ApplyFullState(aFeed);
   } else {
     for (const auto& change : aFeed.mChanges) {
       for (const auto& kind : mKinds) {
         if (kind.mKind == change.mKind &&
             IsNewer(mState, change.mKind, change.mEvent)) {
-          TakeEvent(mState, change.mKind, change.mEvent);
+          ApplyEvent(mState, change.mKind, change.mEvent);
           kind.mOnEvent(change.mEvent);
         }
       }
     }
   }
   for (const auto& [kind, revision] : aFeed.mRevisions) {
-    NoteRevision(mState, kind, revision);
+    RecordRevision(mState, kind, revision);
   }
 }
 
@@ -423,7 +423,7 @@
       MergeListing(mState.mKinds[kind.mKind],
                    received[kind.mKind],
                    toldUpTo == aFeed.mRevisions.end() ? 0 : toldUpTo->second);
-    TakeListing(mState, kind.mKind, merged);
+    ApplyListing(mState, kind.mKind, merged);
     mIsListed[kind.mKind] = true;
     kind.mOnListed(merged);
   }
--- a/Duties/Feed/StoreFeed.h
+++ b/Duties/Feed/StoreFeed.h
@@ -144,7 +144,7 @@
   void HandleListing(const watched_kind& aKind, const object_map& aObjects);
   bool HaveMirrorsListed() const;
   void StopWatching();
-  void ScheduleProbe(milliseconds aPause);
+  void ScheduleProbe(milliseconds aDelay);
   void HandleFirstAnswer();
   void HandleProbeResult(const objects::object_reply& aReply);
   /** Schedules a search for an entry to follow, while this one watches. */
@@ -171,7 +171,7 @@
   planned_action mAgeCheck;
   edge::endpoint mSource;
   std::string mSourceName;
-  std::string mSourceLife;
+  std::string mSourceIncarnation;
   std::string mOrigin;
   feed_sequence mSourceNumber = 0;
   std::uint64_t mRequestNumber = 0;
--- a/Duties/Feed/StoreFeedAnswers.cpp
+++ b/Duties/Feed/StoreFeedAnswers.cpp
@@ -84,7 +84,7 @@
 {
   if (mIsWatching) {
     for (const auto& mirror : mMirrors) {
-      NoteRevision(mState, mirror->Kind(), mirror->Revision());
+      RecordRevision(mState, mirror->Kind(), mirror->Revision());
     }
   }
   const auto known = Snapshot();
--- a/Duties/Feed/StoreFeedWatching.cpp
+++ b/Duties/Feed/StoreFeedWatching.cpp
@@ -79,7 +79,7 @@
     HandleListing(aKind, aObjects);
   };
   callbacks.mOnEvent = [this, &aKind](const objects::object_event& aEvent) {
-    TakeEvent(mState, aKind.mKind, aEvent);
+    ApplyEvent(mState, aKind.mKind, aEvent);
     aKind.mOnEvent(aEvent);
   };
   callbacks.mOnProven = [this] { AnswerHeldRequests(); };
@@ -91,7 +91,7 @@
 void
 store_feed::HandleListing(const watched_kind& aKind, const object_map& aObjects)
 {
-  TakeListing(mState, aKind.mKind, aObjects);
+  ApplyListing(mState, aKind.mKind, aObjects);
   mIsListed[aKind.mKind] = true;
   if (HaveMirrorsListed()) {
     mOrigin = mDependencies.mName;
@@ -114,9 +114,9 @@
 }
 
 void
-store_feed::ScheduleProbe(milliseconds aPause)
+store_feed::ScheduleProbe(milliseconds aDelay)
 {
-  mNextProbe = mDependencies.mScheduler.mAfter(aPause, [this] {
+  mNextProbe = mDependencies.mScheduler.mAfter(aDelay, [this] {
     if (!mIsWatching) {
       return;
     }
--- a/Duties/StoreAccess/StoreAccess.cpp
+++ b/Duties/StoreAccess/StoreAccess.cpp
@@ -26,7 +26,7 @@
  * didn't respond. One that is busy may help soon; one that doesn't respond or
  * doesn't reach the store either usually stays so for seconds. */
 constexpr milliseconds kRefusalBackoff = 2000ms;
-constexpr milliseconds kSilentBackoff = 5000ms;
+constexpr milliseconds kUnresponsiveBackoff = 5000ms;
 constexpr milliseconds kProbeInterval = 2000ms;
 constexpr milliseconds kProbeTimeout = 1500ms;
 /** Failures for a shorter time don't count: a single failed call doesn't
@@ -46,12 +46,12 @@
 }
 
 edge::request
-DecodeHelp(const edge::request& aAsked)
+DecodeHelp(const edge::request& aHelpRequest)
 {
   edge::request request;
-  request.mMethod = aAsked.mHeaders.ValueOr(kHelpMethod, "GET");
-  request.mTarget = aAsked.mHeaders.ValueOr(kHelpTarget, "/");
-  request.mBody = aAsked.mBody;
+  request.mMethod = aHelpRequest.mHeaders.ValueOr(kHelpMethod, "GET");
+  request.mTarget = aHelpRequest.mHeaders.ValueOr(kHelpTarget, "/");
+  request.mBody = aHelpRequest.mBody;
   if (!request.mBody.empty()) {
     request.mHeaders.Add("Content-Type", "application/json");
   }
@@ -197,7 +197,8 @@
   aCall->mAwaitsHelp = false;
   const bool isAnswered = aEnd == edge::call_end::Complete;
   const bool cannotHelp = isAnswered && aResponse.mStatus == kCannotHelp;
-  const bool hadNoResponse = isAnswered && aResponse.mStatus == kNoAnswer;
+  const bool hadNoResponse =
+    isAnswered && aResponse.mStatus == kNoStoreResponse;
   const bool isUnavailable =
     cannotHelp || hadNoResponse ||
     mDependencies.mIsUnavailable(aEnd, aResponse.mStatus);
@@ -208,8 +209,10 @@
     .With("end", edge::ToString(aEnd))
     .With("status", static_cast<std::int64_t>(aResponse.mStatus));
   if (isUnavailable) {
-    RecordRefusal(
-      mHistory, aName, isAnswered ? kRefusalBackoff : kSilentBackoff, Now());
+    RecordRefusal(mHistory,
+                  aName,
+                  isAnswered ? kRefusalBackoff : kUnresponsiveBackoff,
+                  Now());
   } else {
     RecordHelp(mHistory, mDependencies.mView(), aName);
     if (aCall->mAwaitsDirect) {
@@ -295,7 +298,7 @@
 }
 
 void
-store_access::Help(const edge::request& aAsked, help_done aDone)
+store_access::Help(const edge::request& aHelpRequest, help_done aDone)
 {
   if (mUnavailableSince) {
     ProbeDirect();
@@ -308,7 +311,7 @@
   edge::call_options options;
   options.mSilenceTimeout = kHelpTimeout;
   mDependencies.mDirect(
-    DecodeHelp(aAsked),
+    DecodeHelp(aHelpRequest),
     kHelpTimeout,
     options,
     [this, done = std::move(aDone)](edge::call_end aEnd,
@@ -318,7 +321,7 @@
       if (aEnd == edge::call_end::NotSent) {
         done({ kCannotHelp, {}, {} });
       } else if (aEnd != edge::call_end::Complete) {
-        done({ kNoAnswer, {}, {} });
+        done({ kNoStoreResponse, {}, {} });
       } else {
         done({ aResponse.mStatus, {}, std::move(aResponse.mBody) });
       }
--- a/Duties/StoreAccess/StoreAccess.h
+++ b/Duties/StoreAccess/StoreAccess.h
@@ -56,7 +56,7 @@
             edge::whole_answer aDone);
   /** Makes a call for another entry. Uses only the direct connection to the
    * store, so that no call is forwarded twice. */
-  void Help(const edge::request& aAsked, help_done aDone);
+  void Help(const edge::request& aHelpRequest, help_done aDone);
   /** False if for a while no call has succeeded, directly or through another
    * entry, though other entries reach the store. True if no entry reaches the
    * store, because then no other entry could do the work either. */
@@ -102,7 +102,7 @@
  * store is unavailable to it too. */
 constexpr unsigned kCannotHelp = 421;
 /** Status if the helper got no response from the store. */
-constexpr unsigned kNoAnswer = 502;
+constexpr unsigned kNoStoreResponse = 502;
 /** Maximum number of concurrent calls for other entries. More would take too
  * much of a small instance's processor and bandwidth from its own callers. */
 constexpr int kMaximumHelpedCalls = 16;
--- a/Duties/Versions/Assignments.cpp
+++ b/Duties/Versions/Assignments.cpp
@@ -64,7 +64,7 @@
   if (aVersion > newest) {
     newest = aVersion;
     // Only the entry that controllers ask writes the line, not the whole fleet.
-    if (!mWaiters.empty()) {
+    if (!mHeldRequests.empty()) {
       events::line("version_named")
         .With("model", aModel)
         .With("version", aVersion);
@@ -78,7 +78,7 @@
 {
   // Changes and requests come in bursts, and each evaluation visits all
   // servers.
-  if (mWaiters.empty() || mIsEvaluationScheduled) {
+  if (mHeldRequests.empty() || mIsEvaluationScheduled) {
     return;
   }
   mIsEvaluationScheduled = true;
@@ -137,7 +137,7 @@
 void
 assignments::LogModelShares() const
 {
-  if (mWaiters.empty()) {
+  if (mHeldRequests.empty()) {
     return;
   }
   for (const auto& [model, share] : mModelShares) {
@@ -247,7 +247,7 @@
     aExchange->Answer({ 400, {}, {} });
     return;
   }
-  waiter request;
+  held_request request;
   request.mExchange = aExchange;
   request.mAddress = address->Text();
   request.mClaimName = ClaimName(*address);
@@ -260,8 +260,8 @@
     aExchange->Answer({ kNotController, {}, {} });
     return;
   }
-  mLastAsked[request.mClaimName] = boot_clock::now();
-  mWaiters.push_back(std::move(request));
+  mLastRequestAt[request.mClaimName] = boot_clock::now();
+  mHeldRequests.push_back(std::move(request));
   Refresh();
   ScheduleEvaluation();
 }
@@ -269,29 +269,29 @@
 void
 assignments::RejectSuperseded()
 {
-  std::vector<waiter> kept;
-  for (auto& waiting : std::exchange(mWaiters, {})) {
+  std::vector<held_request> kept;
+  for (auto& request : std::exchange(mHeldRequests, {})) {
     if (IsSuperseded(
-          mDependencies.mClaims, waiting.mClaimName, waiting.mClaim)) {
-      waiting.mExchange->Answer({ kNotController, {}, {} });
+          mDependencies.mClaims, request.mClaimName, request.mClaim)) {
+      request.mExchange->Answer({ kNotController, {}, {} });
     } else {
-      kept.push_back(std::move(waiting));
+      kept.push_back(std::move(request));
     }
   }
-  mWaiters = std::move(kept);
+  mHeldRequests = std::move(kept);
 }
 
 std::optional<time_point>
-assignments::LastAsked(const std::string& aClaimName) const
+assignments::LastRequestAt(const std::string& aClaimName) const
 {
-  for (const auto& waiting : mWaiters) {
-    if (waiting.mClaimName == aClaimName && !waiting.mExchange->IsEnded()) {
+  for (const auto& request : mHeldRequests) {
+    if (request.mClaimName == aClaimName && !request.mExchange->IsEnded()) {
       return boot_clock::now();
     }
   }
-  const auto asked = mLastAsked.find(aClaimName);
-  return asked == mLastAsked.end() ? std::nullopt
-                                   : std::optional(asked->second);
+  const auto asked = mLastRequestAt.find(aClaimName);
+  return asked == mLastRequestAt.end() ? std::nullopt
+                                       : std::optional(asked->second);
 }
 
 std::optional<time_point>
@@ -309,39 +309,39 @@
   // The servers are looked up at each evaluation, because a controller may ask
   // before its server is known here.
   const auto servers = ServersByAddress();
-  for (auto& waiting : mWaiters) {
-    const auto found = servers.find(waiting.mAddress);
-    waiting.mServer = found == servers.end() ? std::string() : found->second;
-    if (!waiting.mServer.empty()) {
-      mReported[waiting.mServer] = waiting.mHeld;
+  for (auto& request : mHeldRequests) {
+    const auto found = servers.find(request.mAddress);
+    request.mServer = found == servers.end() ? std::string() : found->second;
+    if (!request.mServer.empty()) {
+      mReported[request.mServer] = request.mHeld;
     }
   }
   mTargetVersions = Decide(now);
-  std::vector<waiter> kept;
-  for (auto& waiting : mWaiters) {
-    if (waiting.mExchange->IsEnded()) {
+  std::vector<held_request> kept;
+  for (auto& request : mHeldRequests) {
+    if (request.mExchange->IsEnded()) {
       continue;
     }
-    const auto targets = mTargetVersions.find(waiting.mServer);
+    const auto targets = mTargetVersions.find(request.mServer);
     const auto versions =
       targets == mTargetVersions.end() ? target_versions{} : targets->second;
-    if ((!versions.empty() && versions != waiting.mKnown) ||
-        now >= waiting.mUntil) {
-      Answer(waiting, versions);
+    if ((!versions.empty() && versions != request.mKnown) ||
+        now >= request.mUntil) {
+      Answer(request, versions);
     } else {
-      kept.push_back(std::move(waiting));
+      kept.push_back(std::move(request));
     }
   }
-  mWaiters = std::move(kept);
+  mHeldRequests = std::move(kept);
 }
 
 void
 assignments::RejectWaiting()
 {
-  const auto waiters = std::move(mWaiters);
-  mWaiters.clear();
-  for (const auto& waiting : waiters) {
-    waiting.mExchange->Answer({ 503, {}, {} });
+  const auto requests = std::move(mHeldRequests);
+  mHeldRequests.clear();
+  for (const auto& request : requests) {
+    request.mExchange->Answer({ 503, {}, {} });
   }
 }
 
@@ -354,33 +354,33 @@
       return;
     }
     Evaluate();
-    if (!mWaiters.empty()) {
+    if (!mHeldRequests.empty()) {
       ScheduleEvaluation();
     }
   });
 }
 
 void
-assignments::Answer(const waiter& aWaiter,
+assignments::Answer(const held_request& aHeldRequest,
                     const target_versions& aTargetVersions)
 {
   edge::response answer{ 200, {}, {} };
   answer.mBody =
     json::Write(json::object{ { "wanted", EncodeVersions(aTargetVersions) } });
-  aWaiter.mExchange->Answer(std::move(answer));
+  aHeldRequest.mExchange->Answer(std::move(answer));
 }
 
 edge::request
-EncodeAssignmentRequest(const assignment_request& aQuestion)
+EncodeAssignmentRequest(const assignment_request& aRequest)
 {
   edge::request request;
   request.mMethod = "POST";
-  request.mTarget = kAssignmentPath + aQuestion.mServer.Text();
+  request.mTarget = kAssignmentPath + aRequest.mServer.Text();
   request.mBody =
-    json::Write(json::object{ { "giver", aQuestion.mClaim.mController },
-                              { "epoch", aQuestion.mClaim.mEpoch },
-                              { "held", EncodeVersions(aQuestion.mHeld) },
-                              { "known", EncodeVersions(aQuestion.mKnown) } });
+    json::Write(json::object{ { "giver", aRequest.mClaim.mController },
+                              { "epoch", aRequest.mClaim.mEpoch },
+                              { "held", EncodeVersions(aRequest.mHeld) },
+                              { "known", EncodeVersions(aRequest.mKnown) } });
   return request;
 }
 
--- a/Duties/Versions/Assignments.h
+++ b/Duties/Versions/Assignments.h
@@ -54,14 +54,14 @@
   void RejectSuperseded();
   /** Returns when the controller with that claim last sent a request here, now
    * if one is waiting; none if it never did. */
-  std::optional<time_point> LastAsked(const std::string& aClaimName) const;
+  std::optional<time_point> LastRequestAt(const std::string& aClaimName) const;
   /** Returns since when the server has been due to load a version that it
    * doesn't hold. */
   std::optional<time_point> LoadingSince(const std::string& aServerId) const;
 
 private:
   /** A held request of a controller. */
-  struct waiter
+  struct held_request
   {
     edge::exchange_ptr mExchange;
     std::string mAddress;
@@ -81,7 +81,8 @@
   std::vector<std::string> ServersDueToLoad(
     const std::vector<server_versions>& aServers,
     const std::vector<std::string>& aModels) const;
-  void Answer(const waiter& aWaiter, const target_versions& aTargetVersions);
+  void Answer(const held_request& aHeldRequest,
+              const target_versions& aTargetVersions);
   std::unordered_map<std::string, std::string> ServersByAddress() const;
   void ScheduleEvaluation();
   void UpdateModelShares();
@@ -103,8 +104,8 @@
    * hold. */
   std::map<std::string, time_point> mLoadingSince;
   std::map<std::string, target_versions> mTargetVersions;
-  std::vector<waiter> mWaiters;
-  std::map<std::string, time_point> mLastAsked;
+  std::vector<held_request> mHeldRequests;
+  std::map<std::string, time_point> mLastRequestAt;
   boost::asio::steady_timer mTimer;
   /** Delays an evaluation so that one serves a burst of changes. */
   boost::asio::steady_timer mBurstTimer;
@@ -128,7 +129,7 @@
 };
 
 edge::request
-EncodeAssignmentRequest(const assignment_request& aQuestion);
+EncodeAssignmentRequest(const assignment_request& aRequest);
 
 /** Returns none if the response has another status than 200 or its body is
  * malformed. */
--- a/Duties/Versions/OrderDuty.cpp
+++ b/Duties/Versions/OrderDuty.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr milliseconds kRetryPause = 500ms;
+constexpr milliseconds kRetryDelay = 500ms;
 /** Pause after no entry answered, as in an outage of the store. Longer than
- * kRetryPause because the next step lists the entries, which is a billed
+ * kRetryDelay because the next step lists the entries, which is a billed
  * call. */
-constexpr milliseconds kAllSilentPause = 1000ms;
+constexpr milliseconds kNoResponseDelay = 1000ms;
 /** An entry holds a request for up to eight seconds; probes detect a connection
  * that was lost meanwhile. */
 constexpr milliseconds kAskTimeout = 10s;
@@ -49,9 +49,9 @@
 }
 
 void
-order_duty::ScheduleStep(milliseconds aPause, void (order_duty::*aStep)())
+order_duty::ScheduleStep(milliseconds aDelay, void (order_duty::*aStep)())
 {
-  mTimer.expires_after(aPause);
+  mTimer.expires_after(aDelay);
   mTimer.async_wait([this, aStep](const auto& aError) {
     if (!aError) {
       (this->*aStep)();
@@ -64,7 +64,7 @@
 {
   mDependencies.mClaim([this](std::optional<order_permission> aRight) {
     if (!aRight) {
-      ScheduleStep(kRetryPause, &order_duty::Claim);
+      ScheduleStep(kRetryDelay, &order_duty::Claim);
       return;
     }
     mGrant = *aRight;
@@ -89,7 +89,7 @@
     }
     mEntry = 0;
     if (mEntries.empty()) {
-      ScheduleStep(kRetryPause, &order_duty::FindEntries);
+      ScheduleStep(kRetryDelay, &order_duty::FindEntries);
     } else {
       RequestAssignment();
     }
@@ -142,7 +142,7 @@
     ++mEntry;
     mPreferredAgainAt = boot_clock::now() + kPreferredAgainAfter;
     if (mEntry >= mEntries.size()) {
-      ScheduleStep(kAllSilentPause, &order_duty::FindEntries);
+      ScheduleStep(kNoResponseDelay, &order_duty::FindEntries);
     } else {
       ScheduleStep(50ms, &order_duty::RequestAssignment);
     }
@@ -184,7 +184,7 @@
       // The server may be unreachable for long, so ask the entry
       // again for the target versions.
       mTargetVersions.clear();
-      ScheduleStep(kRetryPause, &order_duty::RequestAssignment);
+      ScheduleStep(kRetryDelay, &order_duty::RequestAssignment);
     });
 }
 
@@ -246,7 +246,7 @@
       // the reason for its rejection usually still holds.
       const bool isRejected =
         aEnd == edge::call_end::Complete && aResponse.mStatus >= 300;
-      ScheduleStep(isRejected ? kRetryPause : mDependencies.mLoadPollInterval,
+      ScheduleStep(isRejected ? kRetryDelay : mDependencies.mLoadPollInterval,
                    &order_duty::ReadReport);
     });
 }
--- a/Duties/Versions/OrderDuty.h
+++ b/Duties/Versions/OrderDuty.h
@@ -51,7 +51,7 @@
   void ReadReport();
   void HandleReport(const server_report& aReport);
   void SendOrder(const weight_order& aOrder);
-  void ScheduleStep(milliseconds aPause, void (order_duty::*aStep)());
+  void ScheduleStep(milliseconds aDelay, void (order_duty::*aStep)());
 
   order_dependencies mDependencies;
   boost::asio::steady_timer mTimer;
--- a/Duties/Versions/SubstituteGiver.cpp
+++ b/Duties/Versions/SubstituteGiver.cpp
@@ -34,8 +34,8 @@
   if (aView.mClaim->mController == aSelf) {
     return false;
   }
-  const auto lastHeard = aView.mLastAsked.value_or(aView.mKnownSince);
-  return aNow - lastHeard >= kControllerSilence &&
+  const auto lastHeard = aView.mLastRequestAt.value_or(aView.mKnownSince);
+  return aNow - lastHeard >= kControllerTimeout &&
          HasLastedFor(aView.mLoadingSince, kLoadOverdue, aNow);
 }
 
@@ -85,7 +85,7 @@
     view.mClaim = known->second;
   }
   view.mKnownSince = mKnownSince.emplace(aClaimName, aNow).first->second;
-  view.mLastAsked = mDependencies.mAssignments.LastAsked(aClaimName);
+  view.mLastRequestAt = mDependencies.mAssignments.LastRequestAt(aClaimName);
   view.mLoadingSince = mDependencies.mAssignments.LoadingSince(aServerId);
   return view;
 }
--- a/Duties/Versions/SubstituteGiver.h
+++ b/Duties/Versions/SubstituteGiver.h
@@ -14,7 +14,7 @@
    * claims servers. */
   time_point mKnownSince;
   /** When the controller last requested the target versions here. */
-  std::optional<time_point> mLastAsked;
+  std::optional<time_point> mLastRequestAt;
   /** Since when the server has been due to load a version that it doesn't
    * hold. */
   std::optional<time_point> mLoadingSince;
@@ -25,7 +25,7 @@
 constexpr milliseconds kAgentStartTime{ 5000 };
 /** A controller that sent no request for this long counts as silent; a live one
  * asks this entry more often. */
-constexpr milliseconds kControllerSilence{ 20000 };
+constexpr milliseconds kControllerTimeout{ 20000 };
 /** A load that takes longer is overdue. A load takes about a second, or a few
  * seconds if runs finish first. */
 constexpr milliseconds kLoadOverdue{ 10000 };
--- a/Tests/Site/TestFeed.cpp
+++ b/Tests/Site/TestFeed.cpp
@@ -286,16 +286,16 @@
       if (*rc::gen::inRange(0, 4) == 0) {
         auto listed = state.mKinds["k"];
         listed.erase(name);
-        feed::TakeListing(state, "k", listed);
+        feed::ApplyListing(state, "k", listed);
       } else {
-        feed::TakeEvent(state, "k", { object, *rc::gen::inRange(0, 5) == 0 });
+        feed::ApplyEvent(state, "k", { object, *rc::gen::inRange(0, 5) == 0 });
       }
       auto& [since, objects] =
         known[*rc::gen::inRange<std::size_t>(0, known.size())];
       const auto decoded = feed::DecodeFeed(feed::EncodeFeed(
         state, "life", feed::EncodeChanges(state, since), { "a", 0ms, 0ms }));
       RC_ASSERT(decoded.has_value());
-      if (decoded->mIsWhole) {
+      if (decoded->mIsComplete) {
         objects.clear();
       }
       for (const auto& change : decoded->mChanges) {
--- a/Tests/Site/TestGivers.cpp
+++ b/Tests/Site/TestGivers.cpp
@@ -247,9 +247,9 @@
   BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
   view.mLoadingSince = now - 11s;
   BOOST_TEST(NeedsFallbackController(view, "front-1", now));
-  view.mLastAsked = now - 9s;
+  view.mLastRequestAt = now - 9s;
   BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
-  view.mLastAsked = now - 21s;
+  view.mLastRequestAt = now - 21s;
   BOOST_TEST(NeedsFallbackController(view, "front-1", now));
   view.mClaim->mController = "front-1";
   BOOST_TEST(!NeedsFallbackController(view, "front-1", now));
