--- a/Duties/Site/TestServerChanges.cpp
+++ b/Duties/Site/TestServerChanges.cpp
@@ -7,8 +7,8 @@
 
 BOOST_AUTO_TEST_SUITE(TestServerChanges)
 
-// A roll-out fills the logs of the whole fleet: each entry writes a line for
-// each server at each change.
+// Guards against a roll-out that floods the logs of the whole fleet, because
+// each entry writes a line for each change of each server.
 BOOST_AUTO_TEST_CASE(ManyChangesMakeOneLine)
 {
   server_changes changes;
@@ -19,10 +19,10 @@
   RecordChange(changes, server_change::Leaving);
   RecordChange(changes, server_change::Removed);
   BOOST_TEST(lines == 1);
-  const auto told = TakeChanges(changes);
-  BOOST_TEST(told.mReady == 1200);
-  BOOST_TEST(told.mLeaving == 1);
-  BOOST_TEST(told.mRemoved == 1);
+  const auto counts = TakeChanges(changes);
+  BOOST_TEST(counts.mReady == 1200);
+  BOOST_TEST(counts.mLeaving == 1);
+  BOOST_TEST(counts.mRemoved == 1);
   BOOST_TEST(RecordChange(changes, server_change::Leaving));
 }
 
--- a/Duties/StoreAccess/StoreAccess.cpp
+++ b/Duties/StoreAccess/StoreAccess.cpp
@@ -12,23 +12,26 @@
 
 constexpr char kHelpMethod[] = "Lavender-Method";
 constexpr char kHelpTarget[] = "Lavender-Target";
-/** A slow store answers within 0.4 s; then another entry is asked as well, and
- * the call's own answer may still come. */
-constexpr milliseconds kPatience = 600ms;
-/** For an entry that helps: the store's answer and the way there and back. A
- * batch's items on a narrow link take some tenths of a second. */
+/** Another entry is asked if the store hasn't answered after this; the direct
+ * response may still arrive. A slow store answers within 0.4 s. */
+constexpr milliseconds kHelpDelay = 600ms;
+/** Timeout of a call through another entry: the store's response and both
+ * transfers. Transferring a batch's items over a slow link takes some tenths of
+ * a second. */
 constexpr milliseconds kHelpTimeout = 700ms;
-/** Asked at most for one call; with a third of all entries cut off, one in
- * eighty calls meets four that are. */
-constexpr std::size_t kMostAsked = 4;
-/** One that is busy may help in a moment; one that is turned away too, or
- * silent, stays so for seconds. */
-constexpr milliseconds kAvoidRefusing = 2000ms;
-constexpr milliseconds kAvoidSilent = 5000ms;
-constexpr milliseconds kTrialEach = 2000ms;
-constexpr milliseconds kTrialTimeout = 1500ms;
-/** A call that fails now and then says nothing of the next one. */
-constexpr milliseconds kLostAfter = 1000ms;
+/** Maximum number of entries asked for one call. If a third of all entries
+ * don't reach the store, one call in eighty meets four of those. */
+constexpr std::size_t kMaximumAsked = 4;
+/** An entry that can't help isn't asked again for this long, or longer if it
+ * didn't respond. One that is busy may help soon; one that doesn't respond or
+ * doesn't reach the store either usually stays so for seconds. */
+constexpr milliseconds kRefusalBackoff = 2000ms;
+constexpr milliseconds kUnresponsiveBackoff = 5000ms;
+constexpr milliseconds kProbeInterval = 2000ms;
+constexpr milliseconds kProbeTimeout = 1500ms;
+/** Failures for a shorter time don't count: a single failed call doesn't
+ * predict that the next one fails. */
+constexpr milliseconds kUnreachableAfter = 1000ms;
 
 edge::request
 EncodeHelp(const edge::request& aRequest)
@@ -43,21 +46,21 @@
 }
 
 edge::request
-DecodeHelp(const edge::request& aAsked)
+DecodeHelp(const edge::request& aHelpRequest)
 {
   edge::request request;
-  request.mMethod = aAsked.mHeaders.ValueOr(kHelpMethod, "GET");
-  request.mTarget = aAsked.mHeaders.ValueOr(kHelpTarget, "/");
-  request.mBody = aAsked.mBody;
+  request.mMethod = aHelpRequest.mHeaders.ValueOr(kHelpMethod, "GET");
+  request.mTarget = aHelpRequest.mHeaders.ValueOr(kHelpTarget, "/");
+  request.mBody = aHelpRequest.mBody;
   if (!request.mBody.empty()) {
     request.mHeaders.Add("Content-Type", "application/json");
   }
   return request;
 }
 
-/** Whether a call that ended so may have been carried out. */
+/** Whether a call that ended in this way may have been carried out. */
 bool
-MayHaveHappened(edge::call_end aEnd)
+MayHaveExecuted(edge::call_end aEnd)
 {
   return aEnd != edge::call_end::Complete && aEnd != edge::call_end::NotSent;
 }
@@ -74,11 +77,11 @@
   std::set<std::string> mAsked;
   bool mAwaitsDirect = false;
   bool mAwaitsHelp = false;
-  /** Some try had no answer. */
-  bool mMayHaveHappened = false;
+  /** Whether some attempt that may have been carried out had no response. */
+  bool mMayHaveExecuted = false;
   bool mIsFinished = false;
   edge::call_end mLastEnd = edge::call_end::NotSent;
-  edge::response mLastAnswer;
+  edge::response mLastResponse;
 };
 
 store_access::store_access(access_dependencies aParts)
@@ -93,7 +96,8 @@
                    edge::whole_answer aDone)
 {
   if (aOptions.mProbesConnection) {
-    // A watch isn't passed on: the feed between entries replaces it.
+    // A watch isn't sent through other entries: the feed between entries
+    // replaces it.
     mDependencies.mDirect(aRequest, aDeadline, aOptions, std::move(aDone));
     return;
   }
@@ -102,9 +106,9 @@
   call->mOptions = aOptions;
   call->mUntil = Now() + aDeadline;
   call->mDone = std::move(aDone);
-  if (mTurnedAwaySince && HasHelpers()) {
-    TryDirect();
-    AskNext(call);
+  if (mUnavailableSince && HasHelpers()) {
+    ProbeDirect();
+    TryNextHelper(call);
   } else {
     CallDirect(call);
   }
@@ -120,49 +124,51 @@
     aCall->mRequest,
     left,
     aCall->mOptions,
-    [this, aCall](edge::call_end aEnd, edge::response aAnswer) {
-      TakeDirect(aCall, aEnd, std::move(aAnswer));
+    [this, aCall](edge::call_end aEnd, edge::response aResponse) {
+      HandleDirectResponse(aCall, aEnd, std::move(aResponse));
     });
-  RunAfter(mDependencies.mScheduler, kPatience, [this, aCall] {
+  RunAfter(mDependencies.mScheduler, kHelpDelay, [this, aCall] {
     if (!aCall->mIsFinished && !aCall->mAwaitsHelp && aCall->mAwaitsDirect) {
-      AskNext(aCall);
+      TryNextHelper(aCall);
     }
   });
 }
 
 void
-store_access::TakeDirect(const call_ptr& aCall,
-                         edge::call_end aEnd,
-                         edge::response aAnswer)
+store_access::HandleDirectResponse(const call_ptr& aCall,
+                                   edge::call_end aEnd,
+                                   edge::response aResponse)
 {
   aCall->mAwaitsDirect = false;
-  const bool isTurnedAway = mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus);
-  NoteDirect(isTurnedAway);
+  const bool isUnavailable =
+    mDependencies.mIsUnavailable(aEnd, aResponse.mStatus);
+  RecordDirectResult(isUnavailable);
   if (aCall->mIsFinished) {
     return;
   }
-  if (!isTurnedAway) {
-    Finish(aCall, aEnd, std::move(aAnswer));
+  if (!isUnavailable) {
+    Finish(aCall, aEnd, std::move(aResponse));
     return;
   }
-  aCall->mMayHaveHappened = aCall->mMayHaveHappened || MayHaveHappened(aEnd);
+  aCall->mMayHaveExecuted = aCall->mMayHaveExecuted || MayHaveExecuted(aEnd);
   aCall->mLastEnd = aEnd;
-  aCall->mLastAnswer = std::move(aAnswer);
+  aCall->mLastResponse = std::move(aResponse);
   if (!aCall->mAwaitsHelp) {
-    // The time that the silent store took is not the helpers'.
+    // Don't let the time that the store took without a response shorten the
+    // helper's.
     aCall->mUntil = std::max(aCall->mUntil, Now() + kHelpTimeout);
-    AskNext(aCall);
+    TryNextHelper(aCall);
   }
 }
 
 void
-store_access::AskNext(const call_ptr& aCall)
+store_access::TryNextHelper(const call_ptr& aCall)
 {
   const auto view = mDependencies.mView();
   const auto left =
     std::chrono::duration_cast<milliseconds>(aCall->mUntil - Now());
-  const auto chosen = aCall->mAsked.size() < kMostAsked && left > 0ms
-                        ? ChooseHelper(mMemory, view, aCall->mAsked, Now())
+  const auto chosen = aCall->mAsked.size() < kMaximumAsked && left > 0ms
+                        ? ChooseHelper(mHistory, view, aCall->mAsked, Now())
                         : std::nullopt;
   if (!chosen) {
     if (!aCall->mAwaitsDirect) {
@@ -172,127 +178,132 @@
   }
   aCall->mAsked.insert(chosen->mName);
   aCall->mAwaitsHelp = true;
-  mDependencies.mCallEntry(chosen->mAddress,
-                           EncodeHelp(aCall->mRequest),
-                           std::min(left, kHelpTimeout),
-                           [this, aCall, name = chosen->mName](
-                             edge::call_end aEnd, edge::response aAnswer) {
-                             TakeHelp(aCall, name, aEnd, std::move(aAnswer));
-                           });
+  mDependencies.mCallEntry(
+    chosen->mAddress,
+    EncodeHelp(aCall->mRequest),
+    std::min(left, kHelpTimeout),
+    [this, aCall, name = chosen->mName](edge::call_end aEnd,
+                                        edge::response aResponse) {
+      HandleHelpResponse(aCall, name, aEnd, std::move(aResponse));
+    });
 }
 
 void
-store_access::TakeHelp(const call_ptr& aCall,
-                       const std::string& aName,
-                       edge::call_end aEnd,
-                       edge::response aAnswer)
+store_access::HandleHelpResponse(const call_ptr& aCall,
+                                 const std::string& aName,
+                                 edge::call_end aEnd,
+                                 edge::response aResponse)
 {
   aCall->mAwaitsHelp = false;
   const bool isAnswered = aEnd == edge::call_end::Complete;
-  const bool cannotHelp = isAnswered && aAnswer.mStatus == kCannotHelp;
-  const bool hadNoAnswer = isAnswered && aAnswer.mStatus == kNoAnswer;
-  const bool isTurnedAway = cannotHelp || hadNoAnswer ||
-                            mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus);
+  const bool cannotHelp = isAnswered && aResponse.mStatus == kCannotHelp;
+  const bool hadNoResponse =
+    isAnswered && aResponse.mStatus == kNoStoreResponse;
+  const bool isUnavailable =
+    cannotHelp || hadNoResponse ||
+    mDependencies.mIsUnavailable(aEnd, aResponse.mStatus);
   events::line("store_helped")
     .With("entry", aName)
     .With("target", aCall->mRequest.mTarget)
     .With("tried", static_cast<std::int64_t>(aCall->mAsked.size()))
     .With("end", edge::ToString(aEnd))
-    .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
-  if (isTurnedAway) {
-    NoteRefused(
-      mMemory, aName, isAnswered ? kAvoidRefusing : kAvoidSilent, Now());
+    .With("status", static_cast<std::int64_t>(aResponse.mStatus));
+  if (isUnavailable) {
+    RecordRefusal(mHistory,
+                  aName,
+                  isAnswered ? kRefusalBackoff : kUnresponsiveBackoff,
+                  Now());
   } else {
-    NoteHelped(mMemory, mDependencies.mView(), aName);
+    RecordHelp(mHistory, mDependencies.mView(), aName);
     if (aCall->mAwaitsDirect) {
-      NoteDirect(true);
+      RecordDirectResult(true);
     }
   }
   if (aCall->mIsFinished) {
     return;
   }
-  if (!isTurnedAway) {
-    Finish(aCall, aEnd, std::move(aAnswer));
+  if (!isUnavailable) {
+    Finish(aCall, aEnd, std::move(aResponse));
     return;
   }
-  aCall->mMayHaveHappened =
-    aCall->mMayHaveHappened || hadNoAnswer || MayHaveHappened(aEnd);
+  aCall->mMayHaveExecuted =
+    aCall->mMayHaveExecuted || hadNoResponse || MayHaveExecuted(aEnd);
   if (!cannotHelp) {
     aCall->mLastEnd = aEnd;
-    aCall->mLastAnswer = std::move(aAnswer);
+    aCall->mLastResponse = std::move(aResponse);
   }
-  AskNext(aCall);
+  TryNextHelper(aCall);
 }
 
 void
 store_access::Finish(const call_ptr& aCall,
                      edge::call_end aEnd,
-                     edge::response aAnswer)
+                     edge::response aResponse)
 {
-  mLostSince.reset();
+  mUnreachableSince.reset();
   aCall->mIsFinished = true;
   const auto done = std::move(aCall->mDone);
-  done(aEnd, std::move(aAnswer));
+  done(aEnd, std::move(aResponse));
 }
 
 void
 store_access::Fail(const call_ptr& aCall)
 {
-  if (!mLostSince) {
-    mLostSince = Now();
-    PlanLook();
+  if (!mUnreachableSince) {
+    mUnreachableSince = Now();
+    ScheduleProbe();
   }
   aCall->mIsFinished = true;
   const auto done = std::move(aCall->mDone);
-  // Ours may have been carried out, or may yet be: that the last one asked
-  // refused doesn't make it undone. Taken for a refusal, it would let a batch
-  // be called "not run" that runs seconds later.
-  done(aCall->mMayHaveHappened ? edge::call_end::TimedOut : aCall->mLastEnd,
-       std::move(aCall->mLastAnswer));
+  // An earlier attempt may have been carried out, or may still be, even if the
+  // last helper refused. Reporting that refusal would let a batch be called
+  // "not run" that runs seconds later.
+  done(aCall->mMayHaveExecuted ? edge::call_end::TimedOut : aCall->mLastEnd,
+       std::move(aCall->mLastResponse));
 }
 
 void
-store_access::NoteDirect(bool aIsTurnedAway)
+store_access::RecordDirectResult(bool aIsUnavailable)
 {
-  if (!aIsTurnedAway) {
-    if (mTurnedAwaySince) {
+  if (!aIsUnavailable) {
+    if (mUnavailableSince) {
       events::line("store_takes_back")
         .With(
           "after_ms",
-          std::chrono::duration_cast<milliseconds>(Now() - *mTurnedAwaySince));
+          std::chrono::duration_cast<milliseconds>(Now() - *mUnavailableSince));
     }
-    mTurnedAwaySince.reset();
-    mLostSince.reset();
-  } else if (!mTurnedAwaySince) {
+    mUnavailableSince.reset();
+    mUnreachableSince.reset();
+  } else if (!mUnavailableSince) {
     events::line("store_turns_away");
-    mTurnedAwaySince = Now();
-    mNextTrial = Now() + kTrialEach;
+    mUnavailableSince = Now();
+    mNextProbeAt = Now() + kProbeInterval;
   }
 }
 
 void
-store_access::TryDirect()
+store_access::ProbeDirect()
 {
-  if (Now() < mNextTrial) {
+  if (Now() < mNextProbeAt) {
     return;
   }
-  mNextTrial = Now() + kTrialEach;
+  mNextProbeAt = Now() + kProbeInterval;
   mDependencies.mDirect(
-    mDependencies.mTrial,
-    kTrialTimeout,
+    mDependencies.mProbe,
+    kProbeTimeout,
     {},
-    [this](edge::call_end aEnd, const edge::response& aAnswer) {
-      NoteDirect(mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus));
+    [this](edge::call_end aEnd, const edge::response& aResponse) {
+      RecordDirectResult(mDependencies.mIsUnavailable(aEnd, aResponse.mStatus));
     });
 }
 
 void
-store_access::Help(const edge::request& aAsked, help_done aDone)
+store_access::Help(const edge::request& aHelpRequest, help_done aDone)
 {
-  if (mTurnedAwaySince) {
-    TryDirect();
+  if (mUnavailableSince) {
+    ProbeDirect();
   }
-  if (mTurnedAwaySince || mHelped >= kMaximumHelpedCalls) {
+  if (mUnavailableSince || mHelped >= kMaximumHelpedCalls) {
     aDone({ kCannotHelp, {}, {} });
     return;
   }
@@ -300,43 +311,45 @@
   edge::call_options options;
   options.mSilenceTimeout = kHelpTimeout;
   mDependencies.mDirect(
-    DecodeHelp(aAsked),
+    DecodeHelp(aHelpRequest),
     kHelpTimeout,
     options,
     [this, done = std::move(aDone)](edge::call_end aEnd,
-                                    edge::response aAnswer) {
+                                    edge::response aResponse) {
       --mHelped;
-      NoteDirect(mDependencies.mIsTurnedAway(aEnd, aAnswer.mStatus));
+      RecordDirectResult(mDependencies.mIsUnavailable(aEnd, aResponse.mStatus));
       if (aEnd == edge::call_end::NotSent) {
         done({ kCannotHelp, {}, {} });
       } else if (aEnd != edge::call_end::Complete) {
-        done({ kNoAnswer, {}, {} });
+        done({ kNoStoreResponse, {}, {} });
       } else {
-        done({ aAnswer.mStatus, {}, std::move(aAnswer.mBody) });
+        done({ aResponse.mStatus, {}, std::move(aResponse.mBody) });
       }
     });
 }
 
 void
-store_access::PlanLook()
+store_access::ScheduleProbe()
 {
-  // An entry that is spared work makes no calls that would show it can work.
-  mNextLook = mDependencies.mScheduler.mAfter(kTrialEach, [this] {
-    if (!mLostSince) {
+  // An entry that is given no work because of CanReachStore() makes no calls of
+  // its own that could succeed, so it must probe.
+  mNextProbe = mDependencies.mScheduler.mAfter(kProbeInterval, [this] {
+    if (!mUnreachableSince) {
       return;
     }
     if (HasHelpers()) {
       Call(
-        mDependencies.mTrial, kTrialTimeout, {}, [](edge::call_end, auto) {});
+        mDependencies.mProbe, kProbeTimeout, {}, [](edge::call_end, auto) {});
     }
-    PlanLook();
+    ScheduleProbe();
   });
 }
 
 bool
 store_access::CanReachStore() const
 {
-  return !mLostSince || !HasHelpers() || Now() - *mLostSince < kLostAfter;
+  return !mUnreachableSince || !HasHelpers() ||
+         Now() - *mUnreachableSince < kUnreachableAfter;
 }
 
 } // namespace lavender::storeaccess
--- a/Duties/Versions/Assignments.cpp
+++ b/Duties/Versions/Assignments.cpp
@@ -12,16 +12,18 @@
 
 namespace {
 
-/** An agent's question is answered after this even if nothing has changed. */
-constexpr milliseconds kLongestWait = 8s;
-/** A load takes about a second, up to a few when runs go first; a server that
- * needs longer doesn't hold up the others. */
+/** A request is answered after this time even if nothing has changed. */
+constexpr milliseconds kMaximumHold = 8s;
+/** A load takes about a second, or a few seconds if runs finish first. A server
+ * that needs longer no longer counts as loading, so that it doesn't delay the
+ * loads of other servers. */
 constexpr milliseconds kLoadTime = 3s;
-constexpr milliseconds kLookEach = 500ms;
-/** Short against a load of about a second. */
-constexpr milliseconds kGatherChanges = 15ms;
-/** Of the newest batch in a model's work. */
-constexpr double kNewestWeight = 0.3;
+constexpr milliseconds kEvaluationInterval = 500ms;
+/** Changes within this time share one evaluation. Short compared with a load of
+ * about a second. */
+constexpr milliseconds kChangeDebounce = 15ms;
+/** Weight of the newest batch in the moving average of a model's work. */
+constexpr double kNewestBatchWeight = 0.3;
 
 json::value
 EncodeVersions(const std::map<std::string, std::int64_t>& aVersions)
@@ -58,11 +60,11 @@
 assignments::HandleVersionAnnounced(const std::string& aModel,
                                     std::int64_t aVersion)
 {
-  auto& newest = mNamed[aModel];
+  auto& newest = mAnnounced[aModel];
   if (aVersion > newest) {
     newest = aVersion;
-    // Told by the entry that decides what follows.
-    if (!mWaiters.empty()) {
+    // Only the entry that controllers ask writes the line, not the whole fleet.
+    if (!mHeldRequests.empty()) {
       events::line("version_named")
         .With("model", aModel)
         .With("version", aVersion);
@@ -74,16 +76,17 @@
 void
 assignments::Refresh()
 {
-  // Changes and questions come in bursts, and each look goes over all servers.
-  if (mWaiters.empty() || mIsLookPlanned) {
+  // Changes and requests come in bursts, and each evaluation visits all
+  // servers.
+  if (mHeldRequests.empty() || mIsEvaluationScheduled) {
     return;
   }
-  mIsLookPlanned = true;
-  mBurstTimer.expires_after(kGatherChanges);
+  mIsEvaluationScheduled = true;
+  mBurstTimer.expires_after(kChangeDebounce);
   mBurstTimer.async_wait([this](const auto& aError) {
-    mIsLookPlanned = false;
+    mIsEvaluationScheduled = false;
     if (!aError) {
-      Look();
+      Evaluate();
     }
   });
 }
@@ -105,42 +108,42 @@
 {
   auto& work = mWork[aModel];
   work = work == 0 ? static_cast<double>(aExpectedTokens)
-                   : work + kNewestWeight *
+                   : work + kNewestBatchWeight *
                               (static_cast<double>(aExpectedTokens) - work);
-  UpdateWeights();
-  // More than a few versions would be a trainer that has fallen behind, not
-  // one that allows it.
-  constexpr std::int64_t kLargestLag = 3;
-  const auto named = mNamed.find(aModel);
-  if (named != mNamed.end()) {
-    // The batch may be heard of before the version that it was asked for with;
-    // then the difference comes out too small, so the last two count.
+  UpdateModelShares();
+  // A larger difference means that the trainer has fallen behind, not that it
+  // allows such a lag.
+  constexpr std::int64_t kMaximumLag = 3;
+  const auto announced = mAnnounced.find(aModel);
+  if (announced != mAnnounced.end()) {
+    // A batch may become known here before the version that was announced with
+    // it; its lag then comes out too small. Hence the last two batches count.
     auto& [before, last] = mLags[aModel];
     before = last;
-    last =
-      std::clamp<std::int64_t>(named->second - aMinimumVersion, 0, kLargestLag);
+    last = std::clamp<std::int64_t>(
+      announced->second - aMinimumVersion, 0, kMaximumLag);
   }
 }
 
 void
-assignments::UpdateWeights()
+assignments::UpdateModelShares()
 {
-  if (auto shifted = UpdatedModelShares(mWork, mWeights)) {
-    mWeights = std::move(*shifted);
-    LogWeights();
+  if (auto shifted = UpdatedModelShares(mWork, mModelShares)) {
+    mModelShares = std::move(*shifted);
+    LogModelShares();
   }
 }
 
 void
-assignments::LogWeights() const
+assignments::LogModelShares() const
 {
-  if (mWaiters.empty()) {
+  if (mHeldRequests.empty()) {
     return;
   }
-  for (const auto& [model, weight] : mWeights) {
+  for (const auto& [model, share] : mModelShares) {
     events::line("model_share")
       .With("model", model)
-      .With("percent", std::lround(100 * weight));
+      .With("percent", std::lround(100 * share));
   }
 }
 
@@ -166,9 +169,9 @@
 std::map<std::string, target_versions>
 assignments::Decide(time_point aNow)
 {
-  std::map<std::string, target_versions> wanted;
+  std::map<std::string, target_versions> targets;
   if (!mDependencies.mConfiguration) {
-    return wanted;
+    return targets;
   }
   for (const auto& [name, pool] : mDependencies.mConfiguration->mPools) {
     if (!pool.mEngine || pool.mEngine->mModels.empty()) {
@@ -176,8 +179,8 @@
     }
     const auto servers = ServersOf(name);
     const auto placed =
-      AssignModels(servers, pool.mEngine->mModels, mNamed, mWeights);
-    const auto due = DueOf(servers, pool.mEngine->mModels);
+      AssignModels(servers, pool.mEngine->mModels, mAnnounced, mModelShares);
+    const auto due = ServersDueToLoad(servers, pool.mEngine->mModels);
     std::size_t loading = 0;
     for (const auto& server : servers) {
       const bool isDue =
@@ -201,21 +204,21 @@
         mLoadingSince[id] = aNow;
         ++loading;
       }
-      wanted[id][model] = mNamed.at(model);
+      targets[id][model] = mAnnounced.at(model);
     }
   }
-  return wanted;
+  return targets;
 }
 
 std::vector<std::string>
-assignments::DueOf(const std::vector<server_versions>& aServers,
-                   const std::vector<std::string>& aModels) const
+assignments::ServersDueToLoad(const std::vector<server_versions>& aServers,
+                              const std::vector<std::string>& aModels) const
 {
-  const auto placed = AssignModels(aServers, aModels, mNamed, mWeights);
+  const auto placed = AssignModels(aServers, aModels, mAnnounced, mModelShares);
   std::vector<std::string> due;
   for (const auto& model : aModels) {
-    const auto named = mNamed.find(model);
-    if (named == mNamed.end()) {
+    const auto announced = mAnnounced.find(model);
+    if (announced == mAnnounced.end()) {
       continue;
     }
     std::vector<server_versions> share;
@@ -228,7 +231,7 @@
     const auto lag = lags == mLags.end()
                        ? 0
                        : std::max(lags->second.first, lags->second.second);
-    const auto ids = ServersToLoad(share, model, named->second, lag);
+    const auto ids = ServersToLoad(share, model, announced->second, lag);
     due.insert(due.end(), ids.begin(), ids.end());
   }
   return due;
@@ -244,51 +247,51 @@
     aExchange->Answer({ 400, {}, {} });
     return;
   }
-  waiter asked;
-  asked.mExchange = aExchange;
-  asked.mAddress = address->Text();
-  asked.mClaimName = ClaimName(*address);
-  asked.mClaim.mController = json::StringAt(*body, "giver", "");
-  asked.mClaim.mEpoch = json::IntegerAt(*body, "epoch", 0);
-  asked.mHeld = DecodeVersions(body->Find("held"));
-  asked.mKnown = DecodeVersions(body->Find("known"));
-  asked.mUntil = boot_clock::now() + kLongestWait;
-  if (IsSuperseded(mDependencies.mClaims, asked.mClaimName, asked.mClaim)) {
+  held_request request;
+  request.mExchange = aExchange;
+  request.mAddress = address->Text();
+  request.mClaimName = ClaimName(*address);
+  request.mClaim.mController = json::StringAt(*body, "giver", "");
+  request.mClaim.mEpoch = json::IntegerAt(*body, "epoch", 0);
+  request.mHeld = DecodeVersions(body->Find("held"));
+  request.mKnown = DecodeVersions(body->Find("known"));
+  request.mUntil = boot_clock::now() + kMaximumHold;
+  if (IsSuperseded(mDependencies.mClaims, request.mClaimName, request.mClaim)) {
     aExchange->Answer({ kNotController, {}, {} });
     return;
   }
-  mLastAsked[asked.mClaimName] = boot_clock::now();
-  mWaiters.push_back(std::move(asked));
+  mLastRequestAt[request.mClaimName] = boot_clock::now();
+  mHeldRequests.push_back(std::move(request));
   Refresh();
-  PlanLook();
+  ScheduleEvaluation();
 }
 
 void
 assignments::RejectSuperseded()
 {
-  std::vector<waiter> kept;
-  for (auto& waiting : std::exchange(mWaiters, {})) {
+  std::vector<held_request> kept;
+  for (auto& request : std::exchange(mHeldRequests, {})) {
     if (IsSuperseded(
-          mDependencies.mClaims, waiting.mClaimName, waiting.mClaim)) {
-      waiting.mExchange->Answer({ kNotController, {}, {} });
+          mDependencies.mClaims, request.mClaimName, request.mClaim)) {
+      request.mExchange->Answer({ kNotController, {}, {} });
     } else {
-      kept.push_back(std::move(waiting));
+      kept.push_back(std::move(request));
     }
   }
-  mWaiters = std::move(kept);
+  mHeldRequests = std::move(kept);
 }
 
 std::optional<time_point>
-assignments::LastAsked(const std::string& aClaimName) const
+assignments::LastRequestAt(const std::string& aClaimName) const
 {
-  for (const auto& waiting : mWaiters) {
-    if (waiting.mClaimName == aClaimName && !waiting.mExchange->IsEnded()) {
+  for (const auto& request : mHeldRequests) {
+    if (request.mClaimName == aClaimName && !request.mExchange->IsEnded()) {
       return boot_clock::now();
     }
   }
-  const auto asked = mLastAsked.find(aClaimName);
-  return asked == mLastAsked.end() ? std::nullopt
-                                   : std::optional(asked->second);
+  const auto asked = mLastRequestAt.find(aClaimName);
+  return asked == mLastRequestAt.end() ? std::nullopt
+                                       : std::optional(asked->second);
 }
 
 std::optional<time_point>
@@ -300,83 +303,84 @@
 }
 
 void
-assignments::Look()
+assignments::Evaluate()
 {
   const auto now = boot_clock::now();
-  // Looked up each time: an agent may ask before its server's entry, or any,
-  // is known here.
+  // The servers are looked up at each evaluation, because a controller may ask
+  // before its server is known here.
   const auto servers = ServersByAddress();
-  for (auto& waiting : mWaiters) {
-    const auto found = servers.find(waiting.mAddress);
-    waiting.mServer = found == servers.end() ? std::string() : found->second;
-    if (!waiting.mServer.empty()) {
-      mReported[waiting.mServer] = waiting.mHeld;
+  for (auto& request : mHeldRequests) {
+    const auto found = servers.find(request.mAddress);
+    request.mServer = found == servers.end() ? std::string() : found->second;
+    if (!request.mServer.empty()) {
+      mReported[request.mServer] = request.mHeld;
     }
   }
-  mWanted = Decide(now);
-  std::vector<waiter> kept;
-  for (auto& waiting : mWaiters) {
-    if (waiting.mExchange->IsEnded()) {
+  mTargetVersions = Decide(now);
+  std::vector<held_request> kept;
+  for (auto& request : mHeldRequests) {
+    if (request.mExchange->IsEnded()) {
       continue;
     }
-    const auto wanted = mWanted.find(waiting.mServer);
+    const auto targets = mTargetVersions.find(request.mServer);
     const auto versions =
-      wanted == mWanted.end() ? target_versions{} : wanted->second;
-    if ((!versions.empty() && versions != waiting.mKnown) ||
-        now >= waiting.mUntil) {
-      Answer(waiting, versions);
+      targets == mTargetVersions.end() ? target_versions{} : targets->second;
+    if ((!versions.empty() && versions != request.mKnown) ||
+        now >= request.mUntil) {
+      Answer(request, versions);
     } else {
-      kept.push_back(std::move(waiting));
+      kept.push_back(std::move(request));
     }
   }
-  mWaiters = std::move(kept);
+  mHeldRequests = std::move(kept);
 }
 
 void
 assignments::RejectWaiting()
 {
-  const auto waiters = std::move(mWaiters);
-  mWaiters.clear();
-  for (const auto& waiting : waiters) {
-    waiting.mExchange->Answer({ 503, {}, {} });
+  const auto requests = std::move(mHeldRequests);
+  mHeldRequests.clear();
+  for (const auto& request : requests) {
+    request.mExchange->Answer({ 503, {}, {} });
   }
 }
 
 void
-assignments::PlanLook()
+assignments::ScheduleEvaluation()
 {
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kEvaluationInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (aError) {
       return;
     }
-    Look();
-    if (!mWaiters.empty()) {
-      PlanLook();
+    Evaluate();
+    if (!mHeldRequests.empty()) {
+      ScheduleEvaluation();
     }
   });
 }
 
 void
-assignments::Answer(const waiter& aWaiter, const target_versions& aWanted)
+assignments::Answer(const held_request& aHeldRequest,
+                    const target_versions& aTargetVersions)
 {
   edge::response answer{ 200, {}, {} };
   answer.mBody =
-    json::Write(json::object{ { "wanted", EncodeVersions(aWanted) } });
-  aWaiter.mExchange->Answer(std::move(answer));
+    json::Write(json::object{ { "wanted", EncodeVersions(aTargetVersions) } });
+  aHeldRequest.mExchange->Answer(std::move(answer));
 }
 
 edge::request
-EncodeAssignmentRequest(const assignment_request& aQuestion)
+EncodeAssignmentRequest(const assignment_request& aRequest)
 {
   edge::request request;
   request.mMethod = "POST";
-  request.mTarget = kAssignmentPath + aQuestion.mServer.Text();
+  request.mTarget = kAssignmentPath + aRequest.mServer.Text();
   request.mBody =
-    json::Write(json::object{ { "giver", aQuestion.mClaim.mController },
-                              { "epoch", aQuestion.mClaim.mEpoch },
-                              { "held", EncodeVersions(aQuestion.mHeld) },
-                              { "known", EncodeVersions(aQuestion.mKnown) } });
+    json::Write(json::object{ { "giver", aRequest.mClaim.mController },
+                              { "epoch", aRequest.mClaim.mEpoch },
+                              { "held", EncodeVersions(aRequest.mHeld) },
+                              { "known", EncodeVersions(aRequest.mKnown) } });
   return request;
 }
 
--- a/Duties/Versions/OrderDuty.cpp
+++ b/Duties/Versions/OrderDuty.cpp
@@ -9,21 +9,23 @@
 
 namespace {
 
-constexpr milliseconds kRetryPause = 500ms;
-/** When no entry answers, as in an outage of the store: the list of entries is
- * a priced call. */
-constexpr milliseconds kAllSilentPause = 1000ms;
-/** An entry holds a question for eight seconds; probes on the connection find
- * one that was dropped on the way. */
+constexpr milliseconds kRetryDelay = 500ms;
+/** Pause after no entry answered, as in an outage of the store. Longer than
+ * kRetryDelay because the next step lists the entries, which is a billed
+ * call. */
+constexpr milliseconds kNoResponseDelay = 1000ms;
+/** An entry holds a request for up to eight seconds; probes detect a connection
+ * that was lost meanwhile. */
 constexpr milliseconds kAskTimeout = 10s;
 constexpr milliseconds kServerTimeout = 1s;
-/** All givers should ask one entry: it knows who is alive, and all loads. */
+/** All controllers should ask the same entry, because it can then see which of
+ * them are alive and which servers are loading. */
 constexpr milliseconds kPreferredAgainAfter = 10s;
 
 bool
-HoldsAll(const server_report& aReport, const target_versions& aWanted)
+HoldsAll(const server_report& aReport, const target_versions& aTargetVersions)
 {
-  for (const auto& [model, version] : aWanted) {
+  for (const auto& [model, version] : aTargetVersions) {
     const auto held = aReport.mVersions.find(model);
     if (held == aReport.mVersions.end() || held->second < version) {
       return false;
@@ -47,9 +49,9 @@
 }
 
 void
-order_duty::After(milliseconds aPause, void (order_duty::*aStep)())
+order_duty::ScheduleStep(milliseconds aDelay, void (order_duty::*aStep)())
 {
-  mTimer.expires_after(aPause);
+  mTimer.expires_after(aDelay);
   mTimer.async_wait([this, aStep](const auto& aError) {
     if (!aError) {
       (this->*aStep)();
@@ -62,16 +64,16 @@
 {
   mDependencies.mClaim([this](std::optional<order_permission> aRight) {
     if (!aRight) {
-      After(kRetryPause, &order_duty::Claim);
+      ScheduleStep(kRetryDelay, &order_duty::Claim);
       return;
     }
-    mRight = *aRight;
-    mWanted.clear();
+    mGrant = *aRight;
+    mTargetVersions.clear();
     events::line("server_claimed")
       .With("server", mDependencies.mServer.Text())
-      .With("epoch", mRight.mEpoch)
+      .With("epoch", mGrant.mEpoch)
       .With("first_order_in_ms",
-            std::chrono::duration_cast<milliseconds>(mRight.mNotBefore -
+            std::chrono::duration_cast<milliseconds>(mGrant.mNotBefore -
                                                      boot_clock::now()));
     FindEntries();
   });
@@ -81,76 +83,78 @@
 order_duty::FindEntries()
 {
   mDependencies.mEntries([this](std::vector<edge::endpoint> aEntries) {
-    // What was known stays in use while the list can't be had.
+    // Keep the previous list if the entries could not be listed.
     if (!aEntries.empty()) {
       mEntries = std::move(aEntries);
     }
     mEntry = 0;
     if (mEntries.empty()) {
-      After(kRetryPause, &order_duty::FindEntries);
+      ScheduleStep(kRetryDelay, &order_duty::FindEntries);
     } else {
-      Ask();
+      RequestAssignment();
     }
   });
 }
 
 void
-order_duty::Ask()
+order_duty::RequestAssignment()
 {
   edge::call_options options;
   options.mSilenceTimeout = kAskTimeout;
   options.mProbesConnection = true;
-  assignment_request question;
-  question.mServer = mDependencies.mServer;
-  question.mClaim.mController = mDependencies.mName;
-  question.mClaim.mEpoch = mRight.mEpoch;
-  question.mHeld = mHeld;
-  question.mKnown = mWanted;
-  edge::FetchWhole(mDependencies.mClients,
-                   mDependencies.mLoop,
-                   mEntries[mEntry],
-                   EncodeAssignmentRequest(question),
-                   options,
-                   kAskTimeout,
-                   64 << 10,
-                   [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                     TakeAnswer(aEnd, aAnswer);
-                   });
+  assignment_request request;
+  request.mServer = mDependencies.mServer;
+  request.mClaim.mController = mDependencies.mName;
+  request.mClaim.mEpoch = mGrant.mEpoch;
+  request.mHeld = mHeld;
+  request.mKnown = mTargetVersions;
+  edge::FetchWhole(
+    mDependencies.mClients,
+    mDependencies.mLoop,
+    mEntries[mEntry],
+    EncodeAssignmentRequest(request),
+    options,
+    kAskTimeout,
+    64 << 10,
+    [this](edge::call_end aEnd, const edge::response& aResponse) {
+      HandleAssignmentResponse(aEnd, aResponse);
+    });
 }
 
 void
-order_duty::TakeAnswer(edge::call_end aEnd, const edge::response& aAnswer)
+order_duty::HandleAssignmentResponse(edge::call_end aEnd,
+                                     const edge::response& aResponse)
 {
   const bool isComplete = aEnd == edge::call_end::Complete;
-  if (isComplete && aAnswer.mStatus == kNotController) {
+  if (isComplete && aResponse.mStatus == kNotController) {
     events::line("claim_lost")
       .With("server", mDependencies.mServer.Text())
-      .With("epoch", mRight.mEpoch);
+      .With("epoch", mGrant.mEpoch);
     Claim();
     return;
   }
-  const auto wanted =
-    isComplete ? DecodeAssignmentResponse(aAnswer) : std::nullopt;
-  if (!wanted) {
+  const auto target =
+    isComplete ? DecodeAssignmentResponse(aResponse) : std::nullopt;
+  if (!target) {
     events::line("entry_silent")
       .With("entry", mEntries[mEntry].Text())
       .With("end", edge::ToString(aEnd));
     ++mEntry;
     mPreferredAgainAt = boot_clock::now() + kPreferredAgainAfter;
     if (mEntry >= mEntries.size()) {
-      After(kAllSilentPause, &order_duty::FindEntries);
+      ScheduleStep(kNoResponseDelay, &order_duty::FindEntries);
     } else {
-      After(50ms, &order_duty::Ask);
+      ScheduleStep(50ms, &order_duty::RequestAssignment);
     }
     return;
   }
-  mWanted = *wanted;
-  mToldAt = boot_clock::now();
-  if (mEntry != 0 && mToldAt >= mPreferredAgainAt) {
+  mTargetVersions = *target;
+  mAssignedAt = boot_clock::now();
+  if (mEntry != 0 && mAssignedAt >= mPreferredAgainAt) {
     mEntry = 0;
   }
-  if (mWanted.empty()) {
-    Ask();
+  if (mTargetVersions.empty()) {
+    RequestAssignment();
   } else {
     ReadReport();
   }
@@ -161,61 +165,62 @@
 {
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
-  edge::FetchWhole(mDependencies.mClients,
-                   mDependencies.mLoop,
-                   mDependencies.mServer,
-                   mDependencies.mEncodeReport(),
-                   options,
-                   kServerTimeout,
-                   256 << 10,
-                   [this](edge::call_end aEnd, const edge::response& aAnswer) {
-                     const auto report =
-                       aEnd == edge::call_end::Complete
-                         ? mDependencies.mDecodeReport(aAnswer)
-                         : std::nullopt;
-                     if (report) {
-                       HandleReport(*report);
-                       return;
-                     }
-                     // The server may be away for long; the entry decides anew.
-                     mWanted.clear();
-                     After(kRetryPause, &order_duty::Ask);
-                   });
+  edge::FetchWhole(
+    mDependencies.mClients,
+    mDependencies.mLoop,
+    mDependencies.mServer,
+    mDependencies.mEncodeReport(),
+    options,
+    kServerTimeout,
+    256 << 10,
+    [this](edge::call_end aEnd, const edge::response& aResponse) {
+      const auto report = aEnd == edge::call_end::Complete
+                            ? mDependencies.mDecodeReport(aResponse)
+                            : std::nullopt;
+      if (report) {
+        HandleReport(*report);
+        return;
+      }
+      // The server may be unreachable for long, so ask the entry
+      // again for the target versions.
+      mTargetVersions.clear();
+      ScheduleStep(kRetryDelay, &order_duty::RequestAssignment);
+    });
 }
 
 void
 order_duty::HandleReport(const server_report& aReport)
 {
   mHeld = aReport.mVersions;
-  if (HoldsAll(aReport, mWanted)) {
-    Ask();
+  if (HoldsAll(aReport, mTargetVersions)) {
+    RequestAssignment();
     return;
   }
-  auto order = DecideOrder(aReport, mWanted);
+  auto order = DecideOrder(aReport, mTargetVersions);
   if (!order) {
-    After(mDependencies.mLoadLook, &order_duty::ReadReport);
+    ScheduleStep(mDependencies.mLoadPollInterval, &order_duty::ReadReport);
     return;
   }
   const auto now = boot_clock::now();
-  if (now < mRight.mNotBefore) {
-    // Until then another giver's last order may arrive.
-    mWanted.clear();
-    After(std::chrono::ceil<milliseconds>(mRight.mNotBefore - now),
-          &order_duty::Ask);
+  if (now < mGrant.mNotBefore) {
+    // Until then the last order of the previous controller may still arrive.
+    mTargetVersions.clear();
+    ScheduleStep(std::chrono::ceil<milliseconds>(mGrant.mNotBefore - now),
+                 &order_duty::RequestAssignment);
     return;
   }
-  if (now - mToldAt > kAnswerHolds) {
-    mWanted.clear();
-    Ask();
+  if (now - mAssignedAt > kAssignmentValidity) {
+    mTargetVersions.clear();
+    RequestAssignment();
     return;
   }
   order->mHolder = mDependencies.mName;
-  order->mEpoch = mRight.mEpoch;
-  Give(*order);
+  order->mEpoch = mGrant.mEpoch;
+  SendOrder(*order);
 }
 
 void
-order_duty::Give(const weight_order& aOrder)
+order_duty::SendOrder(const weight_order& aOrder)
 {
   edge::call_options options;
   options.mSilenceTimeout = kServerTimeout;
@@ -227,7 +232,7 @@
     options,
     kServerTimeout,
     64 << 10,
-    [this, aOrder](edge::call_end aEnd, const edge::response& aAnswer) {
+    [this, aOrder](edge::call_end aEnd, const edge::response& aResponse) {
       events::line("order_given")
         .With("server", aOrder.mServerId)
         .With("model", aOrder.mModel)
@@ -235,13 +240,14 @@
         .With("epoch", aOrder.mEpoch)
         .With("expect", aOrder.mAcceptedOrders)
         .With("end", edge::ToString(aEnd))
-        .With("status", static_cast<std::int64_t>(aAnswer.mStatus));
-      // The report tells what became of it, with or without an answer. One that
-      // was turned down isn't sent again at once: the reason lasts.
-      const bool isTurnedDown =
-        aEnd == edge::call_end::Complete && aAnswer.mStatus >= 300;
-      After(isTurnedDown ? kRetryPause : mDependencies.mLoadLook,
-            &order_duty::ReadReport);
+        .With("status", static_cast<std::int64_t>(aResponse.mStatus));
+      // The server's report shows whether the order was carried out, even if
+      // the response was lost. A rejected order isn't repeated at once, because
+      // the reason for its rejection usually still holds.
+      const bool isRejected =
+        aEnd == edge::call_end::Complete && aResponse.mStatus >= 300;
+      ScheduleStep(isRejected ? kRetryDelay : mDependencies.mLoadPollInterval,
+                   &order_duty::ReadReport);
     });
 }
 
--- a/Duties/Versions/Placement.cpp
+++ b/Duties/Versions/Placement.cpp
@@ -9,23 +9,24 @@
 
 namespace {
 
-/** The model of which the server holds a version that was named; the first
- * versions of all models are there from the start and say nothing. */
+/** Returns the model of which the server holds the most recent announced
+ * version. Every server holds version 1 of all models from its start, so
+ * version 1 is ignored. */
 std::optional<std::string>
 HeldModel(const server_versions& aServer,
           const std::vector<std::string>& aModels,
-          const announced_versions& aNamed)
+          const announced_versions& aAnnounced)
 {
   std::optional<std::string> held;
   std::int64_t leastBehind = 0;
   for (const auto& model : aModels) {
-    const auto named = aNamed.find(model);
+    const auto announced = aAnnounced.find(model);
     const auto version = aServer.mVersions.find(model);
-    if (named == aNamed.end() || version == aServer.mVersions.end() ||
+    if (announced == aAnnounced.end() || version == aServer.mVersions.end() ||
         version->second < 2) {
       continue;
     }
-    const auto behind = named->second - version->second;
+    const auto behind = announced->second - version->second;
     if (!held || behind < leastBehind) {
       held = model;
       leastBehind = behind;
@@ -39,7 +40,7 @@
 std::vector<std::string>
 ServersToLoad(const std::vector<server_versions>& aShare,
               const std::string& aModel,
-              std::int64_t aNamed,
+              std::int64_t aAnnounced,
               std::int64_t aLag)
 {
   struct row
@@ -56,7 +57,7 @@
   for (const auto& server : aShare) {
     const auto held = server.mVersions.find(aModel);
     const auto version = held == server.mVersions.end() ? 0 : held->second;
-    if (version >= aNamed) {
+    if (version >= aAnnounced) {
       ++fresh;
     } else {
       behind.push_back({ version, server.mId });
@@ -68,7 +69,7 @@
   const std::size_t wanted = (aShare.size() + parts - 1) / parts;
   std::vector<std::string> due;
   for (const auto& [version, id] : behind) {
-    if (version < aNamed - aLag || fresh + due.size() < wanted) {
+    if (version < aAnnounced - aLag || fresh + due.size() < wanted) {
       due.push_back(id);
     }
   }
@@ -88,9 +89,9 @@
   for (const auto& [model, work] : aWork) {
     const auto weight = weights[model] = sum > 0 ? work / sum : 0;
     const auto before = aBefore.find(model);
-    hasShifted =
-      hasShifted || before == aBefore.end() ||
-      std::abs(before->second - weight) > kShiftOfWeight * before->second;
+    hasShifted = hasShifted || before == aBefore.end() ||
+                 std::abs(before->second - weight) >
+                   kShareChangeThreshold * before->second;
   }
   return hasShifted ? std::optional(weights) : std::nullopt;
 }
@@ -116,8 +117,8 @@
                       : weight->second;
     shares[model] = 0;
   }
-  // One server at a time to the model that is furthest below its part; a model
-  // without any comes first.
+  // Give each server to the model that is furthest below its share. Models
+  // without any server come first.
   for (std::size_t given = 0; given < aServers; ++given) {
     const auto next = std::max_element(
       aModels.begin(),
@@ -139,7 +140,7 @@
 std::map<std::string, std::string>
 AssignModels(const std::vector<server_versions>& aServers,
              const std::vector<std::string>& aModels,
-             const announced_versions& aNamed,
+             const announced_versions& aAnnounced,
              const model_shares& aWeights)
 {
   std::map<std::string, std::string> placed;
@@ -150,7 +151,7 @@
   std::map<std::string, std::vector<std::string>> byModel;
   std::vector<std::string> free;
   for (const auto& server : aServers) {
-    if (const auto held = HeldModel(server, aModels, aNamed)) {
+    if (const auto held = HeldModel(server, aModels, aAnnounced)) {
       byModel[*held].push_back(server.mId);
     } else {
       free.push_back(server.mId);
@@ -166,7 +167,7 @@
   }
   std::sort(free.begin(), free.end());
   for (const auto& server : free) {
-    const auto poorest =
+    const auto neediest =
       std::max_element(aModels.begin(),
                        aModels.end(),
                        [&](const auto& aLeft, const auto& aRight) {
@@ -176,7 +177,7 @@
                          };
                          return lack(aLeft) < lack(aRight);
                        });
-    byModel[*poorest].push_back(server);
+    byModel[*neediest].push_back(server);
   }
   for (const auto& [model, servers] : byModel) {
     for (const auto& server : servers) {
--- a/Duties/Versions/SubstituteGiver.cpp
+++ b/Duties/Versions/SubstituteGiver.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr milliseconds kLookEach = 1000ms;
-/** Each report of a server on another instance is priced. */
-constexpr milliseconds kRemoteLook = 400ms;
+constexpr milliseconds kCheckInterval = 1000ms;
+/** Longer than an agent's interval, because each report that is read from a
+ * server on another instance is billed. */
+constexpr milliseconds kRemotePollInterval = 400ms;
 
 bool
 HasLastedFor(const std::optional<time_point>& aSince,
@@ -28,13 +29,13 @@
                         time_point aNow)
 {
   if (!aView.mClaim) {
-    return aNow - aView.mKnownSince >= kAgentStarts;
+    return aNow - aView.mKnownSince >= kAgentStartTime;
   }
   if (aView.mClaim->mController == aSelf) {
     return false;
   }
-  const auto lastSign = aView.mLastAsked.value_or(aView.mKnownSince);
-  return aNow - lastSign >= kGiverSilence &&
+  const auto lastHeard = aView.mLastRequestAt.value_or(aView.mKnownSince);
+  return aNow - lastHeard >= kControllerTimeout &&
          HasLastedFor(aView.mLoadingSince, kLoadOverdue, aNow);
 }
 
@@ -47,17 +48,17 @@
 void
 fallback_controller::Start()
 {
-  PlanLook();
+  ScheduleCheck();
 }
 
 void
-fallback_controller::PlanLook()
+fallback_controller::ScheduleCheck()
 {
-  mTimer.expires_after(kLookEach);
+  mTimer.expires_after(kCheckInterval);
   mTimer.async_wait([this](const auto& aError) {
     if (!aError) {
-      Look();
-      PlanLook();
+      CheckServers();
+      ScheduleCheck();
     }
   });
 }
@@ -74,9 +75,9 @@
 }
 
 controller_status
-fallback_controller::ViewOf(const std::string& aClaimName,
-                            const std::string& aServerId,
-                            time_point aNow)
+fallback_controller::StatusOf(const std::string& aClaimName,
+                              const std::string& aServerId,
+                              time_point aNow)
 {
   controller_status view;
   if (const auto known = mDependencies.mClaims.find(aClaimName);
@@ -84,27 +85,27 @@
     view.mClaim = known->second;
   }
   view.mKnownSince = mKnownSince.emplace(aClaimName, aNow).first->second;
-  view.mLastAsked = mDependencies.mAssignments.LastAsked(aClaimName);
+  view.mLastRequestAt = mDependencies.mAssignments.LastRequestAt(aClaimName);
   view.mLoadingSince = mDependencies.mAssignments.LoadingSince(aServerId);
   return view;
 }
 
 void
-fallback_controller::Look()
+fallback_controller::CheckServers()
 {
   if (!mDependencies.mMayClaim()) {
     mKnownSince.clear();
     mReplaceable.clear();
     return;
   }
-  mDependencies.mAssignments.Look();
+  mDependencies.mAssignments.Evaluate();
   const auto now = boot_clock::now();
   for (const auto& [id, row] : mDependencies.mDirectory.mRows) {
     if (row.mServer.mIsLeaving || !HasEngine(row.mServer)) {
       continue;
     }
     const auto name = ClaimName(row.mServer.mAddress);
-    const auto view = ViewOf(name, id, now);
+    const auto view = StatusOf(name, id, now);
     const bool isOwn =
       view.mClaim && view.mClaim->mController == mDependencies.mName;
     const bool needsSubstitute =
@@ -113,21 +114,21 @@
       mReplaceable[name] = view.mClaim.value_or(controller_claim{});
     }
     if (isOwn || needsSubstitute) {
-      GiveOrdersOf(row.mServer.mAddress);
+      StartController(row.mServer.mAddress);
     }
   }
 }
 
 void
-fallback_controller::GiveOrdersOf(const edge::endpoint& aServer)
+fallback_controller::StartController(const edge::endpoint& aServer)
 {
   const auto name = ClaimName(aServer);
-  auto& giver = mGivers[name];
-  if (giver) {
+  auto& controller = mControllers[name];
+  if (controller) {
     return;
   }
   events::line("orders_without_agent").With("server", aServer.Text());
-  giver = std::make_unique<order_duty>(order_dependencies{
+  controller = std::make_unique<order_duty>(order_dependencies{
     mDependencies.mLoop,
     mDependencies.mClients,
     aServer,
@@ -140,8 +141,8 @@
     mDependencies.mEncodeReport,
     mDependencies.mDecodeReport,
     mDependencies.mEncodeOrder,
-    kRemoteLook });
-  giver->Start();
+    kRemotePollInterval });
+  controller->Start();
 }
 
 void
@@ -158,7 +159,7 @@
                      aDone);
     return;
   }
-  // Without leave from a look the claim stays with whom it is.
+  // The claim is replaced only if a check has found that it may be.
   const auto replaceable = mReplaceable.find(aClaimName);
   if (replaceable == mReplaceable.end()) {
     aDone(std::nullopt);
