--- a/Services/Agent/AgentHandler.cpp
+++ b/Services/Agent/AgentHandler.cpp
@@ -10,13 +10,13 @@
 using namespace std::chrono_literals;
 using wire::run_state;
 
-constexpr milliseconds kReadServerEvery = 300ms;
-constexpr milliseconds kLongestWait = 2000ms;
+constexpr milliseconds kServerPollInterval = 300ms;
+constexpr milliseconds kMaximumWait = 2000ms;
 
 milliseconds
-BoundWait(std::int32_t aWait)
+ClampWait(std::int32_t aWait)
 {
-  return std::clamp(milliseconds(aWait), 0ms, kLongestWait);
+  return std::clamp(milliseconds(aWait), 0ms, kMaximumWait);
 }
 
 } // namespace
@@ -33,7 +33,7 @@
   , mWeights(aWeights)
   , mUsage(aUsage)
   , mMetrics(aMetrics)
-  , mWatcher([this] { WatchServer(); })
+  , mPollThread([this] { PollServer(); })
 {
 }
 
@@ -50,13 +50,13 @@
     mIsStopping = true;
   }
   mStopped.notify_all();
-  if (mWatcher.joinable()) {
-    mWatcher.join();
+  if (mPollThread.joinable()) {
+    mPollThread.join();
   }
 }
 
 void
-agent_handler::WatchServer()
+agent_handler::PollServer()
 {
   std::unique_lock lock(mMutex);
   while (!mIsStopping) {
@@ -69,7 +69,8 @@
     state.mReadAt = boot_clock::now();
     lock.lock();
     mState = state;
-    mStopped.wait_for(lock, kReadServerEvery, [this] { return mIsStopping; });
+    mStopped.wait_for(
+      lock, kServerPollInterval, [this] { return mIsStopping; });
   }
 }
 
@@ -81,7 +82,8 @@
   if (aIncarnation == mIdentity.mIncarnation) {
     return false;
   }
-  // This process knows nothing of what its predecessor did.
+  // The call is meant for an earlier process, whose requests this one does not
+  // know.
   aReply.echo = aId;
   aReply.agent_incarnation = mIdentity.mIncarnation;
   aReply.state = run_state::UNKNOWN_ID;
@@ -94,7 +96,7 @@
                         const wire::dispatch_order& aOrder,
                         const std::int32_t aWait)
 {
-  aReply = mDispatch.Dispatch(aOrder, BoundWait(aWait));
+  aReply = mDispatch.Dispatch(aOrder, ClampWait(aWait));
   if (aReply.state == run_state::NOT_RUN) {
     mMetrics.Count("lavender_agent_refusals_total",
                    { { "reason", aReply.reason } });
@@ -108,7 +110,7 @@
                      const std::int32_t aWait)
 {
   if (!RefuseOtherIncarnation(aReply, aId, aIncarnation)) {
-    aReply = mDispatch.Await(aId, BoundWait(aWait));
+    aReply = mDispatch.Await(aId, ClampWait(aWait));
   }
 }
 
@@ -128,14 +130,14 @@
                       const wire::entry_digest& aDigest)
 {
   const auto now = boot_clock::now();
-  const auto own = mDispatch.Load();
+  const auto ledgerLoad = mDispatch.Load();
   aReport.customers = mDispatch.CustomerLoads(aDigest.entry_incarnation);
   std::lock_guard lock(mMutex);
-  const auto freshAt = now - milliseconds(aDigest.fresh_age_ms);
+  const auto verifiedAt = now - milliseconds(aDigest.fresh_age_ms);
   if (aDigest.configuration_revision > 0) {
-    mWitness.mRevision =
-      std::max(mWitness.mRevision, aDigest.configuration_revision);
-    mWitness.mFreshAt = std::max(mWitness.mFreshAt, freshAt);
+    mWitnessed.mRevision =
+      std::max(mWitnessed.mRevision, aDigest.configuration_revision);
+    mWitnessed.mVerifiedAt = std::max(mWitnessed.mVerifiedAt, verifiedAt);
   }
   aReport.echo = aDigest.echo;
   aReport.agent_incarnation = mIdentity.mIncarnation;
@@ -143,23 +145,24 @@
   aReport.zone = mIdentity.mAvailabilityZone;
   aReport.pool = mIdentity.mPool;
   aReport.load = mState.mLoad.mFigures;
-  aReport.load.queued = own.queued;
-  // All requests pass the ledger, so its count is exact; the server's own
-  // figure lags and would show a burst long after its end.
-  aReport.load.running = own.running;
-  if (own.tokens_per_second > 0) {
-    aReport.load.tokens_per_second = own.tokens_per_second;
+  aReport.load.queued = ledgerLoad.queued;
+  // All requests pass through the ledger, so its count is exact. The server's
+  // own figure lags and would show a burst long after its end.
+  aReport.load.running = ledgerLoad.running;
+  if (ledgerLoad.tokens_per_second > 0) {
+    aReport.load.tokens_per_second = ledgerLoad.tokens_per_second;
   }
-  aReport.load.slots = own.slots;
-  aReport.load.queue_delay_ms = own.queue_delay_ms;
+  aReport.load.slots = ledgerLoad.slots;
+  aReport.load.queue_delay_ms = ledgerLoad.queue_delay_ms;
   aReport.load.age_ms =
     std::chrono::duration_cast<milliseconds>(now - mState.mReadAt).count();
   aReport.draining = mDispatch.IsDraining();
   aReport.model = mState.mWeights.mModel;
   aReport.weight_version = mState.mWeights.mVersion;
-  aReport.witnessed_revision = mWitness.mRevision;
+  aReport.witnessed_revision = mWitnessed.mRevision;
   aReport.witnessed_fresh_age_ms =
-    std::chrono::duration_cast<milliseconds>(now - mWitness.mFreshAt).count();
+    std::chrono::duration_cast<milliseconds>(now - mWitnessed.mVerifiedAt)
+      .count();
   aReport.clock_ms =
     std::chrono::duration_cast<milliseconds>(now.time_since_epoch()).count();
   aReport.server_reachable = mState.mLoad.mIsReachable;
@@ -179,7 +182,7 @@
   aReply.incarnation = mIdentity.mIncarnation;
   mUsage.Settle(aQuery.settled);
   mUsage.RemoveSupersededRuns(mIdentity.mIncarnation, aQuery.superseded);
-  // A drained agent counts nothing more, so it hands over the open window too.
+  // A drained agent counts no more usage, so it reports the open window too.
   const bool isDrained =
     mDispatch.IsDraining() && mDispatch.PendingRequestCount() == 0;
   const auto open =
@@ -196,7 +199,8 @@
   {
     std::lock_guard lock(mMutex);
     if (aOrder.fencing < mHighestDrainFencing) {
-      // A holder that lapsed must not stop what its successor wants to keep.
+      // An entry whose lease has expired must not drain a server that the next
+      // lease holder keeps in use.
       mMetrics.Count("lavender_agent_refusals_total",
                      { { "reason", "old_fencing_number" } });
       return;
@@ -204,7 +208,8 @@
     mHighestDrainFencing = aOrder.fencing;
   }
   if (!mDispatch.IsDraining()) {
-    Log(log_level::Info, "agent", "Draining: " + aOrder.reason);
+    Log(
+      log_level::Info, "agent", "Drain ordered by an entry: " + aOrder.reason);
   }
   mDispatch.StartDrain();
   aReply.draining = true;
--- a/Services/Agent/AgentHandler.h
+++ b/Services/Agent/AgentHandler.h
@@ -21,7 +21,8 @@
   std::chrono::seconds mUsageWindow{ 60 };
 };
 
-/** Serves the entries' messages by handing each to its duty. */
+/** Serves the wire calls of entries by passing each to the duty concerned, and
+ * polls the backend server's load and weights. */
 class agent_handler : public wire::agent_serviceIf
 {
 public:
@@ -52,7 +53,7 @@
   void Drain(wire::drain_reply& aReply,
              const wire::drain_order& aOrder) override;
 
-  /** Reads the server's load and weights until stopped. */
+  /** Stops polling the server's load and weights. */
   void Stop();
 
 private:
@@ -63,13 +64,14 @@
     time_point mReadAt;
   };
 
-  struct witness
+  /** Newest configuration that an entry has reported to this agent. */
+  struct witnessed_configuration
   {
     std::int64_t mRevision = 0;
-    time_point mFreshAt;
+    time_point mVerifiedAt;
   };
 
-  void WatchServer();
+  void PollServer();
   bool RefuseOtherIncarnation(wire::dispatch_reply& aReply,
                               const std::string& aId,
                               const std::string& aIncarnation);
@@ -84,10 +86,11 @@
   std::condition_variable mStopped;
   bool mIsStopping = false;
   server_state mState;
-  witness mWitness;
-  /** Drains are ordered under another lease than weights. */
+  witnessed_configuration mWitnessed;
+  /** Highest fencing number of a drain order. Weight orders have a lease and
+   * fencing numbers of their own. */
   std::int64_t mHighestDrainFencing = 0;
-  std::thread mWatcher;
+  std::thread mPollThread;
 };
 
 } // namespace lavender::agent
--- a/Services/Agent/SiteAgent.cpp
+++ b/Services/Agent/SiteAgent.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/** A report costs nothing from the server's own instance, and the next server's
- * load waits for the end of this one. */
-constexpr milliseconds kOwnServerLook{ 100 };
+/** Polling a server on the same instance is free, and the next server's load
+ * starts only after this server's load has ended. */
+constexpr milliseconds kOwnServerCheckInterval{ 100 };
 
 settings::setting
 Text(std::string aFlag, std::string aDescription, bool aIsRequired)
@@ -35,7 +35,7 @@
     Text("zone", "Availability zone of this instance.", true),
     Text("store", "Address of the object store.", true),
     Text("server",
-         "Address of the model server beside this process; empty on an "
+         "Address of the model server on this instance; empty on an "
          "instance without one.",
          false),
   };
@@ -50,12 +50,14 @@
   if (const auto store = edge::ParseAddress(aValues.Text("store"))) {
     read.mStore = *store;
   } else if (!aValues.Text("store").empty()) {
-    aFindings.Add("--store", "not an IPv4 address and port");
+    aFindings.Add("--store",
+                  "must be an IPv4 address and port, such as 10.0.0.1:8080");
   }
   if (const auto& text = aValues.Text("server"); !text.empty()) {
     read.mServer = edge::ParseAddress(text);
     if (!read.mServer) {
-      aFindings.Add("--server", "not an IPv4 address and port");
+      aFindings.Add("--server",
+                    "must be an IPv4 address and port, such as 10.0.0.1:8080");
     }
   }
   return read;
@@ -91,7 +93,7 @@
 void
 site_agent::StartOrders()
 {
-  versions::order_dependencies parts{
+  versions::order_dependencies dependencies{
     mLoop,
     *mClients,
     *mSettings.mServer,
@@ -106,9 +108,9 @@
     platform::EncodeReportRequest,
     platform::DecodeReport,
     platform::EncodeOrder,
-    kOwnServerLook
+    kOwnServerCheckInterval
   };
-  mOrders.emplace(std::move(parts));
+  mOrders.emplace(std::move(dependencies));
   mOrders->Start();
 }
 
--- a/Services/Agent/SiteAgent.h
+++ b/Services/Agent/SiteAgent.h
@@ -17,8 +17,8 @@
   std::string mName;
   std::string mAvailabilityZone;
   edge::endpoint mStore;
-  /** The model server beside this process; none on an instance that has a
-   * disk instead. */
+  /** The model server on the same instance; none on an instance with a disk,
+   * where the agent handles retirements. */
   std::optional<edge::endpoint> mServer;
 };
 
@@ -28,9 +28,9 @@
 site_settings
 ReadSiteSettings(const settings::values& aValues, findings& aFindings);
 
-/** An agent on the users' platform. Beside a model server it gives the orders
- * about weights; on an instance with a disk it answers retirements, and stores
- * nothing there. */
+/** An agent on the users' platform. On the instance of a model server it sends
+ * the server its load orders. On an instance with a disk it handles retirements
+ * and writes nothing to the disk. */
 class site_agent
 {
 public:
--- a/Services/Agent/main.cpp
+++ b/Services/Agent/main.cpp
@@ -17,23 +17,24 @@
 
 namespace {
 
-/** Lets entries see the drain, then waits for the requests to end. False when
- * the deadline or a second signal cut requests. */
+/** Keeps reporting the drain to entries, then waits for the requests in flight.
+ * @return false when the deadline or a second signal came first */
 bool
 Drain(dispatch::agent_dispatch& aDispatch,
       termination_signal& aTermination,
       milliseconds aDeadline)
 {
-  // Long enough for every entry's next poll, so that none sends new work.
-  constexpr milliseconds kAnnounceFor = 1500ms;
+  // Covers the next poll of each entry, after which none sends new requests.
+  constexpr milliseconds kMinimumDrainTime = 1500ms;
   const auto start = boot_clock::now();
   aDispatch.StartDrain();
   while (aDispatch.PendingRequestCount() > 0 ||
-         boot_clock::now() - start < kAnnounceFor) {
+         boot_clock::now() - start < kMinimumDrainTime) {
     if (boot_clock::now() - start > aDeadline || aTermination.WaitFor(50ms)) {
       Log(log_level::Warning,
           "agent",
-          "Drain cut short requests_left=" +
+          "Drain ended early by its deadline or a second signal "
+          "requests_left=" +
             std::to_string(aDispatch.PendingRequestCount()));
       return false;
     }
@@ -144,23 +145,24 @@
   return 0;
 }
 
-/** Runs on the users' platform: the word "site" comes first, then flags. */
+/** Runs an agent on the users' platform. The command line is "site", then
+ * flags. */
 int
 RunOnSite(int aCount, char** aArguments)
 {
-  auto reading = settings::Read(
+  auto parsed = settings::Read(
     "lavender-agent site", agent::DeclareSiteSettings(), aCount, aArguments);
-  const auto chosen =
-    agent::ReadSiteSettings(reading.mValues, reading.mFindings);
-  if (!reading.mFindings.IsEmpty()) {
-    settings::Report(reading.mFindings);
+  const auto siteSettings =
+    agent::ReadSiteSettings(parsed.mValues, parsed.mFindings);
+  if (!parsed.mFindings.IsEmpty()) {
+    settings::Report(parsed.mFindings);
     return settings::kBadSettingsStatus;
   }
-  if (reading.mIsCheckOnly) {
+  if (parsed.mIsCheckOnly) {
     return 0;
   }
-  events::StartEventLog({ chosen.mName });
-  const int status = agent::site_agent(chosen).Run();
+  events::StartEventLog({ siteSettings.mName });
+  const int status = agent::site_agent(siteSettings).Run();
   events::StopEventLog();
   return status;
 }
@@ -174,22 +176,24 @@
     return RunOnSite(aCount - 1, aArguments + 1);
   }
   termination_signal termination;
-  auto reading = settings::Read(
+  auto parsed = settings::Read(
     "lavender-agent", agent::DeclareSettings(), aCount, aArguments);
-  wire::CheckSecurity(reading.mValues, reading.mFindings);
-  if (!reading.mFindings.IsEmpty()) {
-    settings::Report(reading.mFindings);
+  wire::CheckSecurity(parsed.mValues, parsed.mFindings);
+  if (!parsed.mFindings.IsEmpty()) {
+    settings::Report(parsed.mFindings);
     return settings::kBadSettingsStatus;
   }
-  if (reading.mIsCheckOnly) {
+  if (parsed.mIsCheckOnly) {
     return 0;
   }
-  StartLog(ParseLogLevel(reading.mValues.Text("log-level")));
+  StartLog(ParseLogLevel(parsed.mValues.Text("log-level")));
   try {
-    wire::UseSecurity(wire::ReadSecurity(reading.mValues));
-    return Run(reading.mValues, termination);
+    wire::UseSecurity(wire::ReadSecurity(parsed.mValues));
+    return Run(parsed.mValues, termination);
   } catch (const std::exception& error) {
-    Log(log_level::Error, "agent", std::string("Can't go on: ") + error.what());
+    Log(log_level::Error,
+        "agent",
+        std::string("Terminating after an unexpected error: ") + error.what());
     return 1;
   }
 }
