--- a/Libraries/Core/Base64.cpp
+++ b/Libraries/Core/Base64.cpp
@@ -13,7 +13,7 @@
   if (aText.size() % 4 != 0) {
     return Fail<std::string>("length isn't a multiple of four");
   }
-  // The library takes padding anywhere for zero bits.
+  // OpenSSL accepts padding at any position and decodes it as zero bits.
   if (const auto end = aText.find('=');
       end != std::string_view::npos &&
       aText.substr(end) !=
@@ -28,7 +28,7 @@
   if (size < 0) {
     return Fail<std::string>("a character outside the alphabet");
   }
-  // The library counts the padding as zero bytes.
+  // OpenSSL includes the padding in the decoded size, as zero bytes.
   const std::size_t padding = aText[aText.size() - 2] == '='   ? 2
                               : aText[aText.size() - 1] == '=' ? 1
                                                                : 0;
--- a/Libraries/Core/Base64.h
+++ b/Libraries/Core/Base64.h
@@ -7,7 +7,7 @@
 
 namespace lavender {
 
-/** Decodes padded base64 (RFC 4648, section 4); fails on anything else. */
+/** Decodes padded base64 (RFC 4648, section 4); fails on any other input. */
 result<std::string>
 DecodeBase64(std::string_view aText);
 
--- a/Libraries/Core/BoundedRing.h
+++ b/Libraries/Core/BoundedRing.h
@@ -10,8 +10,8 @@
 
 namespace lavender {
 
-/** Bounded first-in first-out joint between two threads. A full ring refuses
- * at once, so that a slow consumer never blocks its producer. */
+/** Bounded first-in first-out queue between threads. A push into a full queue
+ * fails immediately, so that a slow consumer never blocks its producer. */
 template<typename Item>
 class bounded_ring
 {
@@ -21,7 +21,8 @@
   {
   }
 
-  /** False when the ring is full or closed; the item is then untouched. */
+  /** Returns false, without moving from the item, when the queue is full or
+   * closed. */
   bool TryPush(Item& aItem)
   {
     {
@@ -35,7 +36,8 @@
     return true;
   }
 
-  /** None after the wait, or at once when the ring is closed and empty. */
+  /** Waits for an item. Returns none after the wait, or immediately when the
+   * queue is closed and empty. */
   std::optional<Item> Pop(std::chrono::milliseconds aWait)
   {
     std::unique_lock lock(mMutex);
--- a/Libraries/Core/CheckedFile.cpp
+++ b/Libraries/Core/CheckedFile.cpp
@@ -39,7 +39,7 @@
   return fsync(file) == 0 ? std::string() : Failure("fsync");
 }
 
-/** Makes the new name itself last. */
+/** Syncs the directory, so that the rename survives a crash. */
 void
 SyncFolder(const std::string& aPath)
 {
--- a/Libraries/Core/Clock.h
+++ b/Libraries/Core/Clock.h
@@ -5,9 +5,9 @@
 
 namespace lavender {
 
-/** CLOCK_BOOTTIME as a chrono clock: it goes on while the machine sleeps, so
- * that a lease can't outlive its time on a suspended instance. Decision logic
- * takes its time points as arguments and never reads the clock itself. */
+/** CLOCK_BOOTTIME as a chrono clock. It advances while the machine is
+ * suspended, so that a lease expires on time on a suspended instance. Decision
+ * logic takes time points as arguments and never reads the clock itself. */
 struct boot_clock
 {
   using rep = std::chrono::nanoseconds::rep;              // NOLINT
--- a/Libraries/Core/Findings.h
+++ b/Libraries/Core/Findings.h
@@ -5,15 +5,15 @@
 
 namespace lavender {
 
-/** One thing wrong with what a person wrote, and where it stands. */
+/** One error in the input of an operator or a customer, and its location. */
 struct finding
 {
-  /** Flag, variable, or object and field. */
+  /** Location of the error: flag, variable, or object and field. */
   std::string mPlace;
   std::string mProblem;
 };
 
-/** Everything wrong with one input, so that it is reported together. */
+/** All errors in one input, collected so that they are reported together. */
 struct findings
 {
   std::vector<finding> mAll;
--- a/Libraries/Core/HasLasted.h
+++ b/Libraries/Core/HasLasted.h
@@ -6,8 +6,9 @@
 
 namespace lavender {
 
-/** Whether a condition has held without a break for that long.
- * @param aSince when it began to hold, kept by the caller between calls */
+/** Whether a condition has held continuously for at least the limit.
+ * @param aSince when the condition began to hold; the caller keeps this value
+ *   between calls */
 inline bool
 HasLasted(std::optional<time_point>& aSince,
           bool aHolds,
--- a/Libraries/Core/Identity.cpp
+++ b/Libraries/Core/Identity.cpp
@@ -28,7 +28,7 @@
 {
   std::array<unsigned char, 16> bytes{};
   if (RAND_bytes(bytes.data(), bytes.size()) != 1) {
-    throw std::runtime_error("no random bytes");
+    throw std::runtime_error("OpenSSL's random generator returned no bytes");
   }
   return ToHexadecimal(bytes.data(), bytes.size());
 }
--- a/Libraries/Core/Identity.h
+++ b/Libraries/Core/Identity.h
@@ -5,12 +5,13 @@
 
 namespace lavender {
 
-/** 16 random bytes in hexadecimal: a process's incarnation, a nonce. Source:
- * OpenSSL's generator. */
+/** 16 bytes of OpenSSL's random generator in hexadecimal, such as for a
+ * process's incarnation or a nonce. Throws when the generator fails. */
 std::string
 MakeRandomName();
 
-/** SHA-256 in hexadecimal. Keys are stored and compared only as this. */
+/** SHA-256 of the key in hexadecimal. Keys are stored and compared only as
+ * this hash. */
 std::string
 HashKey(std::string_view aKey);
 
--- a/Libraries/Core/Log.h
+++ b/Libraries/Core/Log.h
@@ -2,8 +2,8 @@
 
 #include <string>
 
-/** Structured logs over log4cxx. Each part of the system has a fixed prefix;
- * a line is a short sentence followed by name=value fields. */
+/** Structured logging through log4cxx. Each component has a fixed prefix; a
+ * line is a short sentence followed by name=value fields. */
 namespace lavender {
 
 enum class log_level
@@ -14,18 +14,18 @@
   Error
 };
 
-/** Level of that name; Info for any other word. */
+/** Parses a level's name; returns Info for an unknown name. */
 log_level
 ParseLogLevel(const std::string& aName);
 
-/** Sends all lines to standard error. Called once, first in main. */
+/** Directs all lines to standard error. Called once, first in main. */
 void
 StartLog(log_level aLowest);
 
 /** Writes one line.
- * @param aPart fixed prefix of the part, such as "routing"
+ * @param aPart fixed prefix of the component, such as "routing"
  * @param aSentence short sentence; never a key or a prompt
- * @param aRequestId request that the line is about, or empty */
+ * @param aRequestId id of the request that the line is about, or empty */
 void
 Log(log_level aLevel,
     const std::string& aPart,
--- a/Libraries/Core/Mechanisms.h
+++ b/Libraries/Core/Mechanisms.h
@@ -5,35 +5,37 @@
 #include <set>
 #include <string>
 
-/** Mechanisms that an experiment may switch off, to learn what each is worth.
- * Set once at the start, before the loop runs; never in production. */
+/** Mechanisms that an experiment may switch off to measure the effect of each.
+ * Switched once at the start, before the event loop runs; never in
+ * production. */
 namespace lavender {
 
 enum class mechanism
 {
-  /** Items of a group go to the server that has their prompt. */
+  /** Runs of a group's items go to the server that has their prompt cached. */
   GroupHomes,
-  /** Items that are expected to be long start first. */
+  /** Items whose runs are expected to be long start first. */
   LongestFirst,
-  /** Runs leave servers that make events much more slowly. */
+  /** Runs move away from servers that generate much more slowly than others. */
   SlowServerMoves,
-  /** Servers that fail many runs get few. */
+  /** A circuit breaker limits the runs sent to a server that fails many. */
   RunBreakers,
-  /** A server that turned a run away is tried with one. */
+  /** A server that rejected a run is probed with a single run first. */
   TrialOfOneRun,
-  /** A model's batches run at one entry. */
+  /** One designated entry runs all batches of a model. */
   DesignatedOwners,
-  /** Texts of long runs are stored. */
+  /** The partial texts of long runs are stored. */
   StoredTexts,
-  /** Results gather by who waits for them. */
+  /** The delay in which results are collected for a listing depends on who
+   * waits for them. */
   ListingPace,
-  /** A second copy of a slow reward call. */
+  /** A slow reward call is sent a second time. */
   HedgedRewards,
-  /** The reward call that ends a group goes first. */
+  /** The reward call that completes a group is sent first. */
   RewardOrder,
-  /** Reward calls leave places for others. */
+  /** Reward calls are limited so that slots remain for other calls. */
   RewardLimit,
-  /** Half of a model's servers load each version. */
+  /** Each version is loaded by half of the model's servers. */
   VersionSpread
 };
 
@@ -41,14 +43,14 @@
 bool
 IsOn(mechanism aMechanism);
 
-/** Reads names with commas between, as the settings have them; an unknown one
- * is a finding. */
+/** Parses comma-separated names, as a setting has them. Adds a finding for each
+ * unknown name. */
 std::set<mechanism>
 ReadMechanisms(const std::string& aNames,
                const std::string& aSetting,
                findings& aFindings);
 
-/** Switches these off and all others on. */
+/** Switches the given mechanisms off and all others on. */
 void
 SwitchOff(std::set<mechanism> aMechanisms);
 
--- a/Libraries/Core/Rendezvous.cpp
+++ b/Libraries/Core/Rendezvous.cpp
@@ -23,8 +23,8 @@
     if (candidate.mWeight <= 0) {
       continue;
     }
-    // The logarithm of a uniform number in (0, 1), divided by the weight, gives
-    // each candidate its part of the keys.
+    // With the score -weight / log(uniform), each candidate has the highest
+    // score for a share of the keys that is proportional to its weight.
     const auto hash = RendezvousHash(aKey, candidate.mName);
     const double uniform =
       (static_cast<double>(hash >> 11) + 0.5) / static_cast<double>(1ULL << 53);
--- a/Libraries/Core/Rendezvous.h
+++ b/Libraries/Core/Rendezvous.h
@@ -8,22 +8,24 @@
 
 namespace lavender {
 
-/** One that may be chosen for a key. */
+/** Candidate that may be chosen for a key. */
 struct weighted_candidate
 {
   std::string mName;
-  /** Its part of the keys, relative to the others'; none at zero. */
+  /** Share of the keys relative to other candidates' weights; a candidate with
+   * weight zero gets none. */
   double mWeight = 1;
 };
 
-/** How strongly a key prefers a candidate; the same in all processes, which
- * std::hash need not be. */
+/** Hash of a key and a candidate. It is the same in all processes, which
+ * std::hash doesn't guarantee. */
 std::uint64_t
 RendezvousHash(std::string_view aKey, std::string_view aCandidate);
 
-/** The candidate that a key prefers, by weighted rendezvous hashing: all
- * processes that see the same candidates agree without talking, and one that
- * comes or goes moves only its own keys. None when nobody may be chosen. */
+/** Chooses a candidate for a key by weighted rendezvous hashing. Processes that
+ * see the same candidates choose the same one without communication, and adding
+ * or removing a candidate moves only that candidate's keys. Returns none when
+ * no candidate has a positive weight. */
 std::optional<std::string>
 ChooseByRendezvous(std::string_view aKey,
                    const std::vector<weighted_candidate>& aCandidates);
--- a/Libraries/Core/Result.h
+++ b/Libraries/Core/Result.h
@@ -4,15 +4,15 @@
 #include <string>
 #include <utility>
 
-/** Outcome types shared by all packages. */
+/** Result type shared by all packages. */
 namespace lavender {
 
-/** A value, or none with the last reason why. */
+/** A value, or the reason why there is none. */
 template<typename Value>
 struct result
 {
   std::optional<Value> mValue;
-  /** Stable reason code or sentence; empty when there is a value. */
+  /** Stable reason code or a sentence; empty when there is a value. */
   std::string mLastReason;
 
   explicit operator bool() const { return mValue.has_value(); }
--- a/Libraries/Core/Scheduler.h
+++ b/Libraries/Core/Scheduler.h
@@ -7,12 +7,13 @@
 
 namespace lavender {
 
-/** A planned action: it is taken back when the last copy goes. */
+/** Handle of a scheduled action; destroying the last copy cancels the
+ * action. */
 using planned_action = std::shared_ptr<void>;
 
-/** The time, and actions planned for later on one thread. A duty that knows
- * time only through it runs on an event loop in a program, and in a test on a
- * clock that the test moves. */
+/** Reads the time and schedules actions on one thread. Code that uses time only
+ * through a scheduler runs on an event loop in production and on a simulated
+ * clock in tests. */
 struct scheduler
 {
   std::function<time_point()> mNow;
@@ -21,7 +22,7 @@
     mAfter;
 };
 
-/** Plans an action that can't be taken back. */
+/** Schedules an action that can't be cancelled. */
 inline void
 RunAfter(const scheduler& aScheduler,
          milliseconds aPause,
--- a/Libraries/Core/ScopeGuard.h
+++ b/Libraries/Core/ScopeGuard.h
@@ -4,7 +4,7 @@
 
 namespace lavender {
 
-/** Runs a clean-up step when the scope ends, unless dismissed. */
+/** Runs a clean-up action at the end of its scope unless dismissed. */
 template<typename Action>
 class scope_guard
 {
--- a/Libraries/Core/TerminationSignal.cpp
+++ b/Libraries/Core/TerminationSignal.cpp
@@ -19,7 +19,8 @@
 
 termination_signal::termination_signal()
 {
-  // A peer that closes its connection must not end the process.
+  // Without this, a write to a connection that the peer has closed would
+  // terminate the process.
   std::signal(SIGPIPE, SIG_IGN);
   const sigset_t signals = TerminationSet();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
--- a/Libraries/Core/TestBase64.cpp
+++ b/Libraries/Core/TestBase64.cpp
@@ -14,8 +14,8 @@
   BOOST_TEST(*DecodeBase64("aGVs") == "hel");
 }
 
-// A server gets other bytes than its caller encoded: padding in the middle was
-// read as zero bits.
+// Guards against padding in the middle being decoded as zero bits, which gives
+// a server other bytes than its caller encoded.
 BOOST_AUTO_TEST_CASE(RefusesAnythingElse)
 {
   for (const auto* bad :
--- a/Libraries/Core/TestCheckedFile.cpp
+++ b/Libraries/Core/TestCheckedFile.cpp
@@ -55,8 +55,8 @@
   BOOST_TEST(!SaveChecked(folder.File() + "/below", bytes).empty());
 }
 
-// Story: an instance is killed by a full disk or a bad sector. Its successor
-// starts from half a configuration, in which withdrawn keys are valid again.
+// A full disk or a bad sector can truncate or corrupt the file. A process that
+// started from a partial configuration would accept withdrawn keys again.
 BOOST_AUTO_TEST_CASE(TakesNothingFromADamagedFile)
 {
   const folder folder;
--- a/Libraries/Core/TestRendezvous.cpp
+++ b/Libraries/Core/TestRendezvous.cpp
@@ -29,8 +29,8 @@
   BOOST_TEST(std::abs(keys["large"] - 5000) < 250);
 }
 
-/** The order of the candidates changes nothing, and one that goes moves only
- * the keys that it had. */
+/** The order of the candidates doesn't matter, and removing a candidate moves
+ * only that candidate's keys. */
 BOOST_AUTO_TEST_CASE(OneThatGoesMovesOnlyItsOwnKeys)
 {
   BOOST_TEST(rc::check("stable", [] {
