--- a/Libraries/Platform/CallBudget.h
+++ b/Libraries/Platform/CallBudget.h
@@ -6,34 +6,35 @@
 
 namespace lavender::platform {
 
-/** Token bucket: calls that may leave now without going over the rate. */
+/** Token bucket that bounds the rate of calls; one token is one call. */
 struct token_bucket
 {
   double mPerSecond = 0;
-  /** Calls that may leave at once after a quiet time. */
+  /** Capacity: calls that may be sent back to back after an idle period. */
   double mBurst = 0;
   double mTokens = 0;
   time_point mFilledAt;
 };
 
-/** A full bucket. */
+/** Creates a full bucket. */
 token_bucket
 MakeBucket(double aPerSecond, double aBurst, time_point aNow);
 
-/** Takes one token; false when there is none. */
+/** Takes one token; returns false when less than one is left. */
 bool
 TakeToken(token_bucket& aBucket, time_point aNow);
 
-/** This process's part of the rates that the platform grants to the whole
- * fleet. The platform counts each call, a waiting watch as one, and its rates
- * grow more slowly than the fleet: one busy process must not use up what the
- * leases of the others need. */
+/** This process's share of the call rates that the platform grants to the whole
+ * fleet. The platform counts each call; a watch counts as one call however long
+ * it waits. Its rates grow more slowly than the fleet, so a busy process
+ * without a limit could use up the calls that other processes need for their
+ * leases. */
 class call_budget
 {
 public:
   call_budget(double aReadsPerSecond, double aWritesPerSecond);
 
-  /** False when the call has to be refused at once. */
+  /** Returns false when the rate is used up; the call must not be sent then. */
   bool TakeRead();
   bool TakeWrite();
 
--- a/Libraries/Platform/PlatformClient.cpp
+++ b/Libraries/Platform/PlatformClient.cpp
@@ -33,7 +33,7 @@
   aRequest.mHeaders.emplace_back("X-Caller", aClient.mCaller);
   http::call_result outcome;
   if (IsOverBudget(aClient, aRequest)) {
-    // Nothing was sent, so a write is certainly not carried out.
+    // mState stays NotSent: a write that wasn't sent can't have taken effect.
     outcome.mLastReason = "platform budget is used up";
     CountCall(aClient, aCounted, "over_budget");
     return outcome;
@@ -74,7 +74,8 @@
            : "platform gave no answer: " + aOutcome.mLastReason;
 }
 
-/** The parsed body of a 200 answer. */
+/** Parses the body of a response with status 200; fails for any other
+ * outcome. */
 result<json::value>
 BodyOf(const http::call_result& aOutcome)
 {
@@ -112,8 +113,8 @@
     written.mState = write_state::Refused;
     written.mLastReason = FailureOf(aOutcome);
   } else {
-    // No answer, one cut short or a 5xx: a write may have taken effect
-    // before its answer was lost.
+    // No response, a truncated one or a 5xx: the write may have taken effect
+    // before its response was lost.
     written.mState = write_state::Unknown;
     written.mLastReason = FailureOf(aOutcome);
   }
@@ -126,16 +127,16 @@
 Read(const client& aClient, const std::string& aKind, const std::string& aName)
 {
   read_result outcome;
-  const auto answer = Send(aClient,
-                           "read",
-                           { "GET", ObjectPath(aKind, aName), "", {}, "" },
-                           aClient.mTimeout);
-  if (answer.mState == http::call_state::Answered &&
-      answer.mResponse.mStatus == 404) {
+  const auto response = Send(aClient,
+                             "read",
+                             { "GET", ObjectPath(aKind, aName), "", {}, "" },
+                             aClient.mTimeout);
+  if (response.mState == http::call_state::Answered &&
+      response.mResponse.mStatus == 404) {
     outcome.mState = read_state::Absent;
     return outcome;
   }
-  if (auto body = BodyOf(answer)) {
+  if (auto body = BodyOf(response)) {
     outcome.mState = read_state::Found;
     outcome.mObject = ToObject(*body);
   } else {
@@ -204,22 +205,22 @@
       std::int64_t aFrom,
       std::chrono::milliseconds aWait)
 {
-  const auto answer = Send(aClient,
-                           "watch",
-                           { "GET",
-                             "/v1/watch",
-                             "from=" + std::to_string(aFrom) +
-                               "&wait_ms=" + std::to_string(aWait.count()),
-                             {},
-                             "" },
-                           aWait + aClient.mTimeout);
+  const auto response = Send(aClient,
+                             "watch",
+                             { "GET",
+                               "/v1/watch",
+                               "from=" + std::to_string(aFrom) +
+                                 "&wait_ms=" + std::to_string(aWait.count()),
+                               {},
+                               "" },
+                             aWait + aClient.mTimeout);
   watch_batch batch;
-  if (answer.mState == http::call_state::Answered &&
-      answer.mResponse.mStatus == 410) {
+  if (response.mState == http::call_state::Answered &&
+      response.mResponse.mStatus == 410) {
     batch.mIsTooOld = true;
     return Succeed(std::move(batch));
   }
-  const auto body = BodyOf(answer);
+  const auto body = BodyOf(response);
   if (!body) {
     return Fail<watch_batch>(body.mLastReason);
   }
--- a/Libraries/Platform/PlatformClient.h
+++ b/Libraries/Platform/PlatformClient.h
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-/** The one module that speaks to the platform. */
+/** Client of the platform's HTTP API. No other module calls the platform. */
 namespace lavender::platform {
 
-/** An object of the Object API. */
+/** Object of the platform's Object API. */
 struct stored_object
 {
   std::string mKind;
@@ -29,11 +29,12 @@
 enum class write_state
 {
   Done,
-  /** The condition didn't hold; mCurrent tells what stands there. */
+  /** The object didn't have the expected revision; mCurrent is the object as
+   * stored, or none when it is absent. */
   Conflict,
-  /** Certainly not carried out, for another reason. */
+  /** Not carried out, for another reason than a conflict. */
   Refused,
-  /** It may have taken effect; read back before relying on either. */
+  /** The write may have taken effect; read the object to find out. */
   Unknown
 };
 
@@ -49,7 +50,7 @@
 {
   Found,
   Absent,
-  /** No answer: nothing is known. */
+  /** The read failed; the object may or may not exist. */
   Failed
 };
 
@@ -62,7 +63,7 @@
 
 struct object_list
 {
-  /** Revision of the whole store that the list shows. */
+  /** Revision of the whole store at which the list was taken. */
   std::int64_t mRevision = 0;
   std::vector<stored_object> mObjects;
 };
@@ -75,14 +76,15 @@
 
 struct watch_batch
 {
-  /** Next watch resumes from here. */
+  /** Revision from which the next watch resumes. */
   std::int64_t mRevision = 0;
   std::vector<object_event> mEvents;
-  /** The revision asked for is no longer kept: list anew. */
+  /** The platform no longer keeps the requested revision; the caller has to
+   * list all objects again. */
   bool mIsTooOld = false;
 };
 
-/** One line of the platform's lagging instance list. */
+/** Entry of the platform's instance list, which may be out of date. */
 struct instance
 {
   std::string mName;
@@ -90,7 +92,7 @@
   std::string mPool;
   /** "backend" or "entry". */
   std::string mRole;
-  /** Wire address of the system's process there. */
+  /** Wire endpoint of the system's process on the instance. */
   http::endpoint mEndpoint;
   bool mIsLeaving = false;
 };
@@ -98,24 +100,25 @@
 struct client
 {
   http::endpoint mEndpoint;
-  /** Name of this instance, shown to the platform with each call. */
+  /** Name of this instance, sent with each call in the X-Caller header. */
   std::string mCaller;
   std::chrono::milliseconds mTimeout{ 2000 };
-  /** Counts each call by its kind; may be null. */
+  /** Counts calls by kind and result; may be null. */
   metrics::registry* mMetrics = nullptr;
-  /** Refuses calls over this process's rate at once; null for no limit. */
+  /** Limits the call rate; a call over the rate fails without being sent. Null
+   * for no limit. */
   std::shared_ptr<call_budget> mBudget = nullptr;
 };
 
 read_result
 Read(const client& aClient, const std::string& aKind, const std::string& aName);
 
-/** Objects of a kind, or of all kinds when the kind is empty. */
+/** Lists the objects of a kind, or of all kinds when the kind is empty. */
 result<object_list>
 List(const client& aClient, const std::string& aKind);
 
-/** Conditional write.
- * @param aExpected revision that the object must still have; 0 for create */
+/** Writes an object on condition of its current revision.
+ * @param aExpected revision that the object must have; 0 to create it */
 write_result
 Write(const client& aClient,
       const std::string& aKind,
@@ -129,7 +132,9 @@
        const std::string& aName,
        std::int64_t aExpected);
 
-/** Waits until something changed after the revision, or the wait is over. */
+/** Waits for changes after a revision; returns them, or no events when the wait
+ * ends first.
+ * @param aFrom revision after which changes are returned */
 result<watch_batch>
 Watch(const client& aClient,
       std::int64_t aFrom,
@@ -138,7 +143,7 @@
 result<std::vector<instance>>
 ListInstances(const client& aClient);
 
-/** Posts a document to one of the platform's other interfaces, such as
+/** Posts a document to a platform API other than the Object API, such as
  * "/v1/zones/ZONE/orders" or "/v1/usage/WINDOW". */
 http::call_result
 Post(const client& aClient, const std::string& aPath, const json::value& aBody);
--- a/Libraries/Platform/SettledWrite.cpp
+++ b/Libraries/Platform/SettledWrite.cpp
@@ -5,14 +5,15 @@
 namespace lavender::platform {
 namespace {
 
-constexpr int kMaximumTries = 3;
+constexpr int kMaximumAttempts = 3;
 
-/** Whose write a conflict shows, when an earlier try's answer was lost. */
+/** Resolves a conflict that follows an attempt whose response was lost: tells
+ * by the nonces whether that attempt took effect. */
 write_result
 SettleConflict(write_result aConflict, const std::string& aNonce)
 {
   if (!aConflict.mCurrent) {
-    // Gone: deleted before or after the write, nobody can tell.
+    // The object was deleted; whether before or after the write can't be known.
     aConflict.mState = write_state::Unknown;
     aConflict.mLastReason = "deleted meanwhile";
     return aConflict;
@@ -22,7 +23,7 @@
     aConflict.mState = write_state::Done;
     aConflict.mRevision = current.mRevision;
   } else if (json::StringAt(current.mValue, kReplacesMember, "") == aNonce) {
-    // Done, and already replaced by a later write.
+    // The write took effect and has since been replaced by a later one.
     aConflict.mState = write_state::Done;
     aConflict.mRevision = 0;
   } else {
@@ -44,13 +45,14 @@
   aValue.Set(kReplacesMember, json::StringAt(aPrevious, kNonceMember, ""));
   bool hasUnknown = false;
   write_result written;
-  for (int i = 0; i < kMaximumTries; ++i) {
+  for (int i = 0; i < kMaximumAttempts; ++i) {
     written = aSend(aValue);
     if (written.mState == write_state::Conflict && hasUnknown) {
       return SettleConflict(std::move(written), nonce);
     }
     if (written.mState == write_state::Refused && hasUnknown) {
-      // This try certainly had no effect; the lost one may have had one.
+      // This attempt had no effect, but the one whose response was lost may
+      // have had one.
       written.mState = write_state::Unknown;
     }
     if (written.mState != write_state::Unknown) {
--- a/Libraries/Platform/TestSettledWrite.cpp
+++ b/Libraries/Platform/TestSettledWrite.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** One object of a store, with the faults of a single write. */
+/** Model of a stored object with conditional writes. */
 struct model_object
 {
   std::int64_t mRevision = 1;
@@ -30,7 +30,8 @@
     written.mRevision = ++mRevision;
     return written;
   }
-  /** Another operator writes an equal value, with a nonce of its own. */
+  /** Simulates another operator's write of an equal value with its own nonce.
+   */
   void Race(const json::value& aSpec)
   {
     json::value value;
@@ -45,10 +46,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestSettledWrite)
 
-// Story: an operator withdraws a key; the write takes effect or not, and its
-// answer is lost. Meanwhile another operator writes the very same value. The
-// first one is told "done" although only the other's write counted, or "failed"
-// although it took effect.
+// An operator withdraws a key and the response to the write is lost while
+// another operator writes an equal value. Guards against reporting "done" when
+// only the other operator's write took effect, or "failed" when the first
+// operator's write did.
 BOOST_AUTO_TEST_CASE(SaysDoneOnlyOfItsOwnWrite)
 {
   int lost = 0;
@@ -73,26 +74,26 @@
             object.Race("same");
             ++races;
           }
-          write_result answer;
+          write_result response;
           if (fault % 4 == 1) {
-            // Lost on the way there.
-            answer.mState = write_state::Unknown;
+            // The request is lost.
+            response.mState = write_state::Unknown;
             ++lost;
-            return answer;
+            return response;
           }
           if (fault % 4 == 3) {
-            answer.mState = write_state::Refused;
-            return answer;
+            response.mState = write_state::Refused;
+            return response;
           }
-          answer = object.Apply(expected, aValue);
-          applied += answer.mState == write_state::Done ? 1 : 0;
+          response = object.Apply(expected, aValue);
+          applied += response.mState == write_state::Done ? 1 : 0;
           if (fault % 4 == 2) {
-            // Lost on the way back.
-            answer = {};
-            answer.mState = write_state::Unknown;
+            // The response is lost.
+            response = {};
+            response.mState = write_state::Unknown;
             ++lost;
           }
-          return answer;
+          return response;
         },
         meant,
         previous);
@@ -103,7 +104,8 @@
         RC_ASSERT(applied == 0);
       } else {
         ++unknown;
-        // Something must have been lost for an answer to be unknown.
+        // An unknown outcome requires a lost request or response, which is
+        // always followed by a second attempt.
         RC_ASSERT(sent > 1u);
       }
     }));
