--- a/Libraries/Http/Client.cpp
+++ b/Libraries/Http/Client.cpp
@@ -12,11 +12,12 @@
 namespace lavender::http {
 namespace {
 
-/** Whether no connection came about, so that no byte can have left.
+/** Whether the error means that no connection was established, so that no byte
+ * of the request was sent.
  *
- * The library throws the same type for a refused connection and for one that
- * broke after the request was sent; only the text tells them apart. A text
- * that isn't known counts as sent, which never makes a false "not run". */
+ * cxxtools throws the same type for a refused connection and for one that broke
+ * after the request was sent; only the message differs. An unknown message
+ * counts as sent, so that a request is never falsely reported as not run. */
 bool
 IsConnectFailure(const std::exception& aError)
 {
@@ -26,19 +27,19 @@
          std::string(aError.what()).rfind("while trying to connect", 0) == 0;
 }
 
-/** Longest answer that is taken. */
-constexpr std::size_t kMaximumAnswerBytes = 64u << 20;
+/** Larger response bodies are discarded and the call fails. */
+constexpr std::size_t kMaximumResponseBytes = 64u << 20;
 
-/** What has come of an answer. */
-struct reception : cxxtools::Connectable
+/** Collects the response from the client's events. */
+struct response_collector : cxxtools::Connectable
 {
   std::string mBody;
   bool mHasFinished = false;
   bool mIsTooLarge = false;
 
-  void Finish(cxxtools::http::Client&) { mHasFinished = true; }
+  void HandleFinished(cxxtools::http::Client&) { mHasFinished = true; }
 
-  std::size_t TakeBody(cxxtools::http::Client& aClient)
+  std::size_t HandleBody(cxxtools::http::Client& aClient)
   {
     auto* buffer = aClient.in().rdbuf();
     std::string part(static_cast<std::size_t>(buffer->in_avail()), '\0');
@@ -46,7 +47,7 @@
       buffer->sgetn(part.data(), static_cast<std::streamsize>(part.size()));
     part.resize(static_cast<std::size_t>(got));
     mIsTooLarge =
-      mIsTooLarge || mBody.size() + part.size() > kMaximumAnswerBytes;
+      mIsTooLarge || mBody.size() + part.size() > kMaximumResponseBytes;
     if (mIsTooLarge) {
       mBody.clear();
     } else {
@@ -56,28 +57,31 @@
   }
 };
 
-/** The event-driven form of the library's client is used, because the timeout
- * of its blocking form counts from byte to byte: a dripping server held the
- * calling thread for as long as it liked.
+/** Prepares an asynchronous call. The blocking client isn't used because its
+ * timeout restarts with each byte, so that a server that sends slowly could
+ * hold the calling thread indefinitely.
  *
- * The client must not be connected beforehand: it would send the request a
- * second time when the server closes before its reply. */
+ * The client must not be connected beforehand: it would resend the request when
+ * the server closes the connection before replying. */
 void
 Prepare(cxxtools::http::Client& aClient,
         cxxtools::Selector& aSelector,
         const endpoint& aEndpoint,
-        reception& aReception)
+        response_collector& aCollector)
 {
   aClient.prepareConnect(aEndpoint.mAddress, aEndpoint.mPort);
   aClient.setSelector(aSelector);
-  cxxtools::connect(aClient.replyFinished, aReception, &reception::Finish);
-  cxxtools::connect(aClient.bodyAvailable, aReception, &reception::TakeBody);
+  cxxtools::connect(
+    aClient.replyFinished, aCollector, &response_collector::HandleFinished);
+  cxxtools::connect(
+    aClient.bodyAvailable, aCollector, &response_collector::HandleBody);
 }
 
 cxxtools::http::Request
 ToLibraryRequest(const request& aRequest)
 {
-  // The library sends its own query member only with GET.
+  // cxxtools sends its query member only with GET, so the query is part of the
+  // URL here.
   cxxtools::http::Request made(aRequest.mQuery.empty()
                                  ? aRequest.mPath
                                  : aRequest.mPath + "?" + aRequest.mQuery);
@@ -92,7 +96,7 @@
 
 void
 ApplyReply(cxxtools::http::Client& aClient,
-           reception& aReception,
+           response_collector& aCollector,
            call_result& aOutcome)
 {
   const auto& header = aClient.header();
@@ -102,7 +106,7 @@
   }
   aOutcome.mResponse.mContentType =
     HeaderOr(aOutcome.mResponse.mHeaders, "Content-Type", "");
-  aOutcome.mResponse.mBody = std::move(aReception.mBody);
+  aOutcome.mResponse.mBody = std::move(aCollector.mBody);
   aOutcome.mState = call_state::Answered;
 }
 
@@ -140,18 +144,18 @@
 {
   call_result outcome;
   const auto end = std::chrono::steady_clock::now() + aTimeout;
-  // The library keeps a pointer to the request until the call has ended.
+  // cxxtools keeps a pointer to the request until the call has ended.
   const auto request = ToLibraryRequest(aRequest);
   cxxtools::Selector selector;
   cxxtools::http::Client client;
-  reception reception;
+  response_collector collector;
   try {
-    Prepare(client, selector, aEndpoint, reception);
+    Prepare(client, selector, aEndpoint, collector);
     client.beginExecute(request);
-    while (!reception.mHasFinished) {
+    while (!collector.mHasFinished) {
       const auto left = end - std::chrono::steady_clock::now();
       if (left <= std::chrono::nanoseconds(0)) {
-        // Bytes may have left, whatever the connection was doing.
+        // Part of the request may have been sent, in any connection state.
         outcome.mState = call_state::Unknown;
         outcome.mLastReason = "no whole answer in time";
         return outcome;
@@ -160,12 +164,12 @@
         std::chrono::duration<double, std::milli>(left).count()));
     }
     client.endExecute();
-    if (reception.mIsTooLarge) {
+    if (collector.mIsTooLarge) {
       outcome.mState = call_state::Unknown;
       outcome.mLastReason = "answer too large";
       return outcome;
     }
-    ApplyReply(client, reception, outcome);
+    ApplyReply(client, collector, outcome);
   } catch (const std::exception& error) {
     outcome.mLastReason = error.what();
     if (!IsConnectFailure(error)) {
--- a/Libraries/Http/Client.h
+++ b/Libraries/Http/Client.h
@@ -9,27 +9,28 @@
 
 namespace lavender::http {
 
-/** An IP number and a port. */
+/** IP address and port. */
 struct endpoint
 {
   std::string mAddress;
   std::uint16_t mPort = 0;
 };
 
-/** Reads "ADDRESS:PORT"; none when it isn't one. */
+/** Parses "ADDRESS:PORT"; returns none when the text has another form. */
 std::optional<endpoint>
 ParseEndpoint(const std::string& aText);
 
 std::string
 FormatEndpoint(const endpoint& aEndpoint);
 
-/** How far a call got when there is no whole answer. */
+/** Outcome of a call; tells whether the server may have run the request. */
 enum class call_state
 {
   Answered,
-  /** No byte of the request left: it can't have been carried out. */
+  /** No byte of the request was sent, so the server can't have run it. */
   NotSent,
-  /** Sent, and no whole answer came: it may have been carried out. */
+  /** The request may have been sent and no complete response arrived, so the
+   * server may have run it. */
   Unknown
 };
 
@@ -41,11 +42,11 @@
   std::string mLastReason;
 };
 
-/** One HTTP call on a connection of its own.
+/** Makes one HTTP call on a new connection.
  *
- * The library's client repeats a request on its own when a kept-alive
- * connection closes before the reply, a POST too; a new client per call never
- * does. A body cut short counts as Unknown. */
+ * cxxtools' client resends a request, even a POST, when a kept-alive connection
+ * closes before the reply; a new client per call never does. A truncated body
+ * gives Unknown. */
 call_result
 Call(const endpoint& aEndpoint,
      const request& aRequest,
--- a/Libraries/Http/Message.h
+++ b/Libraries/Http/Message.h
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-/** HTTP over cxxtools, with the bounds that the library leaves open. */
+/** HTTP over cxxtools, with limits that the library doesn't enforce. */
 namespace lavender::http {
 
 using header_list = std::vector<std::pair<std::string, std::string>>;
@@ -13,7 +13,7 @@
 {
   std::string mMethod = "GET";
   std::string mPath = "/";
-  /** Text after the question mark, still encoded. */
+  /** Text after the question mark, percent-encoded. */
   std::string mQuery;
   header_list mHeaders;
   std::string mBody;
@@ -27,7 +27,8 @@
   std::string mBody;
 };
 
-/** First header of that name, compared without case; empty when absent. */
+/** Value of the first header with the name, compared case-insensitively; the
+ * fallback when absent. */
 std::string
 HeaderOr(const header_list& aHeaders,
          const std::string& aName,
@@ -43,7 +44,7 @@
 std::string
 DecodeUrl(const std::string& aText);
 
-/** Encodes everything but unreserved characters. */
+/** Percent-encodes all but unreserved characters. */
 std::string
 EncodeUrl(const std::string& aText);
 
--- a/Libraries/Http/Router.h
+++ b/Libraries/Http/Router.h
@@ -8,7 +8,7 @@
 
 namespace lavender::http {
 
-/** Path parts that stood where the pattern has a star, in order. */
+/** Path segments that matched the pattern's stars, in order. */
 using path_parts = std::vector<std::string>;
 using routed_handler =
   std::function<response(const request&, const path_parts&)>;
@@ -16,13 +16,13 @@
 struct route
 {
   std::string mMethod;
-  /** Such as "/v1/resources/STAR/STAR" with stars; a last "**" takes the
-   * rest of the path. */
+  /** Such as "/v1/resources/STAR/STAR", where STAR stands for an asterisk that
+   * matches one segment. A final "**" matches the rest of the path. */
   std::string mPattern;
   routed_handler mHandler;
 };
 
-/** Table of routes; the first match serves. */
+/** Table of routes; the first route that matches handles the request. */
 struct router
 {
   std::vector<route> mRoutes;
@@ -34,8 +34,8 @@
   }
 };
 
-/** Serves a request; unknown paths get 404, known paths with another method
- * 405, both as JSON. */
+/** Dispatches a request to its route. The response is 404 for an unknown path
+ * and 405 for a known path with another method, both with a JSON body. */
 response
 Serve(const router& aRouter, const request& aRequest);
 
--- a/Libraries/Http/Server.cpp
+++ b/Libraries/Http/Server.cpp
@@ -69,7 +69,8 @@
   }
 }
 
-/** Length named by the header; throws on a malformed one. */
+/** Parses a Content-Length header; throws refused_request when it is malformed
+ * or over the limit. */
 std::size_t
 ParseLength(const char* aText, std::size_t aLimit)
 {
@@ -154,7 +155,7 @@
                     std::istream& aInput,
                     cxxtools::http::Request& aRequest) override
   {
-    // The base class remembers the request for reading its body.
+    // The base class keeps the request to read its body later.
     cxxtools::http::Responder::beginRequest(aSocket, aInput, aRequest);
     CheckBodyHeaders(aRequest, mState.mOptions.mMaximumBodyBytes);
   }
@@ -197,18 +198,18 @@
   }
 
 private:
-  void Send(const response& aAnswer, cxxtools::http::Reply& aReply)
+  void Send(const response& aResponse, cxxtools::http::Reply& aReply)
   {
-    aReply.httpReturn(static_cast<unsigned>(aAnswer.mStatus),
-                      ReasonPhrase(aAnswer.mStatus));
-    aReply.header().setHeader("Content-Type", aAnswer.mContentType.c_str());
-    for (const auto& [name, content] : aAnswer.mHeaders) {
+    aReply.httpReturn(static_cast<unsigned>(aResponse.mStatus),
+                      ReasonPhrase(aResponse.mStatus));
+    aReply.header().setHeader("Content-Type", aResponse.mContentType.c_str());
+    for (const auto& [name, content] : aResponse.mHeaders) {
       aReply.header().setHeader(name.c_str(), content.c_str());
     }
     if (mState.mAsksToClose) {
       aReply.header().setHeader("Connection", "close");
     }
-    aReply.bodyStream() << aAnswer.mBody;
+    aReply.bodyStream() << aResponse.mBody;
   }
 
   shared_state& mState;
@@ -237,7 +238,8 @@
   shared_state& mState;
 };
 
-/** Serialises listening, so that the new socket can be told from others. */
+/** Serialises the creation of listeners, so that the socket of a new listener
+ * can be identified. */
 std::mutex gListenMutex; // NOLINT
 
 } // namespace
@@ -260,8 +262,8 @@
   self.mState.mHandler = std::move(aHandler);
   const auto& options = self.mState.mOptions;
   {
-    // The library doesn't tell which port the system chose for port 0, so
-    // the listening sockets before and after are compared.
+    // cxxtools doesn't report which port the system chose for port 0, so the
+    // listening sockets before and after are compared.
     std::lock_guard lock(gListenMutex);
     const auto before = ListeningSockets();
     self.mServer = std::make_unique<cxxtools::http::Server>(
--- a/Libraries/Http/TestClient.cpp
+++ b/Libraries/Http/TestClient.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-/** Reads each request on a new connection, then closes without an answer. */
+/** Reads each request on a new connection, then closes it without responding.
+ */
 class closing_listener
 {
 public:
@@ -61,7 +62,7 @@
   std::thread mThread;
 };
 
-/** Answers one request with a byte every 50 ms. */
+/** Responds to one request with a byte every 50 ms. */
 class dripping_listener
 {
 public:
@@ -119,9 +120,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestClient)
 
-// A booking is made twice from one call. The server accepts the connection,
-// reads the booking and dies before its answer; a client that repeats on its
-// own sends the same bytes again on a new connection.
+// Guards against a request being run twice. The server reads the request and
+// crashes before responding; a client that retries automatically sends the same
+// request again on a new connection.
 BOOST_AUTO_TEST_CASE(SendsOnceWhenTheServerClosesBeforeItsAnswer)
 {
   closing_listener server;
@@ -133,8 +134,8 @@
   BOOST_TEST((outcome.mState == http::call_state::Unknown));
 }
 
-// A caller is told "not run" truthfully: nobody listens, so nothing can have
-// left.
+// When no process listens at the address, nothing can have been sent, and the
+// caller is told that the request wasn't run.
 BOOST_AUTO_TEST_CASE(TellsThatNothingWasSentWhenNobodyListens)
 {
   std::uint16_t port = 0;
@@ -147,9 +148,8 @@
   BOOST_TEST((outcome.mState == http::call_state::NotSent));
 }
 
-// A server drips its answer byte by byte. Each byte restarts a timeout that
-// counts from byte to byte, so the calling thread is held for as long as the
-// server likes.
+// A server sends its response byte by byte. A timeout that restarts with each
+// byte would hold the calling thread indefinitely.
 BOOST_AUTO_TEST_CASE(ADrippingAnswerEndsByTheTimeout)
 {
   dripping_listener server;
