--- a/Libraries/Settings/Settings.cpp
+++ b/Libraries/Settings/Settings.cpp
@@ -16,7 +16,7 @@
 constexpr const char* kVersion = "0.1.0";
 
 std::string
-Describe(const setting& aSetting)
+HelpText(const setting& aSetting)
 {
   std::string text = aSetting.mDescription;
   if (!aSetting.mUnit.empty()) {
@@ -193,16 +193,16 @@
   TCLAP::CmdLine line(aProgram, ' ', kVersion);
   TCLAP::SwitchArg checkOnly("",
                              "check-settings",
-                             "Report everything wrong with the settings and "
-                             "end with status 2, or with 0 when all is well.",
+                             "Report all errors in the settings and exit with "
+                             "status 2, or with 0 when there are none.",
                              line);
   std::vector<std::unique_ptr<TCLAP::ValueArg<std::string>>> flags;
   for (const auto& declared : aDeclared) {
     flags.push_back(std::make_unique<TCLAP::ValueArg<std::string>>(
-      "", declared.mFlag, Describe(declared), false, "", "value", line));
+      "", declared.mFlag, HelpText(declared), false, "", "value", line));
   }
-  // The library would print the first error and exit; here it is one finding
-  // among the others. Help and version still end the process.
+  // By default TCLAP prints the first error and exits; here the error becomes
+  // one of the findings. Help and version still exit the process.
   line.setExceptionHandling(false);
   try {
     line.parse(aCount, aArguments);
@@ -225,7 +225,8 @@
     }
     if (auto problem = Check(declared, text); !problem.empty()) {
       outcome.mFindings.Add(place, problem);
-      // Checks across settings go on after a finding, and read numbers.
+      // Later checks that compare settings parse the values as numbers, so an
+      // invalid value is replaced by the default.
       text = declared.mDefault;
     }
     outcome.mValues.mByFlag[declared.mFlag] = text;
--- a/Libraries/Settings/Settings.h
+++ b/Libraries/Settings/Settings.h
@@ -9,7 +9,8 @@
 #include <string>
 #include <vector>
 
-/** Settings from flags and environment variables, checked all at once. */
+/** Settings from flags and environment variables; all errors are reported
+ * together. */
 namespace lavender::settings {
 
 enum class setting_kind
@@ -29,13 +30,13 @@
   File
 };
 
-/** Declaration of one setting. The environment variable's name follows from
- * the flag: "--wire-listen" is LAVENDER_WIRE_LISTEN. */
+/** Declaration of one setting. The environment variable's name is derived from
+ * the flag's: "--wire-listen" is LAVENDER_WIRE_LISTEN. */
 struct setting
 {
   std::string mFlag;
   std::string mDescription;
-  /** Unit for people, such as "ms". */
+  /** Unit shown in the help text, such as "ms". */
   std::string mUnit;
   std::string mDefault;
   setting_kind mKind = setting_kind::Text;
@@ -45,11 +46,12 @@
   bool mIsRequired = false;
 };
 
-/** Declaration of an optional file. */
+/** Declares an optional setting of kind File. */
 setting
 OptionalFile(std::string aFlag, std::string aDescription);
 
-/** Settings after reading, by flag. */
+/** Values of the settings by flag, after flags, environment variables and
+ * defaults were read. */
 struct values
 {
   std::map<std::string, std::string> mByFlag;
@@ -58,36 +60,36 @@
   std::int64_t Integer(const std::string& aFlag) const;
   double Decimal(const std::string& aFlag) const;
   std::chrono::milliseconds Milliseconds(const std::string& aFlag) const;
-  /** Comma-separated parts; empty when the text is. */
+  /** Comma-separated elements; empty when the text is empty. */
   std::vector<std::string> List(const std::string& aFlag) const;
 };
 
-/** What main should do after reading. */
+/** Result of reading the settings. */
 struct reading
 {
   values mValues;
   findings mFindings;
-  /** Only check and report. */
+  /** Set by --check-settings: report findings and exit. */
   bool mIsCheckOnly = false;
 };
 
 std::string
 VariableName(const std::string& aFlag);
 
-/** Reads flags first, then variables, then defaults, and collects every
- * finding with its place. Prints help or version and ends the process when
- * asked to, as TCLAP does. */
+/** Reads each setting from its flag, else from its environment variable, else
+ * from its default, and collects all findings. With --help or --version, prints
+ * the text and exits the process, as TCLAP does. */
 reading
 Read(const std::string& aProgram,
      const std::vector<setting>& aDeclared,
      int aCount,
      char** aArguments);
 
-/** Prints findings one per line on standard error. */
+/** Prints the findings to standard error, one per line. */
 void
 Report(const findings& aFindings);
 
-/** Exit status for settings with findings. */
+/** Exit status of a process whose settings have findings. */
 constexpr int kBadSettingsStatus = 2;
 
 } // namespace lavender::settings
