--- a/Libraries/Metrics/Metrics.h
+++ b/Libraries/Metrics/Metrics.h
@@ -6,13 +6,13 @@
 #include <mutex>
 #include <string>
 
-/** Counters, gauges and latency histograms in Prometheus text. */
+/** Counters, gauges and latency histograms in Prometheus text format. */
 namespace lavender::metrics {
 
-/** Label names and values; part of a series' identity. */
+/** Label names and values; with the metric's name they identify a series. */
 using labels = std::map<std::string, std::string>;
 
-/** All series of one process. Safe to use from any thread. */
+/** All series of one process. Thread-safe. */
 class registry
 {
 public:
@@ -21,11 +21,11 @@
   registry(const registry&) = delete;
   registry& operator=(const registry&) = delete;
 
-  /** Adds to a counter, such as one per refusal reason. */
+  /** Adds to a counter; creates it when it doesn't exist. */
   void Count(const std::string& aName,
              const labels& aLabels,
              std::uint64_t aAmount = 1);
-  /** Current value of a counter; 0 when it was never counted. */
+  /** Returns a counter's current value; 0 when it doesn't exist. */
   std::uint64_t Counter(const std::string& aName, const labels& aLabels) const;
   void SetGauge(const std::string& aName, const labels& aLabels, double aValue);
   /** Adds one duration to a histogram with logarithmic buckets from 1 ms to
@@ -34,7 +34,7 @@
                const labels& aLabels,
                std::chrono::nanoseconds aDuration);
 
-  /** Prometheus text exposition of everything. */
+  /** Writes all series in Prometheus text exposition format. */
   std::string Write() const;
 
 private:
