--- a/Libraries/Wire/ConnectionPool.h
+++ b/Libraries/Wire/ConnectionPool.h
@@ -14,20 +14,22 @@
 #include <utility>
 #include <vector>
 
-/** Thrift between the system's own processes: bounded calls on pooled
- * connections, and the server side. */
+/** Thrift calls between the system's own processes: calls with a timeout on
+ * pooled connections, and the server. */
 namespace lavender::wire {
 
-/** How one call on the wire ended. */
+/** Outcome of a call; tells whether the peer may have run it. */
 enum class wire_state
 {
   Answered,
-  /** The connection couldn't be opened: the call can't have arrived. */
+  /** The connection couldn't be opened, so the call wasn't sent. */
   NotSent,
-  /** As NotSent, and nobody listens at the address: the process that did is
-   * gone. A paused one would still be connected to by its kernel. */
+  /** As NotSent, and no process listens at the address, so the process that did
+   * has ended. A process that is only paused isn't reported as Refused, since
+   * its kernel still accepts connections. */
   Refused,
-  /** The call left and no answer came: it may have been carried out. */
+  /** The call may have been sent and no valid response arrived, so the peer may
+   * have run it. */
   Unknown
 };
 
@@ -40,18 +42,19 @@
   std::string mLastReason;
 };
 
-/** Pool of connections to one process's Thrift service.
+/** Pool of connections to the Thrift service of one process.
  *
- * A connection on which a call failed in any way is closed and never used
- * again: after a timeout its late answer would be taken for the next call's.
- * For the same reason every reply's echo is compared with the request's. */
+ * A connection is closed after any failed call: after a timeout, the late
+ * response would be read as the response to the next call. For the same reason
+ * the echo of each response is compared with the request's. */
 template<typename Client>
 class connection_pool
 {
 public:
-  connection_pool(http::endpoint aEndpoint, std::chrono::milliseconds aConnect)
+  connection_pool(http::endpoint aEndpoint,
+                  std::chrono::milliseconds aConnectTimeout)
     : mEndpoint(std::move(aEndpoint))
-    , mConnectTimeout(aConnect)
+    , mConnectTimeout(aConnectTimeout)
   {
   }
   connection_pool(const connection_pool&) = delete;
@@ -60,16 +63,16 @@
   const http::endpoint& Endpoint() const { return mEndpoint; }
 
   /** Runs one call on an idle connection, or on a new one.
-   * @param aTimeout longest silence before the connection counts as dead
-   * @param aEcho id that the reply has to carry in its echo
-   * @param aAction calls a method of the client that fills the reply */
+   * @param aTimeout timeout of each send and receive on the socket
+   * @param aEcho id that the response has to carry in its echo
+   * @param aAction calls a method of the client that fills the response */
   template<typename Reply, typename Action>
   wire_result<Reply> Run(std::chrono::milliseconds aTimeout,
                          const std::string& aEcho,
                          const Action& aAction)
   {
     wire_result<Reply> outcome;
-    auto connection = TakeIdle();
+    auto connection = PopIdle();
     try {
       if (!connection) {
         connection = Open();
@@ -83,7 +86,7 @@
         return outcome;
       }
       outcome.mState = wire_state::Answered;
-      GiveBack(std::move(connection));
+      ReturnIdle(std::move(connection));
     } catch (const std::exception& error) {
       outcome.mLastReason = error.what();
       if (outcome.mState == wire_state::NotSent && IsRefusal(error)) {
@@ -93,8 +96,9 @@
     return outcome;
   }
 
-  /** Closes all idle connections, for a peer that went silent or left: the
-   * next call opens a new one, which works when only old ones are dead. */
+  /** Closes all idle connections, for a peer that doesn't respond or has left.
+   * The next call opens a new connection, which may work where the old ones
+   * don't. */
   void DropIdle()
   {
     std::lock_guard lock(mMutex);
@@ -118,17 +122,17 @@
     ~connection() { mSocket->close(); }
   };
 
-  /** The library tells a refused connection from a silent one only by the
-   * system's text. An unknown text counts as silence. */
+  /** Thrift distinguishes a refused connection from one without a response only
+   * by the system's error text. An unknown text counts as no response. */
   static bool IsRefusal(const std::exception& aError)
   {
     return std::string(aError.what()).find("Connection refused") !=
            std::string::npos;
   }
 
-  /** False when the peer has closed the connection, or when bytes lie there
-   * that nobody asked for. A call on such a connection would end with an
-   * unknown outcome although a new connection works. */
+  /** Returns false when the peer has closed the connection or unexpected bytes
+   * are waiting on it. A call on such a connection would end with an unknown
+   * outcome although it would succeed on a new connection. */
   static bool IsUsable(const connection& aConnection)
   {
     pollfd waiting{ aConnection.mSocket->getSocketFD(), POLLIN, 0 };
@@ -144,7 +148,7 @@
     return std::make_unique<connection>(std::move(socket));
   }
 
-  std::unique_ptr<connection> TakeIdle()
+  std::unique_ptr<connection> PopIdle()
   {
     std::lock_guard lock(mMutex);
     while (!mIdle.empty()) {
@@ -157,7 +161,7 @@
     return nullptr;
   }
 
-  void GiveBack(std::unique_ptr<connection> aConnection)
+  void ReturnIdle(std::unique_ptr<connection> aConnection)
   {
     constexpr std::size_t kMaximumIdle = 32;
     std::lock_guard lock(mMutex);
--- a/Libraries/Wire/Document.h
+++ b/Libraries/Wire/Document.h
@@ -6,7 +6,7 @@
 #include <thrift/protocol/TBinaryProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
-/** Messages as bytes, for files. */
+/** Serialises Thrift messages to bytes, for files. */
 namespace lavender::wire {
 
 template<typename Message>
@@ -19,7 +19,7 @@
   return buffer->getBufferAsString();
 }
 
-/** None when the bytes are no such message. */
+/** Returns none when the bytes can't be parsed as a message of the type. */
 template<typename Message>
 std::optional<Message>
 Decode(const std::string& aBytes)
--- a/Libraries/Wire/Security.cpp
+++ b/Libraries/Wire/Security.cpp
@@ -8,9 +8,9 @@
 
 namespace transport = apache::thrift::transport;
 
-/** Lets in every peer whose certificate the authority signed. The library
- * has checked the signature before it asks; names aren't compared, since
- * processes reach each other by IP number. */
+/** Accepts every peer whose certificate the authority signed. Thrift has
+ * verified the signature before it calls this class. Host names aren't compared
+ * because processes connect to each other by IP address. */
 class signed_peers : public transport::AccessManager
 {
 public:
@@ -19,9 +19,9 @@
 
 using factory_pointer = std::shared_ptr<transport::TSSLSocketFactory>;
 
-/** Null for plain TCP. Written once before the first connection. Listeners
- * need a factory of their own: the library marks it as the server's, and its
- * sockets then refuse to open connections. */
+/** Socket factories; null for plain TCP. Set once before the first connection.
+ * Listeners need a separate factory: Thrift marks it as a server factory, and
+ * its sockets then refuse to open connections. */
 struct factories
 {
   factory_pointer mClient;
--- a/Libraries/Wire/Security.h
+++ b/Libraries/Wire/Security.h
@@ -10,11 +10,12 @@
 
 namespace lavender::wire {
 
-/** PEM files of one process; all set, or none for plain TCP. */
+/** Paths of a process's PEM files for mutual TLS; either all are set, or none
+ * for plain TCP. */
 struct security_files
 {
-  /** Authority that signs the certificates of the system's own processes and
-   * nothing else: whoever shows one is let in. */
+  /** Authority that signs only the certificates of the system's own processes:
+   * every peer with a certificate that it signed is accepted. */
   std::string mAuthority;
   std::string mCertificate;
   std::string mPrivateKey;
@@ -22,13 +23,13 @@
   bool IsSet() const { return !mAuthority.empty(); }
 };
 
-/** Secures every later connection and listener of this process with mutual
- * TLS. Called once in main before the first connection; throws when a file
- * can't be used. */
+/** Enables mutual TLS for all later connections and listeners of this process.
+ * Called once in main before the first connection; throws when a file can't be
+ * loaded. */
 void
 UseSecurity(const security_files& aFiles);
 
-/** A client socket, not yet open. */
+/** Creates a client socket that isn't open yet. */
 std::shared_ptr<apache::thrift::transport::TSocket>
 MakeClientSocket(const http::endpoint& aEndpoint);
 
--- a/Libraries/Wire/SecuritySettings.h
+++ b/Libraries/Wire/SecuritySettings.h
@@ -5,11 +5,12 @@
 
 namespace lavender::wire {
 
-/** Settings that both programs have for TLS between processes. */
+/** Declares the settings for TLS between processes, which both programs
+ * have. */
 std::vector<settings::setting>
 DeclareSecurity();
 
-/** Adds a finding when only some of the files are set. */
+/** Adds a finding when some but not all of the files are set. */
 void
 CheckSecurity(const settings::values& aValues, findings& aFindings);
 
--- a/Libraries/Wire/TestConnectionPool.cpp
+++ b/Libraries/Wire/TestConnectionPool.cpp
@@ -14,8 +14,8 @@
 using pool = wire::connection_pool<wire::agent_serviceClient>;
 using reply_result = wire::wire_result<wire::dispatch_reply>;
 
-/** Answers a question named "slow" late, and one named "crossed" with the
- * answer to another. */
+/** Responds late to a request with id "slow", and with another request's echo
+ * to one with id "crossed". */
 class slow_service : public wire::agent_serviceNull
 {
 public:
@@ -54,7 +54,7 @@
     }
   }
 
-  reply_result Ask(const std::string& aId, std::chrono::milliseconds aTimeout)
+  reply_result Call(const std::string& aId, std::chrono::milliseconds aTimeout)
   {
     return mPool->Run<wire::dispatch_reply>(
       aTimeout, aId, [&](auto& aClient, auto& aReply) {
@@ -67,14 +67,14 @@
 
 BOOST_AUTO_TEST_SUITE(TestConnectionPool)
 
-// A caller gets the answer to an earlier call. That call timed out, its
-// connection was used again, and its late answer lay there first.
+// Guards against a caller receiving the response to an earlier call: if a
+// connection is reused after a timeout, the late response is read first.
 BOOST_FIXTURE_TEST_CASE(LateAnswerIsNotTheNextCalls, served)
 {
-  BOOST_TEST((Ask("slow", 50ms).mState == wire::wire_state::Unknown));
+  BOOST_TEST((Call("slow", 50ms).mState == wire::wire_state::Unknown));
   for (int i = 0; i < 10; ++i) {
     const auto id = "next " + std::to_string(i);
-    const auto next = Ask(id, 2000ms);
+    const auto next = Call(id, 2000ms);
     BOOST_TEST((next.mState == wire::wire_state::Answered));
     BOOST_TEST(next.mReply.reason == "answer to " + id);
     std::this_thread::sleep_for(50ms);
@@ -82,23 +82,23 @@
   BOOST_TEST(mService->mCalls == 11);
 }
 
-// An answer that names another request is no answer at all.
+// A response whose echo names another request is rejected.
 BOOST_FIXTURE_TEST_CASE(CrossedAnswerIsNoAnswer, served)
 {
-  BOOST_TEST((Ask("crossed", 2000ms).mState == wire::wire_state::Unknown));
-  BOOST_TEST((Ask("next", 2000ms).mState == wire::wire_state::Answered));
+  BOOST_TEST((Call("crossed", 2000ms).mState == wire::wire_state::Unknown));
+  BOOST_TEST((Call("next", 2000ms).mState == wire::wire_state::Answered));
 }
 
-// A process restarts, and the connections to it are closed. The next call
-// must neither fail on one of them nor be taken for one that may have arrived.
+// A restarted process has closed its connections. The next call must not fail
+// on one of them, nor have an unknown outcome.
 BOOST_FIXTURE_TEST_CASE(ClosedConnectionIsNotUsedAgain, served)
 {
-  BOOST_TEST((Ask("first", 2000ms).mState == wire::wire_state::Answered));
+  BOOST_TEST((Call("first", 2000ms).mState == wire::wire_state::Answered));
   const auto port = mServer->Port();
   mServer.reset();
-  BOOST_TEST((Ask("down", 2000ms).mState == wire::wire_state::Refused));
+  BOOST_TEST((Call("down", 2000ms).mState == wire::wire_state::Refused));
   Start(port);
-  BOOST_TEST((Ask("again", 2000ms).mState == wire::wire_state::Answered));
+  BOOST_TEST((Call("again", 2000ms).mState == wire::wire_state::Answered));
   BOOST_TEST(mService->mCalls == 2);
 }
 
--- a/Libraries/Wire/WireServer.cpp
+++ b/Libraries/Wire/WireServer.cpp
@@ -18,7 +18,7 @@
 using apache::thrift::server::TServerEventHandler;
 using apache::thrift::server::TThreadedServer;
 
-/** Tells the constructing thread when the listener is open. */
+/** Signals the constructing thread when the server listens. */
 class listening_signal : public TServerEventHandler
 {
 public:
@@ -26,8 +26,8 @@
   std::promise<void> mOpened;
 };
 
-/** The library writes to standard error on its own; its messages, mostly of
- * peers that closed, become log lines of this part. */
+/** Redirects Thrift's messages from standard error to the log at debug level.
+ * Most of them are about connections that the peer closed. */
 void
 LogLibraryMessages()
 {
@@ -68,7 +68,8 @@
     try {
       self.mServer->serve();
     } catch (...) {
-      // Only a failure to listen gets here before the signal was given.
+      // An exception before the signal is a failure to listen; one after it
+      // finds the promise fulfilled and is ignored.
       try {
         signal->mOpened.set_exception(std::current_exception());
       } catch (const std::future_error&) {
--- a/Libraries/Wire/WireServer.h
+++ b/Libraries/Wire/WireServer.h
@@ -7,11 +7,11 @@
 
 namespace lavender::wire {
 
-/** A Thrift listener with a thread for each connection and one for itself. */
+/** Thrift server with one thread that accepts and one for each connection. */
 class wire_server
 {
 public:
-  /** @param aPort 0 lets the system choose; Port tells which it chose */
+  /** @param aPort 0 lets the system choose a port, which Port returns */
   wire_server(const std::string& aAddress,
               std::uint16_t aPort,
               std::shared_ptr<apache::thrift::TProcessor> aProcessor);
@@ -20,7 +20,7 @@
   wire_server& operator=(const wire_server&) = delete;
 
   std::uint16_t Port() const;
-  /** Stops accepting, ends open connections and joins all threads. */
+  /** Stops accepting, closes open connections and joins all threads. */
   void Stop();
 
 private:
--- a/Libraries/Wire/lavender.thrift
+++ b/Libraries/Wire/lavender.thrift
@@ -1,37 +1,37 @@
 // Messages between the system's own processes. Regenerate the C++ with
 // Meta/regenerate-thrift after a change; the generated code is committed.
 //
-// Every reply carries the id of the request that it answers (mEcho), because
-// a generated client does not compare sequence numbers: after a timeout the
-// next call on the same transport would take the earlier call's answer.
+// Every response carries the id of its request in the field "echo", because a
+// generated client doesn't compare sequence numbers: after a timeout, the next
+// call on the same transport would read the response to the earlier call.
 namespace cpp lavender.wire
 
-// Where one request stands in an agent's ledger.
+// State of a request in an agent's ledger.
 enum run_state {
   UNKNOWN_ID = 0,
   QUEUED = 1,
   RUNNING = 2,
   FINISHED = 3,
-  // Never started and never will: a truthful "not run".
+  // The run wasn't started and never will be.
   NOT_RUN = 4,
-  // It started, and how it ended can't be known.
+  // The run was started; whether it was completed can't be determined.
   OUTCOME_UNKNOWN = 5
 }
 
 struct dispatch_order {
   1: string request_id,
-  // The agent incarnation meant; another incarnation refuses.
+  // Incarnation that the order is addressed to; another incarnation refuses it.
   2: string agent_incarnation,
   3: string entry_incarnation,
   4: string customer,
-  // Identifies the key's record; never the key itself.
+  // Name of the key's record, never the key itself.
   5: string key_id,
   6: string operation,
   7: string payload,
   // Fair-queue weight and estimated cost in tokens.
   8: double weight = 1.0,
   9: i64 cost_tokens = 1,
-  // Milliseconds left until the caller's deadline.
+  // Milliseconds until the caller's deadline.
   10: i64 deadline_left_ms,
   11: bool repeatable = true,
   12: i32 priority = 0,
@@ -39,9 +39,9 @@
   13: i64 oldest_weight_version = 0,
   14: string method,
   15: string path,
-  // When the attempt was made, in milliseconds of the agent's own clock as
-  // the entry reckons it. An order that is too old is refused, so that the
-  // agent may forget tombstones after a bounded time.
+  // Time of the attempt in milliseconds of the agent's clock, as estimated by
+  // the entry. The agent refuses an order that is too old, so that it can
+  // remove tombstones after a bounded time.
   16: i64 issued_at_ms = 0
 }
 
@@ -50,11 +50,11 @@
   2: i32 running,
   3: i32 slots,
   4: double tokens_per_second,
-  // Age of the server's own report in milliseconds.
+  // Age of the backend server's report in milliseconds.
   5: i64 age_ms,
   6: double queue_delay_ms,
   7: double fail_share,
-  // Hashes of prompt prefixes believed to be cached.
+  // Hashes of prompt prefixes that are presumed to be cached.
   8: list<i64> cached_prefixes
 }
 
@@ -69,11 +69,11 @@
   3: string body,
   4: i64 prompt_tokens,
   5: i64 completion_tokens,
-  // Weight versions that produced the answer, in order. Empty: not known.
+  // Weight versions that generated the output, in order; empty when not known.
   6: list<weight_part> versions,
-  // Usage window that the run is billed in.
+  // Usage window in which the run is billed.
   7: i64 usage_window,
-  // Model that the versions belong to.
+  // Model of the versions.
   8: string model,
   // Why the versions aren't known.
   9: string version_reason
@@ -90,18 +90,20 @@
   8: bool draining
 }
 
-// What an entry knows, told to each agent with the poll for its report.
+// State of an entry's configuration, sent to each agent with the poll for its
+// report.
 struct entry_digest {
   1: string echo,
   2: string entry_incarnation,
-  // Of the last change to the configuration that the entry knows.
+  // Revision of the last configuration change known to the entry.
   3: i64 configuration_revision,
-  // Age of the last proof that the entry's configuration was the newest.
+  // Milliseconds since the entry's configuration was last known to be the
+  // store's newest.
   4: i64 fresh_age_ms
 }
 
-// Requests of one customer that an agent holds, queued or running, and those
-// of them that the asking entry sent.
+// Requests of one customer that are queued or running at an agent, and how many
+// of them the polling entry sent.
 struct customer_load {
   1: string customer,
   2: i32 in_flight,
@@ -118,14 +120,15 @@
   7: bool draining,
   8: string model,
   9: i64 weight_version,
-  // Highest revision any entry has shown, and the age of the freshest proof.
+  // Highest revision that any entry has sent to the agent, and the lowest age in
+  // milliseconds at which an entry's configuration was known to be the newest.
   10: i64 witnessed_revision,
   11: i64 witnessed_fresh_age_ms,
   12: bool server_reachable,
   13: i64 open_usage_window,
-  // The agent's clock when it answered.
+  // The agent's clock, in milliseconds, when it sent the report.
   14: i64 clock_ms = 0,
-  // Customers with requests here, the busiest first, at most 64.
+  // Customers with requests at the agent, the busiest first, at most 64.
   15: list<customer_load> customers
 }
 
@@ -135,8 +138,8 @@
   3: i64 version,
   4: i64 fencing,
   5: string holder,
-  // The agent incarnation meant: a successor doesn't know which fencing
-  // numbers its predecessor saw, so it refuses what was meant for that one.
+  // Incarnation that the order is addressed to. A later incarnation refuses the
+  // order, because it doesn't know which fencing numbers the earlier one saw.
   6: string agent_incarnation
 }
 
@@ -144,7 +147,7 @@
   1: string echo,
   2: bool done,
   3: string reason,
-  // The version that the server truly holds; 0 when not known.
+  // Version that is loaded on the server; 0 when not known.
   4: i64 holds_version
 }
 
@@ -155,7 +158,7 @@
   4: i64 completion_tokens
 }
 
-// All runs that one agent finished for one entry in one window.
+// Usage of all runs that one agent finished for one entry in one usage window.
 struct usage_bucket {
   1: string agent_incarnation,
   2: string entry_incarnation,
@@ -163,8 +166,9 @@
   4: list<usage_row> rows
 }
 
-// A run whose caller was answered by a repeat at another agent, since its own
-// agent was out of reach. The repeat is billed, this run isn't.
+// A run that was repeated at another agent because its own agent was
+// unreachable. The caller received the repeated run's response; that run is
+// billed and this one isn't.
 struct superseded_run {
   1: string agent_incarnation,
   2: string request_id
@@ -172,11 +176,12 @@
 
 struct usage_query {
   1: string echo,
-  // Buckets of windows up to this one that aren't settled yet.
+  // Requests the unsettled buckets of windows up to and including this one.
   2: i64 through_window,
-  // Buckets that the platform has fixed and the witness may forget.
+  // Buckets that the platform has settled; the witness may remove them.
   3: list<usage_bucket> settled,
-  // Runs of the agent that is asked; it takes them out before it answers.
+  // Runs of the agent that receives the query; it removes them from its buckets
+  // before it responds.
   4: list<superseded_run> superseded
 }
 
@@ -184,9 +189,9 @@
   1: string echo,
   2: string incarnation,
   3: list<usage_bucket> buckets,
-  // An agent adds nothing more to windows up to this one.
+  // An agent adds nothing more to windows up to and including this one.
   4: i64 closed_through,
-  // Runs that an entry had repeated elsewhere, of any agent.
+  // Runs of any agent that an entry has repeated at another agent.
   5: list<superseded_run> superseded
 }
 
@@ -206,7 +211,7 @@
   dispatch_reply Dispatch(1: dispatch_order order, 2: i32 wait_ms),
   dispatch_reply Await(1: string request_id, 2: string agent_incarnation,
                        3: i32 wait_ms),
-  // The order's stamp tells the agent whether it may have forgotten the id.
+  // From issued_at_ms the agent tells whether it may have removed the id.
   dispatch_reply Cancel(1: string request_id, 2: string agent_incarnation,
                         3: i64 issued_at_ms),
   agent_report Report(1: entry_digest digest),
@@ -218,12 +223,12 @@
 struct peer_digest {
   1: string echo,
   2: string entry_incarnation,
-  // Revision of the store up to which the sender knows all changes.
+  // Store revision up to which the sender knows all changes.
   3: i64 configuration_revision,
   4: i64 fresh_age_ms,
   // Revision of the last change that touched the configuration.
   5: i64 changed_revision,
-  // Instance name, since an address may have been given to another instance.
+  // Instance name; the address may have been reassigned to another instance.
   6: string name
 }
 
@@ -243,7 +248,7 @@
   6: bool leaving
 }
 
-// The platform's instance list as last seen; kept in the data folder.
+// The platform's instance list as last read, stored in the data folder.
 struct instance_list {
   1: list<instance_record> instances
 }
