--- a/Libraries/Core/CheckedFile.cpp
+++ b/Libraries/Core/CheckedFile.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 std::string
-Failure(const char* aStep)
+ErrorText(const char* aStep)
 {
   return std::string(aStep) + ": " + std::strerror(errno);
 }
@@ -26,17 +26,18 @@
   const int file = open(
     aPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, S_IRUSR | S_IWUSR);
   if (file < 0) {
-    return Failure("open");
+    return ErrorText("open");
   }
   scope_guard closing([file] { close(file); });
-  for (std::size_t sent = 0; sent < aBytes.size();) {
-    const auto count = write(file, aBytes.data() + sent, aBytes.size() - sent);
+  for (std::size_t written = 0; written < aBytes.size();) {
+    const auto count =
+      write(file, aBytes.data() + written, aBytes.size() - written);
     if (count < 0) {
-      return Failure("write");
+      return ErrorText("write");
     }
-    sent += static_cast<std::size_t>(count);
+    written += static_cast<std::size_t>(count);
   }
-  return fsync(file) == 0 ? std::string() : Failure("fsync");
+  return fsync(file) == 0 ? std::string() : ErrorText("fsync");
 }
 
 /** Syncs the directory, so that the rename survives a crash. */
@@ -57,13 +58,14 @@
 std::string
 SaveChecked(const std::string& aPath, const std::string& aBytes)
 {
-  const std::string unfinished = aPath + ".new";
-  if (auto failure = WriteAndSync(unfinished, HashKey(aBytes) + "\n" + aBytes);
+  const std::string temporaryPath = aPath + ".new";
+  if (auto failure =
+        WriteAndSync(temporaryPath, HashKey(aBytes) + "\n" + aBytes);
       !failure.empty()) {
     return failure;
   }
-  if (rename(unfinished.c_str(), aPath.c_str()) != 0) {
-    return Failure("rename");
+  if (rename(temporaryPath.c_str(), aPath.c_str()) != 0) {
+    return ErrorText("rename");
   }
   SyncFolder(aPath);
   return {};
--- a/Libraries/Core/Log.cpp
+++ b/Libraries/Core/Log.cpp
@@ -53,18 +53,17 @@
 
 void
 Log(log_level aLevel,
-    const std::string& aPart,
-    const std::string& aSentence,
+    const std::string& aComponent,
+    const std::string& aMessage,
     const std::string& aRequestId)
 {
-  auto logger = log4cxx::Logger::getLogger(aPart);
+  auto logger = log4cxx::Logger::getLogger(aComponent);
   auto level = ToLibraryLevel(aLevel);
   if (!logger->isEnabledFor(level)) {
     return;
   }
-  logger->forcedLog(level,
-                    aRequestId.empty() ? aSentence
-                                       : aSentence + " request=" + aRequestId);
+  logger->forcedLog(
+    level, aRequestId.empty() ? aMessage : aMessage + " request=" + aRequestId);
 }
 
 } // namespace lavender
--- a/Libraries/Core/Log.h
+++ b/Libraries/Core/Log.h
@@ -23,13 +23,13 @@
 StartLog(log_level aLowest);
 
 /** Writes one line.
- * @param aPart fixed prefix of the component, such as "routing"
- * @param aSentence short sentence; never a key or a prompt
+ * @param aComponent fixed prefix of the component, such as "routing"
+ * @param aMessage short sentence; never a key or a prompt
  * @param aRequestId id of the request that the line is about, or empty */
 void
 Log(log_level aLevel,
-    const std::string& aPart,
-    const std::string& aSentence,
+    const std::string& aComponent,
+    const std::string& aMessage,
     const std::string& aRequestId = {});
 
 } // namespace lavender
--- a/Libraries/Core/Mechanisms.cpp
+++ b/Libraries/Core/Mechanisms.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 const std::map<std::string, mechanism>&
-Names()
+MechanismNames()
 {
   static const std::map<std::string, mechanism> names = {
     { "group-homes", mechanism::GroupHomes },
@@ -28,7 +28,7 @@
 }
 
 std::set<mechanism>&
-Off()
+DisabledMechanisms()
 {
   static std::set<mechanism> off;
   return off;
@@ -39,7 +39,7 @@
 bool
 IsOn(mechanism aMechanism)
 {
-  return Off().count(aMechanism) == 0;
+  return DisabledMechanisms().count(aMechanism) == 0;
 }
 
 std::set<mechanism>
@@ -47,22 +47,23 @@
                const std::string& aSetting,
                findings& aFindings)
 {
-  std::set<mechanism> read;
+  std::set<mechanism> parsed;
   std::istringstream input(aNames);
   for (std::string name; std::getline(input, name, ',');) {
-    if (const auto known = Names().find(name); known != Names().end()) {
-      read.insert(known->second);
+    if (const auto known = MechanismNames().find(name);
+        known != MechanismNames().end()) {
+      parsed.insert(known->second);
     } else {
-      aFindings.Add(aSetting, "no mechanism is called " + name);
+      aFindings.Add(aSetting, "unknown mechanism: " + name);
     }
   }
-  return read;
+  return parsed;
 }
 
 void
 SwitchOff(std::set<mechanism> aMechanisms)
 {
-  Off() = std::move(aMechanisms);
+  DisabledMechanisms() = std::move(aMechanisms);
 }
 
 } // namespace lavender
--- a/Libraries/Core/Scheduler.h
+++ b/Libraries/Core/Scheduler.h
@@ -17,7 +17,7 @@
 struct scheduler
 {
   std::function<time_point()> mNow;
-  std::function<planned_action(milliseconds aPause,
+  std::function<planned_action(milliseconds aDelay,
                                std::function<void()> aAction)>
     mAfter;
 };
@@ -25,11 +25,11 @@
 /** Schedules an action that can't be cancelled. */
 inline void
 RunAfter(const scheduler& aScheduler,
-         milliseconds aPause,
+         milliseconds aDelay,
          std::function<void()> aAction)
 {
   const auto kept = std::make_shared<planned_action>();
-  *kept = aScheduler.mAfter(aPause, [kept, action = std::move(aAction)] {
+  *kept = aScheduler.mAfter(aDelay, [kept, action = std::move(aAction)] {
     const auto ended = std::move(*kept);
     action();
   });
--- a/Libraries/Core/TestBoundedRing.cpp
+++ b/Libraries/Core/TestBoundedRing.cpp
@@ -20,7 +20,7 @@
   BOOST_TEST(ring.TryPush(second));
 }
 
-BOOST_AUTO_TEST_CASE(GivesWhatIsLeftAfterClosing)
+BOOST_AUTO_TEST_CASE(PopsRemainingItemsAfterClose)
 {
   bounded_ring<int> ring(4);
   int item = 7;
--- a/Libraries/Core/TestCheckedFile.cpp
+++ b/Libraries/Core/TestCheckedFile.cpp
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestCheckedFile)
 
-BOOST_AUTO_TEST_CASE(KeepsBytesAndReplacesThemAsAWhole)
+BOOST_AUTO_TEST_CASE(SavesLoadsAndReplacesBytes)
 {
   const folder folder;
   BOOST_TEST(!LoadChecked(folder.File()));
@@ -57,7 +57,7 @@
 
 // A full disk or a bad sector can truncate or corrupt the file. A process that
 // started from a partial configuration would accept withdrawn keys again.
-BOOST_AUTO_TEST_CASE(TakesNothingFromADamagedFile)
+BOOST_AUTO_TEST_CASE(RejectsADamagedFile)
 {
   const folder folder;
   BOOST_TEST(SaveChecked(folder.File(), "withdrawn").empty());
--- a/Libraries/Core/TestRendezvous.cpp
+++ b/Libraries/Core/TestRendezvous.cpp
@@ -9,14 +9,14 @@
 
 BOOST_AUTO_TEST_SUITE(TestRendezvous)
 
-BOOST_AUTO_TEST_CASE(NobodyIsChosenWhereNobodyMayBe)
+BOOST_AUTO_TEST_CASE(ChoosesNoneWithoutPositiveWeight)
 {
   BOOST_TEST(!ChooseByRendezvous("key", {}));
   BOOST_TEST(!ChooseByRendezvous("key", { { "a", 0 } }));
   BOOST_TEST(*ChooseByRendezvous("key", { { "a", 0 }, { "b", 0.1 } }) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(EachGetsItsPartOfTheKeys)
+BOOST_AUTO_TEST_CASE(DistributesKeysByWeight)
 {
   std::map<std::string, int> keys;
   for (int i = 0; i < 10000; ++i) {
@@ -31,7 +31,7 @@
 
 /** The order of the candidates doesn't matter, and removing a candidate moves
  * only that candidate's keys. */
-BOOST_AUTO_TEST_CASE(OneThatGoesMovesOnlyItsOwnKeys)
+BOOST_AUTO_TEST_CASE(RemovalMovesOnlyTheRemovedCandidatesKeys)
 {
   BOOST_TEST(rc::check("stable", [] {
     std::vector<weighted_candidate> candidates;
--- a/Libraries/Http/Router.cpp
+++ b/Libraries/Http/Router.cpp
@@ -25,15 +25,15 @@
 {
   const auto pattern = SplitPath(aPattern);
   const auto path = SplitPath(aPath);
-  path_parts taken;
+  path_parts captured;
   for (std::size_t i = 0; i < pattern.size(); ++i) {
     if (pattern[i] == "**") {
       std::string rest;
       for (std::size_t k = i; k < path.size(); ++k) {
         rest += "/" + path[k];
       }
-      taken.push_back(std::move(rest));
-      return taken;
+      captured.push_back(std::move(rest));
+      return captured;
     }
     if (i >= path.size()) {
       return std::nullopt;
@@ -42,7 +42,7 @@
       if (path[i].empty()) {
         return std::nullopt;
       }
-      taken.push_back(DecodeUrl(path[i]));
+      captured.push_back(DecodeUrl(path[i]));
     } else if (pattern[i] != path[i]) {
       return std::nullopt;
     }
@@ -50,7 +50,7 @@
   if (pattern.size() != path.size()) {
     return std::nullopt;
   }
-  return taken;
+  return captured;
 }
 
 } // namespace
@@ -67,13 +67,14 @@
       isPathKnown = true;
     }
   }
-  response answer;
-  answer.mStatus = isPathKnown ? 405 : 404;
-  answer.mBody = isPathKnown ? "{\"error\":{\"reason\":\"method_not_allowed\","
-                               "\"ran\":\"not_run\"}}"
-                             : "{\"error\":{\"reason\":\"unknown_path\","
-                               "\"ran\":\"not_run\"}}";
-  return answer;
+  response outgoing;
+  outgoing.mStatus = isPathKnown ? 405 : 404;
+  outgoing.mBody = isPathKnown
+                     ? "{\"error\":{\"reason\":\"method_not_allowed\","
+                       "\"ran\":\"not_run\"}}"
+                     : "{\"error\":{\"reason\":\"unknown_path\","
+                       "\"ran\":\"not_run\"}}";
+  return outgoing;
 }
 
 } // namespace lavender::http
--- a/Libraries/Http/Server.cpp
+++ b/Libraries/Http/Server.cpp
@@ -139,7 +139,7 @@
 {
   server_options mOptions;
   handler mHandler;
-  std::atomic<bool> mAsksToClose{ false };
+  std::atomic<bool> mMustCloseConnections{ false };
 };
 
 class bounded_responder : public cxxtools::http::Responder
@@ -172,14 +172,14 @@
       converted.mHeaders.emplace_back(name, content);
     }
     converted.mBody = aRequest.bodyStr();
-    response answer;
+    response outgoing;
     try {
-      answer = mState.mHandler(converted);
+      outgoing = mState.mHandler(converted);
     } catch (const std::exception&) {
-      answer.mStatus = 500;
-      answer.mBody = "{\"error\":{\"reason\":\"internal_error\"}}";
+      outgoing.mStatus = 500;
+      outgoing.mBody = "{\"error\":{\"reason\":\"internal_error\"}}";
     }
-    Send(answer, aReply);
+    Send(outgoing, aReply);
   }
 
   void replyError(std::ostream&,
@@ -187,13 +187,13 @@
                   cxxtools::http::Reply& aReply,
                   const std::exception& aError) override
   {
-    response answer;
+    response outgoing;
     const auto* refusal = dynamic_cast<const refused_request*>(&aError);
-    answer.mStatus = refusal ? refusal->mStatus : 400;
-    answer.mBody = std::string("{\"error\":{\"reason\":\"") +
-                   (refusal ? refusal->what() : "bad_request") +
-                   "\",\"ran\":\"not_run\"}}";
-    Send(answer, aReply);
+    outgoing.mStatus = refusal ? refusal->mStatus : 400;
+    outgoing.mBody = std::string("{\"error\":{\"reason\":\"") +
+                     (refusal ? refusal->what() : "bad_request") +
+                     "\",\"ran\":\"not_run\"}}";
+    Send(outgoing, aReply);
     aReply.header().setHeader("Connection", "close");
   }
 
@@ -206,7 +206,7 @@
     for (const auto& [name, content] : aResponse.mHeaders) {
       aReply.header().setHeader(name.c_str(), content.c_str());
     }
-    if (mState.mAsksToClose) {
+    if (mState.mMustCloseConnections) {
       aReply.header().setHeader("Connection", "close");
     }
     aReply.bodyStream() << aResponse.mBody;
@@ -298,7 +298,7 @@
 void
 server::AskClientsToClose()
 {
-  mImplementation->mState.mAsksToClose = true;
+  mImplementation->mState.mMustCloseConnections = true;
 }
 
 void
--- a/Libraries/Http/TestClient.cpp
+++ b/Libraries/Http/TestClient.cpp
@@ -136,7 +136,7 @@
 
 // When no process listens at the address, nothing can have been sent, and the
 // caller is told that the request wasn't run.
-BOOST_AUTO_TEST_CASE(TellsThatNothingWasSentWhenNobodyListens)
+BOOST_AUTO_TEST_CASE(ReportsNotSentWhenNoProcessListens)
 {
   std::uint16_t port = 0;
   {
@@ -159,7 +159,7 @@
   BOOST_TEST(server.BytesSent() < dripping_listener::kAllBytes);
 }
 
-BOOST_AUTO_TEST_CASE(ALongAnswerComesWhole)
+BOOST_AUTO_TEST_CASE(ReceivesALongResponseCompletely)
 {
   std::string body(3 << 20, 'a');
   for (std::size_t i = 0; i < body.size(); i += 7) {
--- a/Libraries/Http/TestRouter.cpp
+++ b/Libraries/Http/TestRouter.cpp
@@ -21,7 +21,7 @@
 }
 
 http::response
-Ask(const std::string& aMethod, const std::string& aPath)
+Route(const std::string& aMethod, const std::string& aPath)
 {
   return http::Serve(MakeRouter(), { aMethod, aPath, "", {}, "" });
 }
@@ -30,20 +30,20 @@
 
 BOOST_AUTO_TEST_SUITE(TestRouter)
 
-BOOST_AUTO_TEST_CASE(TakesPartsAndTheRestOfThePath)
+BOOST_AUTO_TEST_CASE(MatchesSegmentsAndTheRestOfThePath)
 {
-  BOOST_TEST(Ask("GET", "/v1/things/a%20b").mBody == "a b");
-  BOOST_TEST(Ask("POST", "/v1/services/desk/book/now").mBody ==
+  BOOST_TEST(Route("GET", "/v1/things/a%20b").mBody == "a b");
+  BOOST_TEST(Route("POST", "/v1/services/desk/book/now").mBody ==
              "desk|/book/now");
-  BOOST_TEST(Ask("POST", "/v1/services/desk").mBody == "desk|");
+  BOOST_TEST(Route("POST", "/v1/services/desk").mBody == "desk|");
 }
 
-BOOST_AUTO_TEST_CASE(TellsUnknownPathFromOtherMethod)
+BOOST_AUTO_TEST_CASE(DistinguishesUnknownPathFromOtherMethod)
 {
-  BOOST_TEST(Ask("GET", "/v1/things").mStatus == 404);
-  BOOST_TEST(Ask("GET", "/v1/things/").mStatus == 404);
-  BOOST_TEST(Ask("GET", "/v1/things/a/b").mStatus == 404);
-  BOOST_TEST(Ask("PUT", "/v1/things/a").mStatus == 405);
+  BOOST_TEST(Route("GET", "/v1/things").mStatus == 404);
+  BOOST_TEST(Route("GET", "/v1/things/").mStatus == 404);
+  BOOST_TEST(Route("GET", "/v1/things/a/b").mStatus == 404);
+  BOOST_TEST(Route("PUT", "/v1/things/a").mStatus == 405);
 }
 
 BOOST_AUTO_TEST_CASE(EncodingAndDecodingAreInverse)
@@ -53,10 +53,10 @@
   }));
 }
 
-BOOST_AUTO_TEST_CASE(AnyPathGetsAnAnswer)
+BOOST_AUTO_TEST_CASE(AnyPathGetsAResponse)
 {
   BOOST_TEST(rc::check("routing never fails", [](std::string aPath) {
-    const auto status = Ask("GET", "/" + aPath).mStatus;
+    const auto status = Route("GET", "/" + aPath).mStatus;
     RC_ASSERT(status == 200 || status == 404 || status == 405);
   }));
 }
--- a/Libraries/Http/TestServer.cpp
+++ b/Libraries/Http/TestServer.cpp
@@ -12,17 +12,17 @@
 http::response
 EchoBody(const http::request& aRequest)
 {
-  http::response answer;
-  answer.mBody = aRequest.mMethod + " " + aRequest.mPath + " " +
+  http::response echoed;
+  echoed.mBody = aRequest.mMethod + " " + aRequest.mPath + " " +
                  aRequest.mQuery + " " + aRequest.mBody;
-  return answer;
+  return echoed;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(TestHttpServer)
 
-BOOST_AUTO_TEST_CASE(AnswersOnThePortItPicked)
+BOOST_AUTO_TEST_CASE(ServesOnTheChosenPort)
 {
   http::server server({}, EchoBody);
   BOOST_REQUIRE(server.Port() != 0);
@@ -46,7 +46,7 @@
   BOOST_TEST(outcome.mResponse.mStatus == 413);
 }
 
-BOOST_AUTO_TEST_CASE(ToldApartNotSentAndUnknown)
+BOOST_AUTO_TEST_CASE(DistinguishesNotSentFromUnknown)
 {
   std::uint16_t port = 0;
   {
--- a/Libraries/Json/TestFuzzParse.cpp
+++ b/Libraries/Json/TestFuzzParse.cpp
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestFuzzParse)
 
-BOOST_AUTO_TEST_CASE(WhatIsWrittenIsReadBack)
+BOOST_AUTO_TEST_CASE(WrittenDocumentsAreParsedBack)
 {
   BOOST_TEST(rc::check("written documents are read back", [] {
     const auto made = MakeValue(3);
@@ -55,7 +55,7 @@
   }));
 }
 
-BOOST_AUTO_TEST_CASE(DamagedDocumentsAreRefusedOrReadWhole)
+BOOST_AUTO_TEST_CASE(DamagedDocumentsAreRefusedOrRoundTrip)
 {
   // A damaged document is either refused with a reason or parsed as a value
   // that is the same after it was written and parsed again.
--- a/Libraries/Json/TestValue.cpp
+++ b/Libraries/Json/TestValue.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestJsonValue)
 
-BOOST_AUTO_TEST_CASE(KeepsTextBeyondLatinLetters)
+BOOST_AUTO_TEST_CASE(PreservesNonAsciiText)
 {
   const std::string text = "{\"a\":\"r\xc3\xa4kning \xe2\x82\xac\",\"n\":-3,"
                            "\"d\":1.5,\"l\":[true,null],\"o\":{},\"e\":[]}";
@@ -21,7 +21,7 @@
   BOOST_TEST(second->Find("l")->Elements().size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(RefusesWhatTheLibraryWouldTake)
+BOOST_AUTO_TEST_CASE(RefusesMalformedDocuments)
 {
   for (const char* text : { "{\"a\":1} x",
                             "{\"a\":1,\"a\":2}",
@@ -57,7 +57,7 @@
 // 1e70 for max_tokens was forwarded to a backend server as an integer of 71
 // digits and refused there, after the request counted as sent. TestFuzzParse
 // finds this with RC_PARAMS="seed=9 max_success=300000".
-BOOST_AUTO_TEST_CASE(RefusesRealsThatCannotBeWrittenBack)
+BOOST_AUTO_TEST_CASE(RefusesRealsOutOfRange)
 {
   for (const char* text : { "-5e70", "1e400", "[9.3e18]" }) {
     auto parsed = json::Parse(text);
--- a/Libraries/Metrics/TestMetrics.cpp
+++ b/Libraries/Metrics/TestMetrics.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestMetrics)
 
-BOOST_AUTO_TEST_CASE(CountsEachReasonApart)
+BOOST_AUTO_TEST_CASE(CountsEachLabelValueSeparately)
 {
   metrics::registry registry;
   registry.Count("refusals_total", { { "reason", "deadline" } });
@@ -31,7 +31,7 @@
     Contains(registry.Write(), "refusals_total{reason=\"queue_full\"} 1\n"));
 }
 
-BOOST_AUTO_TEST_CASE(BucketsAreCumulativeAndKeepOutliers)
+BOOST_AUTO_TEST_CASE(BucketsAreCumulativeAndIncludeOutliers)
 {
   metrics::registry registry;
   for (const auto duration : { 100us, 5000us, 60000000us, 5000000000us }) {
@@ -43,7 +43,7 @@
   BOOST_TEST(Contains(text, "latency_seconds_count 4\n"));
 }
 
-BOOST_AUTO_TEST_CASE(LabelsCannotBreakTheText)
+BOOST_AUTO_TEST_CASE(EscapesLabelValues)
 {
   metrics::registry registry;
   registry.Count("total", { { "name", "a\"b\\c\nd" } });
--- a/Libraries/Platform/SettledWrite.cpp
+++ b/Libraries/Platform/SettledWrite.cpp
@@ -65,15 +65,15 @@
 
 write_result
 WriteSettled(const client& aClient,
-             const stored_object& aMeant,
+             const stored_object& aTarget,
              std::int64_t aExpected,
              const json::value& aPrevious)
 {
   return WriteSettled(
     [&](const json::value& aValue) {
-      return Write(aClient, aMeant.mKind, aMeant.mName, aExpected, aValue);
+      return Write(aClient, aTarget.mKind, aTarget.mName, aExpected, aValue);
     },
-    aMeant.mValue,
+    aTarget.mValue,
     aPrevious);
 }
 
--- a/Libraries/Platform/SettledWrite.h
+++ b/Libraries/Platform/SettledWrite.h
@@ -35,7 +35,7 @@
 /** As above, sent with the client; aExpected as in Write. */
 write_result
 WriteSettled(const client& aClient,
-             const stored_object& aMeant,
+             const stored_object& aTarget,
              std::int64_t aExpected,
              const json::value& aPrevious);
 
--- a/Libraries/Settings/Settings.cpp
+++ b/Libraries/Settings/Settings.cpp
@@ -89,8 +89,9 @@
 std::string
 CheckEndpoint(const std::string& aText)
 {
-  return http::ParseEndpoint(aText) ? std::string()
-                                    : "'" + aText + "' is not ADDRESS:PORT";
+  return http::ParseEndpoint(aText)
+           ? std::string()
+           : "'" + aText + "' is not of the form ADDRESS:PORT";
 }
 
 std::string
@@ -119,12 +120,12 @@
       return std::find(aSetting.mChoices.begin(),
                        aSetting.mChoices.end(),
                        aText) == aSetting.mChoices.end()
-               ? "'" + aText + "' is not one of the choices"
+               ? "'" + aText + "' is not one of the choices that --help lists"
                : std::string();
     case setting_kind::File:
       return aText.empty() || std::ifstream(aText).good()
                ? std::string()
-               : "'" + aText + "' can't be read";
+               : "'" + aText + "' can't be opened for reading";
   }
   return {};
 }
--- a/Libraries/Wire/SecuritySettings.cpp
+++ b/Libraries/Wire/SecuritySettings.cpp
@@ -7,10 +7,11 @@
 {
   return {
     settings::OptionalFile("wire-authority",
-                           "Authority that signs the certificates of the "
-                           "system's own processes, PEM."),
+                           "Certificate of the authority that signs the "
+                           "certificates of the system's own processes, PEM."),
     settings::OptionalFile("wire-certificate",
-                           "Certificate for other processes, PEM."),
+                           "Certificate that this process presents to the "
+                           "system's other processes, PEM."),
     settings::OptionalFile("wire-private-key",
                            "Private key of the wire certificate, PEM."),
   };
@@ -27,7 +28,8 @@
                       files.mPrivateKey.empty();
   if (!isComplete && !isNone) {
     aFindings.Add("--wire-authority",
-                  "set all three wire files, or none of them");
+                  "set all of --wire-authority, --wire-certificate and "
+                  "--wire-private-key, or none of them");
   }
 }
 
--- a/Libraries/Wire/TestConnectionPool.cpp
+++ b/Libraries/Wire/TestConnectionPool.cpp
@@ -15,7 +15,7 @@
 using reply_result = wire::wire_result<wire::dispatch_reply>;
 
 /** Responds late to a request with id "slow", and with another request's echo
- * to one with id "crossed". */
+ * to one with id "mismatched". */
 class slow_service : public wire::agent_serviceNull
 {
 public:
@@ -28,19 +28,19 @@
     if (aId == "slow") {
       std::this_thread::sleep_for(300ms);
     }
-    aReply.echo = aId == "crossed" ? "another" : aId;
+    aReply.echo = aId == "mismatched" ? "another" : aId;
     aReply.reason = "answer to " + aReply.echo;
   }
   std::atomic<int> mCalls{ 0 };
 };
 
-struct served
+struct pool_fixture
 {
   std::shared_ptr<slow_service> mService = std::make_shared<slow_service>();
   std::unique_ptr<wire::wire_server> mServer;
   std::unique_ptr<pool> mPool;
 
-  served() { Start(0); }
+  pool_fixture() { Start(0); }
 
   void Start(std::uint16_t aPort)
   {
@@ -69,7 +69,7 @@
 
 // Guards against a caller receiving the response to an earlier call: if a
 // connection is reused after a timeout, the late response is read first.
-BOOST_FIXTURE_TEST_CASE(LateAnswerIsNotTheNextCalls, served)
+BOOST_FIXTURE_TEST_CASE(LateResponseIsNotReturnedToTheNextCall, pool_fixture)
 {
   BOOST_TEST((Call("slow", 50ms).mState == wire::wire_state::Unknown));
   for (int i = 0; i < 10; ++i) {
@@ -83,15 +83,15 @@
 }
 
 // A response whose echo names another request is rejected.
-BOOST_FIXTURE_TEST_CASE(CrossedAnswerIsNoAnswer, served)
+BOOST_FIXTURE_TEST_CASE(MismatchedEchoIsRejected, pool_fixture)
 {
-  BOOST_TEST((Call("crossed", 2000ms).mState == wire::wire_state::Unknown));
+  BOOST_TEST((Call("mismatched", 2000ms).mState == wire::wire_state::Unknown));
   BOOST_TEST((Call("next", 2000ms).mState == wire::wire_state::Answered));
 }
 
 // A restarted process has closed its connections. The next call must not fail
 // on one of them, nor have an unknown outcome.
-BOOST_FIXTURE_TEST_CASE(ClosedConnectionIsNotUsedAgain, served)
+BOOST_FIXTURE_TEST_CASE(ClosedConnectionIsNotReused, pool_fixture)
 {
   BOOST_TEST((Call("first", 2000ms).mState == wire::wire_state::Answered));
   const auto port = mServer->Port();
