--- a/Libraries/Http/TestClient.cpp
+++ b/Libraries/Http/TestClient.cpp
@@ -97,9 +97,9 @@
   void Drip()
   {
     const int peer = accept(mSocket, nullptr, nullptr);
-    std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 150\r\n\r\n";
-    answer.resize(kAllBytes, 'x');
-    for (const char byte : answer) {
+    std::string rawResponse = "HTTP/1.1 200 OK\r\nContent-Length: 150\r\n\r\n";
+    rawResponse.resize(kAllBytes, 'x');
+    for (const char byte : rawResponse) {
       if (mIsStopping || send(peer, &byte, 1, MSG_NOSIGNAL) != 1) {
         break;
       }
--- a/Libraries/Settings/Settings.cpp
+++ b/Libraries/Settings/Settings.cpp
@@ -216,16 +216,16 @@
   for (std::size_t i = 0; i < aDeclared.size(); ++i) {
     const auto& declared = aDeclared[i];
     const std::string variable = VariableName(declared.mFlag);
-    std::string place = "--" + declared.mFlag;
+    std::string location = "--" + declared.mFlag;
     std::string text = declared.mDefault;
     if (flags[i]->isSet()) {
       text = flags[i]->getValue();
     } else if (const char* fromEnvironment = std::getenv(variable.c_str())) {
       text = fromEnvironment;
-      place = variable;
+      location = variable;
     }
     if (auto problem = Check(declared, text); !problem.empty()) {
-      outcome.mFindings.Add(place, problem);
+      outcome.mFindings.Add(location, problem);
       // Later checks that compare settings parse the values as numbers, so an
       // invalid value is replaced by the default.
       text = declared.mDefault;
--- a/Libraries/Wire/TestConnectionPool.cpp
+++ b/Libraries/Wire/TestConnectionPool.cpp
@@ -29,7 +29,7 @@
       std::this_thread::sleep_for(300ms);
     }
     aReply.echo = aId == "mismatched" ? "another" : aId;
-    aReply.reason = "answer to " + aReply.echo;
+    aReply.reason = "response to " + aReply.echo;
   }
   std::atomic<int> mCalls{ 0 };
 };
@@ -76,7 +76,7 @@
     const auto id = "next " + std::to_string(i);
     const auto next = Call(id, 2000ms);
     BOOST_TEST((next.mState == wire::wire_state::Answered));
-    BOOST_TEST(next.mReply.reason == "answer to " + id);
+    BOOST_TEST(next.mReply.reason == "response to " + id);
     std::this_thread::sleep_for(50ms);
   }
   BOOST_TEST(mService->mCalls == 11);
