--- a/Libraries/Platform/SettledWrite.h
+++ b/Libraries/Platform/SettledWrite.h
@@ -24,8 +24,8 @@
  * value doesn't tell whose write it is, since another operator may have written
  * an equal value, but its nonce does. A later write names the nonce of the
  * write that it replaced. The result is Unknown when the platform doesn't
- * respond, when the object was deleted meanwhile, or when the stored object
- * carries neither nonce, such as after two later writes.
+ * respond or refuses the repeated write, when the object was deleted meanwhile,
+ * or when the stored object has neither nonce, such as after two later writes.
  * @param aPrevious value that the write replaces; null for a create */
 write_result
 WriteSettled(const write_sender& aSend,
