--- a/Libraries/Core/TestCheckedFile.cpp
+++ b/Libraries/Core/TestCheckedFile.cpp
@@ -43,7 +43,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestCheckedFile)
 
-BOOST_AUTO_TEST_CASE(KeepsBytesAndReplacesThemAsAWhole)
+BOOST_AUTO_TEST_CASE(SavesLoadsAndReplacesBytes)
 {
   const folder folder;
   BOOST_TEST(!LoadChecked(folder.File()));
@@ -55,9 +55,9 @@
   BOOST_TEST(!SaveChecked(folder.File() + "/below", bytes).empty());
 }
 
-// Story: an instance is killed by a full disk or a bad sector. Its successor
-// starts from half a configuration, in which withdrawn keys are valid again.
-BOOST_AUTO_TEST_CASE(TakesNothingFromADamagedFile)
+// A full disk or a bad sector can truncate or corrupt the file. A process that
+// started from a partial configuration would accept withdrawn keys again.
+BOOST_AUTO_TEST_CASE(RejectsADamagedFile)
 {
   const folder folder;
   BOOST_TEST(SaveChecked(folder.File(), "withdrawn").empty());
--- a/Libraries/Core/TestRendezvous.cpp
+++ b/Libraries/Core/TestRendezvous.cpp
@@ -9,14 +9,14 @@
 
 BOOST_AUTO_TEST_SUITE(TestRendezvous)
 
-BOOST_AUTO_TEST_CASE(NobodyIsChosenWhereNobodyMayBe)
+BOOST_AUTO_TEST_CASE(ChoosesNoneWithoutPositiveWeight)
 {
   BOOST_TEST(!ChooseByRendezvous("key", {}));
   BOOST_TEST(!ChooseByRendezvous("key", { { "a", 0 } }));
   BOOST_TEST(*ChooseByRendezvous("key", { { "a", 0 }, { "b", 0.1 } }) == "b");
 }
 
-BOOST_AUTO_TEST_CASE(EachGetsItsPartOfTheKeys)
+BOOST_AUTO_TEST_CASE(DistributesKeysByWeight)
 {
   std::map<std::string, int> keys;
   for (int i = 0; i < 10000; ++i) {
@@ -29,9 +29,9 @@
   BOOST_TEST(std::abs(keys["large"] - 5000) < 250);
 }
 
-/** The order of the candidates changes nothing, and one that goes moves only
- * the keys that it had. */
-BOOST_AUTO_TEST_CASE(OneThatGoesMovesOnlyItsOwnKeys)
+/** The order of the candidates doesn't matter, and removing a candidate moves
+ * only that candidate's keys. */
+BOOST_AUTO_TEST_CASE(RemovalMovesOnlyTheRemovedCandidatesKeys)
 {
   BOOST_TEST(rc::check("stable", [] {
     std::vector<weighted_candidate> candidates;
--- a/Libraries/Json/TestFuzzParse.cpp
+++ b/Libraries/Json/TestFuzzParse.cpp
@@ -44,7 +44,7 @@
 
 BOOST_AUTO_TEST_SUITE(TestFuzzParse)
 
-BOOST_AUTO_TEST_CASE(WhatIsWrittenIsReadBack)
+BOOST_AUTO_TEST_CASE(WrittenDocumentsAreParsedBack)
 {
   BOOST_TEST(rc::check("written documents are read back", [] {
     const auto made = MakeValue(3);
@@ -55,10 +55,10 @@
   }));
 }
 
-BOOST_AUTO_TEST_CASE(DamagedDocumentsAreRefusedOrReadWhole)
+BOOST_AUTO_TEST_CASE(DamagedDocumentsAreRefusedOrRoundTrip)
 {
-  // Whatever a damaged document is taken for must itself survive being
-  // written and read; anything else is refused with a reason.
+  // A damaged document is either refused with a reason or parsed as a value
+  // that is the same after it was written and parsed again.
   BOOST_TEST(rc::check("damaged documents never slip through", [] {
     auto text = json::Write(MakeValue(3));
     for (int left = *rc::gen::inRange(1, 4); left > 0; --left) {
--- a/Libraries/Settings/Settings.cpp
+++ b/Libraries/Settings/Settings.cpp
@@ -16,7 +16,7 @@
 constexpr const char* kVersion = "0.1.0";
 
 std::string
-Describe(const setting& aSetting)
+HelpText(const setting& aSetting)
 {
   std::string text = aSetting.mDescription;
   if (!aSetting.mUnit.empty()) {
@@ -89,8 +89,9 @@
 std::string
 CheckEndpoint(const std::string& aText)
 {
-  return http::ParseEndpoint(aText) ? std::string()
-                                    : "'" + aText + "' is not ADDRESS:PORT";
+  return http::ParseEndpoint(aText)
+           ? std::string()
+           : "'" + aText + "' is not of the form ADDRESS:PORT";
 }
 
 std::string
@@ -119,12 +120,12 @@
       return std::find(aSetting.mChoices.begin(),
                        aSetting.mChoices.end(),
                        aText) == aSetting.mChoices.end()
-               ? "'" + aText + "' is not one of the choices"
+               ? "'" + aText + "' is not one of the choices that --help lists"
                : std::string();
     case setting_kind::File:
       return aText.empty() || std::ifstream(aText).good()
                ? std::string()
-               : "'" + aText + "' can't be read";
+               : "'" + aText + "' can't be opened for reading";
   }
   return {};
 }
@@ -193,16 +194,16 @@
   TCLAP::CmdLine line(aProgram, ' ', kVersion);
   TCLAP::SwitchArg checkOnly("",
                              "check-settings",
-                             "Report everything wrong with the settings and "
-                             "end with status 2, or with 0 when all is well.",
+                             "Report all errors in the settings and exit with "
+                             "status 2, or with 0 when there are none.",
                              line);
   std::vector<std::unique_ptr<TCLAP::ValueArg<std::string>>> flags;
   for (const auto& declared : aDeclared) {
     flags.push_back(std::make_unique<TCLAP::ValueArg<std::string>>(
-      "", declared.mFlag, Describe(declared), false, "", "value", line));
+      "", declared.mFlag, HelpText(declared), false, "", "value", line));
   }
-  // The library would print the first error and exit; here it is one finding
-  // among the others. Help and version still end the process.
+  // By default TCLAP prints the first error and exits; here the error becomes
+  // one of the findings. Help and version still exit the process.
   line.setExceptionHandling(false);
   try {
     line.parse(aCount, aArguments);
@@ -215,17 +216,18 @@
   for (std::size_t i = 0; i < aDeclared.size(); ++i) {
     const auto& declared = aDeclared[i];
     const std::string variable = VariableName(declared.mFlag);
-    std::string place = "--" + declared.mFlag;
+    std::string location = "--" + declared.mFlag;
     std::string text = declared.mDefault;
     if (flags[i]->isSet()) {
       text = flags[i]->getValue();
     } else if (const char* fromEnvironment = std::getenv(variable.c_str())) {
       text = fromEnvironment;
-      place = variable;
+      location = variable;
     }
     if (auto problem = Check(declared, text); !problem.empty()) {
-      outcome.mFindings.Add(place, problem);
-      // Checks across settings go on after a finding, and read numbers.
+      outcome.mFindings.Add(location, problem);
+      // Later checks that compare settings parse the values as numbers, so an
+      // invalid value is replaced by the default.
       text = declared.mDefault;
     }
     outcome.mValues.mByFlag[declared.mFlag] = text;
