--- a/Tests/Runner.cpp
+++ b/Tests/Runner.cpp
@@ -5,14 +5,15 @@
 
 namespace {
 
-/** Generated histories come from a fixed seed, so that every run gives the
- * same verdict. A long run sets RC_PARAMS itself, for example
+/** Generated test data come from a fixed seed so that every run gives the same
+ * result. A longer run sets RC_PARAMS in the environment, for example
  * RC_PARAMS="seed=7 max_success=1000000". */
 struct test_process
 {
   test_process()
   {
-    // As in the programs: a peer that closes must not end the process.
+    // As in the programs: writing to a connection that the peer has closed must
+    // not end the process.
     std::signal(SIGPIPE, SIG_IGN);
     setenv("RC_PARAMS", "seed=20261203 max_success=10000", 0);
   }
--- a/Tests/TestConfigurationFaults.cpp
+++ b/Tests/TestConfigurationFaults.cpp
@@ -15,8 +15,9 @@
 
 namespace {
 
-/** The stated bound for a withdrawn key in every case. */
-constexpr auto kBound = 8s;
+/** Longest time for which a withdrawn key may still be accepted, in every case.
+ */
+constexpr auto kWithdrawalLimit = 8s;
 
 json::value
 Instance(const std::string& aName,
@@ -34,7 +35,7 @@
   return item;
 }
 
-/** Reason code of a refusal. */
+/** Reason code of an error response; empty without one. */
 std::string
 ReasonOf(const answer& aAnswer)
 {
@@ -78,7 +79,7 @@
   {
     return mFleet.Entries().at(aName);
   }
-  answer Ask(const std::string& aEntry, const std::string& aKey)
+  answer SendRequest(const std::string& aEntry, const std::string& aKey)
   {
     return Complete(Entry(aEntry).Callers(), aKey, "protokoll", "mote", 1);
   }
@@ -96,7 +97,8 @@
     SetFaults(json::object{ { "cut", json::array{ "entry-2" } } });
     const auto before = Calls("cut");
     BOOST_REQUIRE(WaitFor([&] { return Calls("cut") > before; }));
-    // A watch that was waiting already would still bring the next change.
+    // A watch request that was already waiting would still deliver the next
+    // change.
     std::this_thread::sleep_for(1200ms);
   }
   void Withdraw(const std::string& aCustomer)
@@ -106,7 +108,8 @@
     spec.Set("withdrawn", true);
     BOOST_REQUIRE(mFleet.Put("Key", aCustomer + "-key", spec).mStatus == 200);
   }
-  /** A list in which the entries can't find each other. */
+  /** Publishes an instance list in which the entries have no usable peer
+   * address. */
   void PublishWithoutPeers()
   {
     json::array items;
@@ -123,16 +126,16 @@
   }
 };
 
-/** One connection that stays open over several requests. */
-class kept_connection
+/** An HTTP connection that stays open over several requests. */
+class keep_alive_connection
 {
 public:
-  explicit kept_connection(std::uint16_t aPort)
+  explicit keep_alive_connection(std::uint16_t aPort)
     : mClient("127.0.0.1", aPort)
   {
     mClient.connect();
   }
-  unsigned Ask(const std::string& aKey)
+  unsigned SendRequest(const std::string& aKey)
   {
     json::value body;
     body.Set("model", "protokoll");
@@ -152,43 +155,47 @@
   cxxtools::http::Client mClient;
 };
 
-/** A folder of this test's own, gone with it. */
-struct data_folder
+/** Temporary folder that is removed with the object. */
+struct temporary_folder
 {
   std::filesystem::path mPath;
 
-  data_folder()
+  temporary_folder()
   {
     std::string name =
       (std::filesystem::temp_directory_path() / "lavender-XXXXXX").string();
     mPath = mkdtemp(name.data());
   }
-  ~data_folder() { std::filesystem::remove_all(mPath); }
+  ~temporary_folder() { std::filesystem::remove_all(mPath); }
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(TestConfigurationFaults)
 
-// Story: a customer's key is withdrawn while a caller holds an open
-// connection to each entry. The calls on it go on, since the connection was
-// good once.
+// Guards against keys being checked once per connection: a customer's key is
+// withdrawn while a client holds an open connection to each entry, and requests
+// on that connection must be refused from then on.
 BOOST_FIXTURE_TEST_CASE(StopsOnKeptAliveConnections, site)
 {
-  kept_connection first(Entry("entry-1").Callers());
-  kept_connection second(Entry("entry-2").Callers());
-  BOOST_TEST(first.Ask(mKey) == 200u);
-  BOOST_TEST(second.Ask(mKey) == 200u);
+  keep_alive_connection first(Entry("entry-1").Callers());
+  keep_alive_connection second(Entry("entry-2").Callers());
+  BOOST_TEST(first.SendRequest(mKey) == 200u);
+  BOOST_TEST(second.SendRequest(mKey) == 200u);
   Withdraw("brf-ekbacken");
-  BOOST_TEST(
-    WaitFor([&] { return first.Ask(mKey) == 401u && second.Ask(mKey) == 401u; },
-            kBound));
-  BOOST_TEST(first.Ask(mOtherKey) == 200u);
-  BOOST_TEST(second.Ask(mOtherKey) == 200u);
+  BOOST_TEST(WaitFor(
+    [&] {
+      return first.SendRequest(mKey) == 401u &&
+             second.SendRequest(mKey) == 401u;
+    },
+    kWithdrawalLimit));
+  BOOST_TEST(first.SendRequest(mOtherKey) == 200u);
+  BOOST_TEST(second.SendRequest(mOtherKey) == 200u);
 }
 
-// Story: a request waits in a server's queue when its key is withdrawn. Its
-// turn comes and it runs for a customer whose key no longer counts.
+// Guards against a request that runs with a withdrawn key: the key is withdrawn
+// while the request waits in a server's queue, so it must be checked again
+// before the request is dispatched.
 BOOST_FIXTURE_TEST_CASE(StopsForQueuedWork, site)
 {
   const auto engine = mFleet.Backends().at("engine-1").mServer->Port("http");
@@ -231,24 +238,26 @@
   }));
 }
 
-// Story: one entry loses the platform while the others keep it. A key that is
-// withdrawn at the others goes on working at this one for as long as the cut
-// lasts. With peers in reach it catches up and goes on serving valid keys.
+// Guards against one entry accepting a withdrawn key for as long as it alone is
+// cut off from the platform. It has to catch up from its peers and to go on
+// serving valid keys.
 BOOST_FIXTURE_TEST_CASE(StopsAtAnEntryCutOffWithPeers, site)
 {
   CutEntry2();
   Withdraw("brf-ekbacken");
   BOOST_TEST(
-    WaitFor([&] { return Ask("entry-2", mKey).mStatus == 401; }, kBound));
-  const auto end = std::chrono::steady_clock::now() + kBound;
+    WaitFor([&] { return SendRequest("entry-2", mKey).mStatus == 401; },
+            kWithdrawalLimit));
+  const auto end = std::chrono::steady_clock::now() + kWithdrawalLimit;
   while (std::chrono::steady_clock::now() < end) {
-    BOOST_TEST(Ask("entry-2", mOtherKey).mStatus == 200);
+    BOOST_TEST(SendRequest("entry-2", mOtherKey).mStatus == 200);
     std::this_thread::sleep_for(100ms);
   }
 }
 
-// Story: the same, but the entry can reach no peer either, only the agents.
-// They have heard from the other entries, so it refuses until the cut ends.
+// Same fault, but the entry reaches only the agents and no peer. The agents
+// have newer configuration versions from the other entries, so the entry must
+// refuse requests until the cut ends.
 BOOST_FIXTURE_TEST_CASE(RefusesAtAnEntryCutOffWithoutPeers, site)
 {
   PublishWithoutPeers();
@@ -258,50 +267,53 @@
   answer last;
   BOOST_TEST(WaitFor(
     [&] {
-      last = Ask("entry-2", mKey);
+      last = SendRequest("entry-2", mKey);
       return last.mStatus != 200;
     },
-    kBound));
+    kWithdrawalLimit));
   BOOST_TEST(last.mStatus == 503);
   BOOST_TEST(ReasonOf(last) == "configuration_stale");
   BOOST_TEST(RanOf(last) == "not_run");
   BOOST_TEST(http::HeaderOr(last.mHeaders, "Retry-After", "") != "");
-  BOOST_TEST(Ask("entry-1", mOtherKey).mStatus == 200);
+  BOOST_TEST(SendRequest("entry-1", mOtherKey).mStatus == 200);
   SetFaults(json::object{ { "cut", json::array{} } });
-  BOOST_TEST(WaitFor([&] { return Ask("entry-2", mKey).mStatus == 401; }));
-  BOOST_TEST(Ask("entry-2", mOtherKey).mStatus == 200);
+  BOOST_TEST(
+    WaitFor([&] { return SendRequest("entry-2", mKey).mStatus == 401; }));
+  BOOST_TEST(SendRequest("entry-2", mOtherKey).mStatus == 200);
 }
 
-// Story: an entry starts anew and hears an old copy of the store, from before
-// the withdrawal. For its first seconds it lets the key in.
+// Guards against a restarted entry that reads an outdated copy of the store,
+// from before the withdrawal, and accepts the withdrawn key in its first
+// seconds.
 BOOST_FIXTURE_TEST_CASE(NeverRevertsAtOneJustStarted, site)
 {
   SetFaults(json::object{ { "old_copy_for", json::array{ "entry-3" } } });
   Withdraw("brf-ekbacken");
-  BOOST_REQUIRE(WaitFor([&] { return Ask("entry-2", mKey).mStatus == 401; }));
+  BOOST_REQUIRE(
+    WaitFor([&] { return SendRequest("entry-2", mKey).mStatus == 401; }));
   auto& fresh = mFleet.AddEntry("entry-3", "hall-hbg");
   mFleet.PublishInstances();
   int accepted = 0;
   BOOST_TEST(WaitFor([&] {
-    accepted += Ask("entry-3", mKey).mStatus == 200 ? 1 : 0;
-    return Ask("entry-3", mOtherKey).mStatus == 200;
+    accepted += SendRequest("entry-3", mKey).mStatus == 200 ? 1 : 0;
+    return SendRequest("entry-3", mOtherKey).mStatus == 200;
   }));
   BOOST_TEST(Send(fresh.Health(), "GET", "/readyz").mStatus == 200);
-  BOOST_TEST(Ask("entry-3", mKey).mStatus == 401);
+  BOOST_TEST(SendRequest("entry-3", mKey).mStatus == 401);
   BOOST_TEST(accepted == 0);
   BOOST_TEST(Calls("old_copy") > 0);
 }
 
-// Story: the platform's store is down for long. Valid keys stop working
-// although nothing can be withdrawn meanwhile.
+// Guards against valid keys being refused during a long outage of the
+// platform's store, although no key can be withdrawn meanwhile.
 BOOST_FIXTURE_TEST_CASE(GoesOnWithThePlatformDownForAll, site)
 {
   SetFaults(json::object{ { "down", true } });
-  const auto end = std::chrono::steady_clock::now() + kBound + 4s;
+  const auto end = std::chrono::steady_clock::now() + kWithdrawalLimit + 4s;
   int served = 0;
   while (std::chrono::steady_clock::now() < end) {
     for (const char* entry : { "entry-1", "entry-2" }) {
-      const auto got = Ask(entry, mKey);
+      const auto got = SendRequest(entry, mKey);
       BOOST_TEST(got.mStatus == 200, entry << " " << ReasonOf(got));
       ++served;
     }
@@ -317,20 +329,22 @@
   }));
 }
 
-// Story: an entry is replaced while the platform is down. With a data folder
-// it starts from what it kept; without one it knows nothing and says so.
+// An entry is replaced while the platform is down. With a data folder it starts
+// from the configuration saved there; without one it has no configuration and
+// says so.
 BOOST_FIXTURE_TEST_CASE(StartsFromItsDiskWithThePlatformDown, site)
 {
-  const data_folder folder;
+  const temporary_folder folder;
   auto& entry = Entry("entry-2");
   entry.mProcess->Signal(SIGKILL);
   entry.mProcess->WaitForExit(5s);
   mFleet.StartEntry(entry, { "--data-folder", folder.mPath.string() });
   mFleet.PublishInstances();
   Withdraw("brf-ekbacken");
-  BOOST_REQUIRE(WaitFor([&] { return Ask("entry-2", mKey).mStatus == 401; }));
   BOOST_REQUIRE(
-    WaitFor([&] { return Ask("entry-2", mOtherKey).mStatus == 200; }));
+    WaitFor([&] { return SendRequest("entry-2", mKey).mStatus == 401; }));
+  BOOST_REQUIRE(
+    WaitFor([&] { return SendRequest("entry-2", mOtherKey).mStatus == 200; }));
   BOOST_REQUIRE(WaitFor([&] {
     return std::filesystem::exists(folder.mPath / "configuration") &&
            std::filesystem::exists(folder.mPath / "instances");
@@ -340,11 +354,13 @@
   entry.mProcess->Signal(SIGKILL);
   entry.mProcess->WaitForExit(5s);
   mFleet.StartEntry(entry, { "--data-folder", folder.mPath.string() });
-  BOOST_TEST(WaitFor([&] { return Ask("entry-2", mOtherKey).mStatus == 200; }));
-  BOOST_TEST(Ask("entry-2", mKey).mStatus == 401);
+  BOOST_TEST(
+    WaitFor([&] { return SendRequest("entry-2", mOtherKey).mStatus == 200; }));
+  BOOST_TEST(SendRequest("entry-2", mKey).mStatus == 401);
   auto& bare = mFleet.AddEntry("entry-3", "hall-hbg");
   BOOST_TEST(Send(bare.Health(), "GET", "/readyz").mStatus == 503);
-  BOOST_TEST(ReasonOf(Ask("entry-3", mOtherKey)) == "configuration_stale");
+  BOOST_TEST(ReasonOf(SendRequest("entry-3", mOtherKey)) ==
+             "configuration_stale");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/TestHostileInput.cpp
+++ b/Tests/TestHostileInput.cpp
@@ -11,15 +11,16 @@
 
 namespace {
 
-constexpr auto kSilence = 3000ms;
+constexpr auto kIdleTimeout = 3000ms;
 
-/** One entry before one engine, and a good client that goes on asking. */
+/** One entry with one engine, and a well-behaved client that sends requests all
+ * the time. */
 struct site
 {
   fleet mFleet;
   std::string mKey;
   std::uint16_t mPort = 0;
-  std::atomic<bool> mIsOver{ false };
+  std::atomic<bool> mIsStopping{ false };
   std::atomic<int> mServed{ 0 };
   std::atomic<int> mFailed{ 0 };
   std::thread mGoodClient;
@@ -36,7 +37,7 @@
     BOOST_REQUIRE(mFleet.WaitUntilServing(mKey, "partes"));
     mPort = mFleet.Entries().at("entry-1").Callers();
     mGoodClient = std::thread([this] {
-      while (!mIsOver) {
+      while (!mIsStopping) {
         Complete(mPort, mKey, "partes", "equipo R8", 1).mStatus == 200
           ? ++mServed
           : ++mFailed;
@@ -46,7 +47,7 @@
 
   ~site()
   {
-    mIsOver = true;
+    mIsStopping = true;
     mGoodClient.join();
   }
 
@@ -57,7 +58,8 @@
            mKey + "\r\n" + aLengthLines + "\r\n";
   }
 
-  /** The good client is served after this moment, and the entry lives. */
+  /** Checks that the well-behaved client is served after this call and that the
+   * entry still runs. */
   void RequireStillServing()
   {
     const int before = mServed;
@@ -66,20 +68,23 @@
   }
 };
 
-/** Sends bytes and tells the reply; none with a closed connection. */
+/** Sends raw bytes and returns the raw response; empty when the connection
+ * closes without one. */
 std::string
 Exchange(std::uint16_t aPort, const std::string& aBytes, bool& aHasClosed)
 {
   raw_connection connection(aPort);
   connection.Send(aBytes);
   connection.FinishSending();
-  return connection.ReceiveAll(kSilence, aHasClosed);
+  return connection.ReceiveAll(kIdleTimeout, aHasClosed);
 }
 
 int
-StatusOf(const std::string& aReply)
+StatusOf(const std::string& aResponse)
 {
-  return aReply.rfind("HTTP/1.1 ", 0) == 0 ? std::stoi(aReply.substr(9, 3)) : 0;
+  return aResponse.rfind("HTTP/1.1 ", 0) == 0
+           ? std::stoi(aResponse.substr(9, 3))
+           : 0;
 }
 
 } // namespace
@@ -88,7 +93,7 @@
 
 BOOST_AUTO_TEST_CASE(BadBodiesGetAnErrorThatNamesThePlace)
 {
-  const auto ask = [&](const std::string& aBody) {
+  const auto exchange = [&](const std::string& aBody) {
     bool hasClosed = false;
     return Exchange(mPort,
                     Head("Content-Length: " + std::to_string(aBody.size()) +
@@ -103,18 +108,18 @@
                                    std::string("{} trailing"),
                                    std::string(60000, '['),
                                    std::string("") }) {
-    const auto reply = ask(body);
-    BOOST_TEST(StatusOf(reply) == 400);
-    BOOST_TEST(reply.find("\"not_run\"") != std::string::npos);
-    BOOST_TEST(reply.find("\"message\"") != std::string::npos);
+    const auto response = exchange(body);
+    BOOST_TEST(StatusOf(response) == 400);
+    BOOST_TEST(response.find("\"not_run\"") != std::string::npos);
+    BOOST_TEST(response.find("\"message\"") != std::string::npos);
   }
   RequireStillServing();
 }
 
 BOOST_AUTO_TEST_CASE(WrongLengthsAreRefusedAndTheConnectionCloses)
 {
-  // What follows such a header could be read as another request, so the
-  // connection has to end with the refusal.
+  // The bytes after such a header could be parsed as another request (request
+  // smuggling), so the refusal has to close the connection.
   const std::string smuggled = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
   for (const char* lines : { "Content-Length: 5\r\nContent-Length: 50\r\n",
                              "Content-Length: -1\r\n",
@@ -123,11 +128,11 @@
                              "Content-Length: 70000\r\n",
                              "Transfer-Encoding: chunked\r\n" }) {
     bool hasClosed = false;
-    const auto reply =
+    const auto response =
       Exchange(mPort, Head(lines) + "0\r\n\r\n" + smuggled, hasClosed);
     BOOST_TEST(hasClosed, lines);
-    BOOST_TEST(StatusOf(reply) >= 400, lines);
-    BOOST_TEST(reply.find("HTTP/1.1", 1) == std::string::npos, lines);
+    BOOST_TEST(StatusOf(response) >= 400, lines);
+    BOOST_TEST(response.find("HTTP/1.1", 1) == std::string::npos, lines);
   }
   RequireStillServing();
 }
@@ -137,16 +142,16 @@
   const std::string unknown = "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n";
   const std::string body = "{\"model\":\"partes\",\"prompt\":\"uno dos\"}";
   bool hasClosed = false;
-  const auto reply = Exchange(
+  const auto response = Exchange(
     mPort,
     unknown + Head("Content-Length: " + std::to_string(body.size()) + "\r\n") +
       body,
     hasClosed);
-  BOOST_TEST(StatusOf(reply) == 404);
-  const auto second = reply.find("HTTP/1.1", 1);
-  // The second is either answered after the first or not at all.
+  BOOST_TEST(StatusOf(response) == 404);
+  const auto second = response.find("HTTP/1.1", 1);
+  // The second request is either answered after the first or not at all.
   if (second != std::string::npos) {
-    BOOST_TEST(StatusOf(reply.substr(second)) == 200);
+    BOOST_TEST(StatusOf(response.substr(second)) == 200);
   } else {
     BOOST_TEST(hasClosed);
   }
@@ -194,9 +199,9 @@
     connection.FinishSending();
     if (i % 100 == 0) {
       bool hasClosed = false;
-      const auto reply = connection.ReceiveAll(kSilence, hasClosed);
-      BOOST_TEST((hasClosed || !reply.empty()));
-      BOOST_TEST((reply.empty() || StatusOf(reply) >= 400));
+      const auto response = connection.ReceiveAll(kIdleTimeout, hasClosed);
+      BOOST_TEST((hasClosed || !response.empty()));
+      BOOST_TEST((response.empty() || StatusOf(response) >= 400));
       ++answered;
     }
   }
--- a/Tests/TestOneInCharge.cpp
+++ b/Tests/TestOneInCharge.cpp
@@ -13,44 +13,45 @@
 
 namespace {
 
-constexpr int kFewestMetMidOrder = 3;
+constexpr int kMinimumInterruptedOrders = 3;
 
 constexpr unsigned kSeed = 20261203;
 const std::vector<std::string> kZones = { "hall-malmo",
                                           "hall-lund",
                                           "hall-hbg" };
 
-/** One zone order as the platform's log has it. */
+/** One zone order as recorded in the platform's log. */
 struct logged_order
 {
   std::string mZone;
   std::string mCaller;
   std::string mId;
   std::int64_t mFencing = 0;
-  /** Number of the lease that the store held when the order arrived. */
+  /** Fencing number of the lease that the store held when the order arrived. */
   std::int64_t mLeaseFencing = 0;
   bool mIsRepeated = false;
 };
 
-/** Two entries, each behind a relay of its own, that keep ordering servers for
- * three zones: the pool is below its minimum and no server ever comes. */
+/** Two entries, each with its own relay to the platform, that keep ordering
+ * servers for three zones: the pool is below its minimum and no server ever
+ * starts. */
 struct site
 {
   const std::string mMaximumTransitTime;
   fleet mFleet;
   std::map<std::string, std::unique_ptr<delaying_relay>> mRelays;
   std::mt19937 mRandom{ kSeed };
-  /** Times that a pause or kill met an order under way. */
-  int mMetMidOrder = 0;
+  /** Number of pauses and kills that interrupted an order in flight. */
+  int mInterruptedOrders = 0;
 
-  explicit site(std::string aLateBytes = "400")
-    : mMaximumTransitTime(std::move(aLateBytes))
+  explicit site(std::string aMaximumTransitTime = "400")
+    : mMaximumTransitTime(std::move(aMaximumTransitTime))
   {
     for (const std::string name : { "entry-1", "entry-2" }) {
       mRelays[name] = std::make_unique<delaying_relay>(mFleet.PlatformPort());
       mFleet.AddEntry(name, kZones[0], Arguments(name));
     }
-    // The list names the zones; nothing answers for these two.
+    // These instances only make the zones known; no process answers for them.
     json::array items;
     for (const auto& zone : kZones) {
       json::value item;
@@ -114,8 +115,8 @@
     return orders;
   }
 
-  /** Waits until that entry's orders for all zones arrived after the first so
-   * many log lines. */
+  /** Waits until the entry's orders for all zones have arrived after that many
+   * log lines. */
   bool WaitForOrdersOf(const std::string& aEntry, std::size_t aAfter)
   {
     return WaitFor([&] {
@@ -138,8 +139,9 @@
     return content ? *content : json::value();
   }
 
-  /** Orders that the store shows as sent or about to be. */
-  std::set<std::string> UnderWay()
+  /** Ids of the orders whose record in the store says that they were sent or
+   * are about to be. */
+  std::set<std::string> OrdersInFlight()
   {
     std::set<std::string> ids;
     for (const auto& zone : kZones) {
@@ -148,48 +150,52 @@
         ids.insert(json::StringAt(record, "id", ""));
       }
     }
-    mMetMidOrder += ids.empty() ? 0 : 1;
+    mInterruptedOrders += ids.empty() ? 0 : 1;
     return ids;
   }
 
-  void SleepUpTo(std::chrono::milliseconds aLongest)
+  void SleepUpTo(std::chrono::milliseconds aMaximum)
   {
-    std::uniform_int_distribution<std::int64_t> length(0, aLongest.count());
+    std::uniform_int_distribution<std::int64_t> length(0, aMaximum.count());
     std::this_thread::sleep_for(std::chrono::milliseconds(length(mRandom)));
   }
 
-  /** Pauses first one entry, then the other, at seeded moments and until the
-   * other one orders for all zones. */
-  void PauseInTurn(int aRounds, std::chrono::milliseconds aOrderDelay = 0ms)
+  /** Pauses the entries alternately, at seeded moments, each until the other
+   * one has sent orders for all zones. */
+  void PauseAlternately(int aRounds,
+                        std::chrono::milliseconds aOrderDelay = 0ms)
   {
-    for (int round = 0; round < aRounds || NeedsMore(round, aRounds); ++round) {
+    for (int round = 0; round < aRounds || NeedsMoreRounds(round, aRounds);
+         ++round) {
       const std::string paused = round % 2 == 0 ? "entry-1" : "entry-2";
       const std::string other = round % 2 == 0 ? "entry-2" : "entry-1";
-      // Only the old holder's orders are late; its successor's overtake them
-      // unless it waits.
+      // Only the orders of the paused lease holder are delayed, so those of its
+      // successor overtake them unless the successor waits.
       mRelays[paused]->Delay("POST /v1/zones", aOrderDelay);
       mRelays[other]->Delay("POST /v1/zones", 0ms);
       SleepUpTo(600ms);
       const auto& process = *mFleet.Entries().at(paused).mProcess;
       process.Signal(SIGSTOP);
-      UnderWay();
+      OrdersInFlight();
       BOOST_REQUIRE(WaitForOrdersOf(other, Orders().size()));
       process.Signal(SIGCONT);
     }
   }
 
-  /** Which step a pause meets is chance: rounds are added until enough have
-   * met an order under way. */
-  bool NeedsMore(int aRound, int aRounds) const
+  /** It is random at which step a pause hits, so rounds are added until enough
+   * pauses have interrupted an order in flight. */
+  bool NeedsMoreRounds(int aRound, int aRounds) const
   {
-    return mMetMidOrder < kFewestMetMidOrder && aRound < 4 * aRounds;
+    return mInterruptedOrders < kMinimumInterruptedOrders &&
+           aRound < 4 * aRounds;
   }
 
-  /** No two holders' orders interleave, and each number has one holder. */
-  void CheckOrders(std::size_t aLeast)
+  /** Checks that orders of different lease holders don't interleave and that
+   * each fencing number belongs to one holder. */
+  void CheckOrders(std::size_t aMinimum)
   {
     const auto orders = Orders();
-    BOOST_TEST(orders.size() >= aLeast);
+    BOOST_TEST(orders.size() >= aMinimum);
     std::map<std::string, std::int64_t> highest;
     std::map<std::pair<std::string, std::int64_t>, std::string> holders;
     std::set<std::string> carriedOut;
@@ -212,7 +218,7 @@
     BOOST_TEST(doubled == 0);
     BOOST_TEST_MESSAGE("orders " << orders.size() << ", holders "
                                  << holders.size() << ", met mid-order "
-                                 << mMetMidOrder);
+                                 << mInterruptedOrders);
   }
 };
 
@@ -228,41 +234,41 @@
 
 BOOST_AUTO_TEST_SUITE(TestOneInCharge)
 
-// The platform would get start orders of an entry that thinks it is in charge
-// while another one is. An entry is paused at a seeded moment, often while it
-// sends; the other takes over; the first resumes and goes on where it was. The
-// platform is slow and ignores fencing numbers.
+// Guards against two entries sending start orders at the same time. An entry is
+// paused at a seeded moment, often while it sends; the other takes over; the
+// first resumes where it was. The platform is slow and doesn't check fencing
+// numbers.
 BOOST_FIXTURE_TEST_CASE(PausedHolderOrdersNothing, site)
 {
   SetFaults({ { "ignore_fencing", true }, { "slow_ms", 30 } });
-  PauseInTurn(10);
-  BOOST_TEST(mMetMidOrder >= kFewestMetMidOrder);
+  PauseAlternately(10);
+  BOOST_TEST(mInterruptedOrders >= kMinimumInterruptedOrders);
   CheckOrders(50);
 }
 
-// The same with bytes that the network still carries when their sender is
-// paused: a relay holds each order back, within the time that a successor
-// waits out.
+// Same fault with bytes that are still in the network when their sender is
+// paused: a relay delays each order by less than the time for which a successor
+// waits.
 BOOST_FIXTURE_TEST_CASE(DelayedBytesDontInterleave, site_with_late_bytes)
 {
-  // Renewals are slow, and each is settled by reading back, so that orders
-  // leave near a lease's end too.
+  // Renewals are slow and each is confirmed by a read, so that orders are also
+  // sent close to the end of a lease.
   SetFaults({ { "ignore_fencing", true },
               { "slow_ms", 60 },
               { "lose_answers", 1000000 } });
-  PauseInTurn(8, 950ms);
+  PauseAlternately(8, 950ms);
   std::int64_t delayed = 0;
   for (auto& [name, each] : mRelays) {
     delayed += each->Delayed();
   }
   BOOST_TEST(delayed >= 5);
-  BOOST_TEST(mMetMidOrder >= kFewestMetMidOrder);
+  BOOST_TEST(mInterruptedOrders >= kMinimumInterruptedOrders);
   CheckOrders(20);
 }
 
-// An entry dies after it wrote what it is about to order, and before or after
-// the order left. Nobody would know whether a server is starting. The other
-// entry finishes exactly that order; answers get lost on the way as well.
+// Guards against an order whose outcome nobody knows: an entry dies after it
+// recorded the order, and before or after it sent it. The other entry must
+// complete exactly that order, also when responses of the platform are lost.
 BOOST_FIXTURE_TEST_CASE(SuccessorFinishesWhatADeadHolderBegan, site)
 {
   SetFaults({ { "ignore_fencing", true }, { "slow_ms", 25 } });
@@ -275,7 +281,7 @@
     SleepUpTo(500ms);
     entry.mProcess->Signal(SIGKILL);
     entry.mProcess->WaitForExit(5s);
-    const auto begun = UnderWay();
+    const auto begun = OrdersInFlight();
     BOOST_REQUIRE(WaitForOrdersOf(other, Orders().size()));
     std::set<std::string> carriedOut;
     for (const auto& order : Orders()) {
--- a/Tests/TestOperators.cpp
+++ b/Tests/TestOperators.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** Body of a plain-text answer. */
+/** Body of a plain-text response. */
 std::string
 TextOf(std::uint16_t aPort, const std::string& aPath)
 {
@@ -45,21 +45,21 @@
   return places;
 }
 
-/** Sends this process's standard error, and its children's, to a file. */
-class captured_errors
+/** Redirects the standard error of this process and its children to a file. */
+class captured_stderr
 {
 public:
-  captured_errors()
-    : mOld(dup(STDERR_FILENO))
+  captured_stderr()
+    : mOriginal(dup(STDERR_FILENO))
   {
     const int file = mkstemp(mName.data());
     dup2(file, STDERR_FILENO);
     close(file);
   }
-  ~captured_errors()
+  ~captured_stderr()
   {
-    dup2(mOld, STDERR_FILENO);
-    close(mOld);
+    dup2(mOriginal, STDERR_FILENO);
+    close(mOriginal);
     unlink(mName.c_str());
   }
   std::string Text() const
@@ -72,7 +72,7 @@
 
 private:
   std::string mName = "/tmp/lavender-errors-XXXXXX";
-  const int mOld;
+  const int mOriginal;
 };
 
 struct site
@@ -146,8 +146,8 @@
   BOOST_TEST(PutAt("entry-1", "Sofa/a", json::object{}).mStatus == 400);
 }
 
-// Story: two operators change one customer. The second one's change silently
-// undoes the first one's.
+// Guards against lost updates: two operators change one customer, and the
+// second write would silently overwrite the first.
 BOOST_FIXTURE_TEST_CASE(RacingOperatorsGetAConflict, site)
 {
   json::value spec;
@@ -162,7 +162,8 @@
   spec.Set("weight", 3.0);
   const auto second =
     PutAt("entry-2", "Customer/geo?resource_version=" + version, spec);
-  // Status may have been written in between; then both get the conflict.
+  // A status update may have changed the version in between; then both writes
+  // get the conflict.
   BOOST_TEST((first.mStatus == 200 || first.mStatus == 409));
   BOOST_TEST(second.mStatus == 409);
   const auto* detail = second.mBody.Find("error")->Find("detail");
@@ -171,8 +172,9 @@
              json::IntegerAt(made.mBody, "resource_version", 0));
 }
 
-// Story: the platform carries a write out and its answer is lost. The operator
-// is told that it failed, or gets no key for a key that exists.
+// Guards against a lost response of the platform to a write that it carried
+// out: the operator would be told that the write failed, or get no key although
+// it was created.
 BOOST_FIXTURE_TEST_CASE(ALostAnswerIsSettled, site)
 {
   BOOST_REQUIRE(PutAt("entry-1", "Customer/geo", json::object{}).mStatus ==
@@ -195,8 +197,8 @@
   BOOST_TEST(again.mBody.Find("key") == nullptr);
 }
 
-// Story: an operator withdraws a key and wants to know when no entry takes it
-// any more, and how many servers a pool has.
+// An operator withdraws a key and needs to see when no entry accepts it any
+// more, and how many servers a pool has.
 BOOST_FIXTURE_TEST_CASE(StatusShowsWhatIsInForce, site)
 {
   json::value pool;
@@ -216,7 +218,7 @@
   auto from = json::IntegerAt(withdrawn.mBody, "resource_version", 0);
   json::value seen;
   BOOST_TEST(WaitFor([&] {
-    // The operator's tool sees it in its watch.
+    // The operator's tool gets the change through its watch.
     const auto watched =
       Send(Operators("entry-1"),
            "GET",
@@ -242,8 +244,8 @@
   }));
 }
 
-// Story: a watch resumes from a version that is no longer kept. Without a word
-// about it the tool would miss changes for ever.
+// A watch resumes from a version that is no longer kept. It must be told so;
+// otherwise the tool would miss changes without noticing.
 BOOST_FIXTURE_TEST_CASE(SaysWhenAVersionIsTooOld, site)
 {
   BOOST_REQUIRE(PutAt("entry-1", "Customer/geo", json::object{}).mStatus ==
@@ -255,18 +257,19 @@
              400);
 }
 
-// Story: whoever reaches the operators' port can withdraw every key.
+// Guards against unauthenticated access: anyone who reaches the operators' port
+// could withdraw every key.
 BOOST_FIXTURE_TEST_CASE(OperatorsShowTheirKey, site)
 {
   auto& guarded = mFleet.AddEntry(
     "entry-3", "cali", { "--operator-key-hash", HashKey("operators-key") });
-  const auto ask = [&](const http::header_list& aHeaders) {
+  const auto send = [&](const http::header_list& aHeaders) {
     return Send(
       guarded.Operators(), "GET", "/v1/resources/Customer", {}, aHeaders);
   };
-  BOOST_TEST(ask({}).mStatus == 401);
-  BOOST_TEST(ask({ { "Authorization", "Bearer other" } }).mStatus == 401);
-  BOOST_TEST(ask({ { "Authorization", "Bearer operators-key" } }).mStatus ==
+  BOOST_TEST(send({}).mStatus == 401);
+  BOOST_TEST(send({ { "Authorization", "Bearer other" } }).mStatus == 401);
+  BOOST_TEST(send({ { "Authorization", "Bearer operators-key" } }).mStatus ==
              200);
   child_process open(std::string(LAVENDER_BUILD) +
                        "/Services/Entry/lavender-entry",
@@ -287,11 +290,12 @@
              std::string::npos);
 }
 
-// Story: a key is found in a log, a metric, on the wire between the system's
-// processes, or at a backend server, and whoever reads it there can use it.
+// Guards against leaked keys: no key may appear in a log, in a metric, on the
+// wire between the system's processes or at a backend server, where anyone who
+// reads it could use it.
 BOOST_AUTO_TEST_CASE(NoKeyLeavesTheEntry)
 {
-  const captured_errors errors;
+  const captured_stderr errors;
   fleet fleet;
   auto& engine = fleet.AddBackend(
     "engine-1", "bogota", "model-pool", "engine", { "--log-level", "debug" });
@@ -341,7 +345,7 @@
   for (std::size_t i = 0; i < places.size(); ++i) {
     BOOST_TEST_CONTEXT("place " << i)
     {
-      // Each place really received something.
+      // Makes sure that each output was really written to.
       BOOST_TEST(places[i].size() > 20u);
       BOOST_TEST((places[i].find(key) == std::string::npos));
     }
--- a/Tests/TestOverload.cpp
+++ b/Tests/TestOverload.cpp
@@ -56,10 +56,10 @@
   std::mutex mMutex;
   int mServed = 0;
   int mRefused = 0;
-  /** Refusals that don't say "not run" and when to come back. */
-  int mUnclear = 0;
+  /** Refusals that lack "not_run" or a time after which to retry. */
+  int mIncomplete = 0;
 
-  void Take(const answer& aAnswer)
+  void Record(const answer& aAnswer)
   {
     std::lock_guard lock(mMutex);
     if (aAnswer.mStatus == 200) {
@@ -68,12 +68,12 @@
     }
     ++mRefused;
     const auto* error = aAnswer.mBody.Find("error");
-    const bool isClear =
+    const bool isComplete =
       aAnswer.mStatus == 503 && error &&
       json::StringAt(*error, "ran", "") == "not_run" &&
       json::IntegerAt(*error, "retry_after_ms", 0) > 0 &&
       !http::HeaderOr(aAnswer.mHeaders, "Retry-After", "").empty();
-    mUnclear += isClear ? 0 : 1;
+    mIncomplete += isComplete ? 0 : 1;
   }
 };
 
@@ -81,10 +81,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestOverload)
 
-// Story: one customer sends all it can, far beyond its share. A crew at
-// another one asks for a quote and is told that the servers are busy, or
-// waits behind hundreds. And a refused caller who is told "not run" asks
-// again, though its request did run.
+// One customer floods the servers far beyond its share. Guards against another
+// customer's request being refused or queued behind hundreds, and against
+// "not_run" in the response to a request that did run, which the client would
+// repeat.
 BOOST_AUTO_TEST_CASE(AFloodRefusesOnlyItsOwnCustomer)
 {
   site site(2, 8);
@@ -98,12 +98,12 @@
                             .size();
   site.SetPerToken(20000);
   flood_counts counts;
-  std::atomic<bool> isOver{ false };
+  std::atomic<bool> isStopping{ false };
   std::vector<std::thread> flood;
   for (int i = 0; i < 32; ++i) {
     flood.emplace_back([&, port = site.Entry(i % 2 ? "entry-1" : "entry-2")] {
-      while (!isOver) {
-        counts.Take(Complete(port, large, kModel, "a b c d e", 5));
+      while (!isStopping) {
+        counts.Record(Complete(port, large, kModel, "a b c d e", 5));
       }
     });
   }
@@ -117,15 +117,16 @@
       Complete(site.Entry("entry-1"), small, kModel, "one quote", 2);
     served += got.mStatus == 200 ? 1 : 0;
   }
-  isOver = true;
+  isStopping = true;
   for (auto& thread : flood) {
     thread.join();
   }
   BOOST_TEST(isFlooded);
   BOOST_TEST(served == 20);
   BOOST_TEST(counts.mServed > 0);
-  BOOST_TEST(counts.mUnclear == 0);
-  // Every "not run" is true: the server ran what was answered, and no more.
+  BOOST_TEST(counts.mIncomplete == 0);
+  // Checks that every "not_run" is true: the server ran exactly the requests
+  // that were answered.
   const auto runs = Send(site.Engine(), "GET", "/control/log")
                       .mBody.Find("runs")
                       ->Elements()
@@ -134,25 +135,25 @@
              static_cast<std::size_t>(counts.mServed + served));
 }
 
-// Story: a customer pays for sixteen requests at once and all its callers
-// reach one of two entries. Each entry allows its even half, so the customer
-// is refused with half of its limit unused.
+// Guards against a limit split evenly among the entries: a customer with a
+// limit of sixteen requests in flight sends all of them to one of two entries
+// and would be refused at half of the limit.
 BOOST_AUTO_TEST_CASE(ALimitFollowsTheDemand)
 {
   constexpr int kLimit = 16;
-  constexpr int kEvenPart = kLimit / 2;
+  constexpr int kEvenShare = kLimit / 2;
   site site(64, 64);
   json::value spec;
   spec.Set("max_concurrent", kLimit);
   const auto key = site.mFleet.AddCustomer("brf-ekbacken", spec);
   BOOST_REQUIRE(site.mFleet.WaitUntilServing(key, kModel));
   site.SetPerToken(150000);
-  std::atomic<bool> isOver{ false };
+  std::atomic<bool> isStopping{ false };
   std::atomic<int> refused{ 0 };
   std::vector<std::thread> callers;
   for (int i = 0; i < 2 * kLimit; ++i) {
     callers.emplace_back([&] {
-      while (!isOver) {
+      while (!isStopping) {
         const auto got =
           Complete(site.Entry("entry-1"), key, kModel, "a b c d e f g h", 8);
         if (got.mStatus != 200) {
@@ -162,21 +163,21 @@
       }
     });
   }
-  int most = 0;
+  int maximum = 0;
   const bool isBeyondEven = WaitFor([&] {
     const auto load = Send(site.Engine(), "GET", "/load").mBody;
-    most =
-      std::max(most, static_cast<int>(json::IntegerAt(load, "running", 0)));
-    return most >= kEvenPart + kLimit / 4;
+    maximum =
+      std::max(maximum, static_cast<int>(json::IntegerAt(load, "running", 0)));
+    return maximum >= kEvenShare + kLimit / 4;
   });
-  isOver = true;
+  isStopping = true;
   for (auto& caller : callers) {
     caller.join();
   }
-  BOOST_TEST_MESSAGE("running at once " << most << ", refused " << refused);
+  BOOST_TEST_MESSAGE("running at once " << maximum << ", refused " << refused);
   BOOST_TEST(refused > 0);
   BOOST_TEST(isBeyondEven);
-  BOOST_TEST(most <= kLimit);
+  BOOST_TEST(maximum <= kLimit);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/TestPausedEntry.cpp
+++ b/Tests/TestPausedEntry.cpp
@@ -9,9 +9,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestPausedEntry)
 
-// Story: an entry is paused for some seconds, during which a key is withdrawn
-// and callers go on connecting to it. As it resumes it still holds its last
-// judgement, "current", and serves them by it.
+// Guards against stale configuration after a pause: an entry is paused for some
+// seconds, during which a key is withdrawn and clients go on connecting. When
+// the entry resumes, its last check still says that its configuration is
+// current.
 BOOST_AUTO_TEST_CASE(AcceptsNoKeyByWhatItKnewBeforeThePause)
 {
   fleet fleet;
@@ -31,7 +32,8 @@
   spec.Set("customer", "brf-ekbacken");
   spec.Set("withdrawn", true);
   BOOST_REQUIRE(fleet.Put("Key", "brf-ekbacken-key", spec).mStatus == 200);
-  // The kernel takes these connections; the process serves them on resuming.
+  // The kernel accepts these connections; the process serves them after it
+  // resumes.
   std::vector<answer> answers(8);
   std::vector<std::thread> callers;
   for (auto& answer : answers) {
--- a/Tests/TestPlannedStop.cpp
+++ b/Tests/TestPlannedStop.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/** Two engines in one zone, which the pool's bounds then reduce to one. */
+/** Two engines in one zone; lowering the pool's maximum then stops one of them.
+ */
 struct site
 {
   fleet mFleet;
@@ -63,7 +64,7 @@
     }
   }
 
-  /** Each client sends one request after another. */
+  /** Starts clients that each send their requests one after another. */
   void StartClients(int aClients, int aRequests, std::int64_t aTokens)
   {
     for (int i = 0; i < aClients; ++i) {
@@ -72,7 +73,7 @@
       mClients.emplace_back(
         [this, port = entry.Callers(), aRequests, aTokens, i] {
           for (int sent = 0; sent < aRequests; ++sent) {
-            // The stand-in answers with the prompt, a token a word.
+            // The stand-in engine responds with the prompt, one token per word.
             std::string prompt = "crew " + std::to_string(i);
             for (int word = 0; word < 60; ++word) {
               prompt += " w" + std::to_string(sent) + std::to_string(word);
@@ -93,7 +94,8 @@
     return content ? *content : json::value();
   }
 
-  /** Server that the platform was told to stop; empty before. */
+  /** Name of the server that the platform was ordered to stop; empty until
+   * then. */
   std::string StoppedServer()
   {
     const auto log = Send(mFleet.PlatformPort(), "GET", "/control/log");
@@ -119,9 +121,10 @@
 
 BOOST_AUTO_TEST_SUITE(TestPlannedStop)
 
-// A crew's report would be lost because the server that read it was stopped to
-// save cost. The platform here stops a server the moment it is told to, without
-// any grace; all requests must have ended before, and later ones go elsewhere.
+// Guards against requests lost because their server is stopped to save cost.
+// The platform stops a server as soon as it is ordered to, without a grace
+// period, so all its requests must have ended before the order, and later ones
+// must go elsewhere.
 BOOST_FIXTURE_TEST_CASE(PlannedStopCutsNoRequest, site)
 {
   SetPerToken(20000);
@@ -138,8 +141,8 @@
   BOOST_TEST(mAnswered == 48);
 }
 
-// The server that is to stop has a request that takes very long. The stop waits
-// for it; no deadline turns it into a cut.
+// The server to be stopped has a very long request. The stop order waits for
+// the request's end; no deadline cuts it off.
 BOOST_FIXTURE_TEST_CASE(StuckRequestDefersTheStop, site)
 {
   SetPerToken(200000);
--- a/Tests/TestPlatformDownAndSlow.cpp
+++ b/Tests/TestPlatformDownAndSlow.cpp
@@ -32,15 +32,15 @@
   {
     Send(mFleet.PlatformPort(), "POST", "/control/faults", aFaults);
   }
-  /** Calls that the platform has been asked so far. */
-  std::int64_t Gets()
+  /** Number of GET calls that the platform has received so far. */
+  std::int64_t GetCalls()
   {
     return json::IntegerAt(
       Send(mFleet.PlatformPort(), "GET", "/control/calls").mBody, "GET", 0);
   }
-  /** Sends that many requests, one after another, at both entries; how many
-   * got their answer. */
-  int Serve(int aCount)
+  /** Sends that many requests one after another, alternately to both entries,
+   * and returns how many succeeded. */
+  int CountServed(int aCount)
   {
     int served = 0;
     for (int i = 0; i < aCount; ++i) {
@@ -57,21 +57,21 @@
 
 BOOST_AUTO_TEST_SUITE(TestPlatformDownAndSlow)
 
-// Story: the platform answers each call 5 s late. If any request waited for
-// it, 100 requests one after another would take minutes; they are all served
-// while the platform has given fewer answers than one request would need.
+// The platform responds to each call after 5 s. If requests waited for it, 100
+// of them one after another would take minutes; all must be served in less time
+// than the platform takes for a single call.
 BOOST_FIXTURE_TEST_CASE(NoRequestWaitsForASlowPlatform, site)
 {
   SetFaults(json::object{ { "slow_ms", 5000 } });
-  const auto before = Gets();
-  BOOST_REQUIRE(WaitFor([&] { return Gets() > before; }));
+  const auto before = GetCalls();
+  BOOST_REQUIRE(WaitFor([&] { return GetCalls() > before; }));
   std::atomic<bool> isAnswered{ false };
-  // A control call passes the fault; an object read takes the 5 s.
+  // Control calls aren't affected by the fault; an object read takes the 5 s.
   std::thread platformCall([&] {
     Send(mFleet.PlatformPort(), "GET", "/v1/objects/Customer/brf-ekbacken");
     isAnswered = true;
   });
-  const int served = Serve(100);
+  const int served = CountServed(100);
   const bool wasAnsweredBefore = isAnswered;
   platformCall.join();
   BOOST_TEST(served == 100);
@@ -79,8 +79,8 @@
   BOOST_TEST(!wasAnsweredBefore);
 }
 
-// Story: the platform stays slow for longer than any proof of freshness lasts.
-// Keys that nobody withdrew stop working.
+// Guards against valid keys being refused when the platform stays slow for
+// longer than a proof that the configuration is current remains valid.
 BOOST_FIXTURE_TEST_CASE(GoesOnServingWhileItStaysSlow, site)
 {
   SetFaults(json::object{ { "slow_ms", 5000 } });
@@ -89,43 +89,44 @@
   int served = 0;
   while (std::chrono::steady_clock::now() < end) {
     sent += 2;
-    served += Serve(2);
+    served += CountServed(2);
     std::this_thread::sleep_for(50ms);
   }
   BOOST_TEST(sent > 40);
   BOOST_TEST(served == sent);
   SetFaults(json::object{ { "slow_ms", 0 } });
-  // What operators write is in force again within the bound.
+  // Operators' changes come into force within the bound again.
   json::value spec;
   spec.Set("customer", "brf-ekbacken");
   spec.Set("withdrawn", true);
   BOOST_TEST(WaitFor([&] {
     return mFleet.Put("Key", "brf-ekbacken-key", spec).mStatus == 200;
   }));
-  BOOST_TEST(WaitFor([&] { return Serve(2) == 0; }, 8s));
+  BOOST_TEST(WaitFor([&] { return CountServed(2) == 0; }, 8s));
 }
 
-// Story: a caller floods calls that need the platform. Without a bound this
-// one entry uses up the rate that the leases of all others live on.
+// A client floods calls that need the platform. Without a bound, this one entry
+// would use up the platform's rate limit, which the leases of all other entries
+// depend on.
 BOOST_FIXTURE_TEST_CASE(RefusesOverTheRateAtOnce, site)
 {
   auto& entry =
     mFleet.AddEntry("entry-3", "hall-hbg", { "--platform-reads", "10" });
-  const auto ask = [&] {
+  const auto send = [&] {
     return Send(entry.Operators(), "GET", "/v1/resources/Customer/nobody");
   };
   int refused = 0;
   int answered = 0;
   for (int i = 0; i < 200; ++i) {
-    const auto status = ask().mStatus;
+    const auto status = send().mStatus;
     refused += status == 503 ? 1 : 0;
     answered += status == 404 ? 1 : 0;
   }
   BOOST_TEST(refused > 0);
   BOOST_TEST(answered > 0);
   BOOST_TEST(refused + answered == 200);
-  // It has rate again a moment later, and its own watch goes on.
-  BOOST_TEST(WaitFor([&] { return ask().mStatus == 404; }));
+  // A moment later the entry has calls left again, and its own watch goes on.
+  BOOST_TEST(WaitFor([&] { return send().mStatus == 404; }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/Tests/TestRollingReplacement.cpp
+++ b/Tests/TestRollingReplacement.cpp
@@ -12,29 +12,29 @@
 
 namespace {
 
-/** Stands for the platform's balancer: gives out entries that say they are
- * ready. */
+/** Stands for the platform's load balancer: picks among the entries that report
+ * that they are ready. */
 class balancer
 {
 public:
   explicit balancer(fleet& aFleet)
   {
     for (auto& [name, entry] : aFleet.Entries()) {
-      Use(name, entry);
+      SetEntry(name, entry);
     }
-    mThread = std::thread([this] { Look(); });
+    mThread = std::thread([this] { Poll(); });
   }
   ~balancer()
   {
     mIsStopping = true;
     mThread.join();
   }
-  void Use(const std::string& aName, const entry_instance& aEntry)
+  void SetEntry(const std::string& aName, const entry_instance& aEntry)
   {
     std::lock_guard lock(mMutex);
     mEntries[aName] = { aEntry.Callers(), aEntry.Health(), false };
   }
-  /** Callers' port of a ready entry; 0 when there is none. */
+  /** Callers' port of a ready entry; 0 when no entry is ready. */
   std::uint16_t Pick(unsigned aTurn)
   {
     std::lock_guard lock(mMutex);
@@ -53,17 +53,17 @@
   }
 
 private:
-  struct known_entry
+  struct entry_state
   {
     std::uint16_t mCallers = 0;
     std::uint16_t mHealth = 0;
     bool mIsReady = false;
   };
 
-  void Look()
+  void Poll()
   {
     while (!mIsStopping) {
-      std::map<std::string, known_entry> entries;
+      std::map<std::string, entry_state> entries;
       {
         std::lock_guard lock(mMutex);
         entries = mEntries;
@@ -81,12 +81,12 @@
   }
 
   std::mutex mMutex;
-  std::map<std::string, known_entry> mEntries;
+  std::map<std::string, entry_state> mEntries;
   std::atomic<bool> mIsStopping{ false };
   std::thread mThread;
 };
 
-/** Callers that send request after request until they are stopped. */
+/** Clients that send one request after another until they are stopped. */
 class load
 {
 public:
@@ -110,11 +110,11 @@
     }
   }
   int Served() const { return mServed; }
-  int Bad() const { return mBad; }
-  std::string Worst()
+  int Failed() const { return mFailed; }
+  std::string LastFailure()
   {
     std::lock_guard lock(mMutex);
-    return mWorst;
+    return mLastFailure;
   }
 
 private:
@@ -130,13 +130,14 @@
       }
       const auto got = Complete(port, mKey, "protokoll", prompt, 8);
       const auto* choices = got.mBody.Find("choices");
-      const bool isWhole =
+      const bool isComplete =
         got.mStatus == 200 && choices && !choices->Elements().empty() &&
         json::StringAt(choices->Elements()[0], "text", "") == prompt;
-      ++(isWhole ? mServed : mBad);
-      if (!isWhole) {
+      ++(isComplete ? mServed : mFailed);
+      if (!isComplete) {
         std::lock_guard lock(mMutex);
-        mWorst = std::to_string(got.mStatus) + " " + json::Write(got.mBody);
+        mLastFailure =
+          std::to_string(got.mStatus) + " " + json::Write(got.mBody);
       }
     }
   }
@@ -145,9 +146,9 @@
   const std::string mKey;
   std::atomic<bool> mIsStopping{ false };
   std::atomic<int> mServed{ 0 };
-  std::atomic<int> mBad{ 0 };
+  std::atomic<int> mFailed{ 0 };
   std::mutex mMutex;
-  std::string mWorst;
+  std::string mLastFailure;
   std::vector<std::thread> mThreads;
 };
 
@@ -173,14 +174,14 @@
     mFleet.Put("BackendPool", "modellflotta", pool);
     mKey = mFleet.AddCustomer("brf-ekbacken");
     BOOST_REQUIRE(mFleet.WaitUntilServing(mKey, "protokoll"));
-    // The list shows every change 2 s late.
+    // The instance list shows every change 2 s late.
     Send(mFleet.PlatformPort(),
          "POST",
          "/control/faults",
          json::object{ { "list_lag_ms", 2000 } });
   }
 
-  /** How often each request ran at one engine. */
+  /** Number of runs of each request at one engine. */
   std::map<std::string, int> RunsAt(const std::string& aName)
   {
     std::map<std::string, int> runs;
@@ -197,9 +198,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestRollingReplacement)
 
-// Story: the operators replace every instance, one after another, under load.
-// Some callers get a cut answer, or none, whenever an instance stops, because
-// it stopped before its work was done, or got work after it said it leaves.
+// The operators replace every instance, one after another, under load. Guards
+// against truncated or missing responses, which occur when an instance stops
+// before its requests have ended or gets new ones after it said that it leaves.
 BOOST_FIXTURE_TEST_CASE(LosesNothing, site)
 {
   balancer balancer(mFleet);
@@ -215,7 +216,7 @@
     mFleet.StartAgent(backend);
     replaced += backend.mAgent->Port("wire") != oldPort ? 1 : 0;
     mFleet.PublishInstances();
-    // The next one goes only when this one has work again.
+    // The next instance is replaced only once this one gets requests again.
     const auto before = RunsAt(name).size();
     BOOST_TEST(
       WaitFor([&, &name = name] { return RunsAt(name).size() > before + 20; }));
@@ -226,7 +227,7 @@
     BOOST_TEST(entry.mProcess->WaitForExit(20s) == 0);
     mFleet.StartEntry(entry);
     replaced += entry.Callers() != oldPort ? 1 : 0;
-    balancer.Use(name, entry);
+    balancer.SetEntry(name, entry);
     mFleet.PublishInstances();
     BOOST_TEST(WaitFor([&, &name = name] { return balancer.IsReady(name); }));
     const int before = load.Served();
@@ -235,7 +236,7 @@
   load.Stop();
   BOOST_TEST(replaced == 5);
   BOOST_TEST(load.Served() > 500);
-  BOOST_TEST(load.Bad() == 0, load.Worst());
+  BOOST_TEST(load.Failed() == 0, load.LastFailure());
   std::map<std::string, int> runs;
   for (const auto& [name, backend] : mFleet.Backends()) {
     for (const auto& [request, count] : RunsAt(name)) {
@@ -250,9 +251,9 @@
   BOOST_TEST_MESSAGE("served=" << load.Served());
 }
 
-// Story: a server is taken out, and the platform's list goes on naming it for
-// a long time. It must get no new work a few seconds later, and be forgotten
-// once the list has caught up.
+// A server is taken out while the platform's instance list goes on naming it
+// for a long time. It must get no new requests a few seconds later, and be
+// dropped once the list has caught up.
 BOOST_FIXTURE_TEST_CASE(ALeavingServerGetsNoNewWorkThoughTheListLags, site)
 {
   balancer balancer(mFleet);
@@ -274,8 +275,8 @@
   BOOST_TEST(RunsAt("engine-1").size() == before);
   BOOST_TEST(leaving.mAgent->WaitForExit(20s) == 0);
   load.Stop();
-  BOOST_TEST(load.Bad() == 0, load.Worst());
-  // Gone from the list, it is forgotten in the end.
+  BOOST_TEST(load.Failed() == 0, load.LastFailure());
+  // Once it is gone from the list, the entry drops it.
   auto server = std::move(mFleet.Backends().at("engine-1").mServer);
   mFleet.Backends().erase("engine-1");
   mFleet.PublishInstances();
--- a/Tests/TestRunOnce.cpp
+++ b/Tests/TestRunOnce.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/** Each answer is held against the runs that the desks counted. */
+/** Compares a response with the number of runs that the desks counted. */
 void
-HoldAgainstRuns(desk_site& aSite,
-                const answer& aAnswer,
-                const std::string& aBody)
+CheckAgainstRuns(desk_site& aSite,
+                 const answer& aAnswer,
+                 const std::string& aBody)
 {
   const auto runs = aSite.RunsOf(aBody);
   BOOST_TEST_CONTEXT(aBody << " status=" << aAnswer.mStatus << " reason="
@@ -34,9 +34,10 @@
   return WaitFor([&] { return aSite.RunsOf(aBody) == 1; });
 }
 
-/** Dispatches that agents refused since their cancel had come before. */
+/** Number of dispatches that agents refused because their cancellation arrived
+ * first. */
 std::int64_t
-CountLateDispatches(desk_site& aSite)
+CountCancelledDispatches(desk_site& aSite)
 {
   std::int64_t count = 0;
   for (const char* desk : { "desk-1", "desk-2" }) {
@@ -51,8 +52,8 @@
 
 BOOST_AUTO_TEST_SUITE(TestRunOnce)
 
-// A booking is made, or refused as "not run" and not made. One agent has died
-// before the dispatch, and the entries still believe in it.
+// A booking must be made, or refused as "not run" and not made. One agent has
+// died before the dispatch, and the entries still consider it alive.
 BOOST_AUTO_TEST_CASE(AgentKilledBeforeTheRun)
 {
   desk_site site;
@@ -60,7 +61,7 @@
   int refused = 0;
   for (int i = 0; i < 12; ++i) {
     const auto body = "before " + std::to_string(i);
-    HoldAgainstRuns(site, site.Book("entry-1", body), body);
+    CheckAgainstRuns(site, site.Book("entry-1", body), body);
   }
   refused = static_cast<int>(CounterOf(site.Entry("entry-1").Health(),
                                        "lavender_retries_total",
@@ -68,8 +69,8 @@
   BOOST_TEST(refused > 0, "no dispatch met the dead agent");
 }
 
-// A booking's run begins and its agent dies. The caller must hear "outcome
-// unknown", at this entry and at the other, and never get a second run.
+// The agent dies while a booking runs. The caller must get "outcome unknown" at
+// both entries, and the booking must never run twice.
 BOOST_AUTO_TEST_CASE(AgentKilledDuringTheRun)
 {
   desk_site site;
@@ -91,8 +92,9 @@
   BOOST_TEST(site.RunsOf("during") == 1);
 }
 
-// A booking has run, and its agent dies before the answer has left: the relay
-// before it holds the answer back. Nobody can fetch it any more.
+// A booking has run and its agent dies before the response has left, as a relay
+// in front of the agent holds it back. The response can't be retrieved any
+// more.
 BOOST_AUTO_TEST_CASE(AgentKilledAfterTheRun)
 {
   desk_site site;
@@ -115,8 +117,9 @@
   BOOST_TEST(site.RunsOf("after") == 1);
 }
 
-// An entry dies while a booking runs; the caller asks the other entry with the
-// same key and gets the answer of the one run.
+// An entry dies while a booking runs. The caller repeats the request at the
+// other entry with the same idempotency key and gets the response of the one
+// run.
 BOOST_AUTO_TEST_CASE(EntryKilledMidRequest)
 {
   desk_site site;
@@ -130,8 +133,8 @@
   BOOST_TEST(site.RunsOf("entry dies") == 1);
 }
 
-// A caller's client sends each booking to both entries at once. One run, and
-// both get its answer.
+// A client sends each booking to both entries at once. It must run once, and
+// both requests must get its response.
 BOOST_AUTO_TEST_CASE(DoubledAtBothEntriesAtOnce)
 {
   desk_site site;
@@ -156,8 +159,8 @@
   BOOST_TEST(shared > 0, "no request met another one's record");
 }
 
-// A desk's answer breaks off in the middle. It is no answer, and the booking
-// isn't made again, whoever asks.
+// A desk's response breaks off in the middle. It must not be passed on as a
+// response, and the booking must not run again, whichever entry is asked.
 BOOST_AUTO_TEST_CASE(AnswerCutShortByTheServer)
 {
   desk_site site;
@@ -177,8 +180,9 @@
   BOOST_TEST(cuts > 0, "no answer was cut");
 }
 
-// A dispatch hangs on a connection that went silent. The entry takes it back
-// on a new one and books elsewhere; then the old connection wakes up.
+// A dispatch is stuck on a connection that became unresponsive. The entry
+// cancels it over a new connection and books elsewhere; then the old connection
+// delivers the dispatch.
 BOOST_AUTO_TEST_CASE(DispatchArrivesAfterItsCancel)
 {
   desk_site site;
@@ -187,19 +191,19 @@
     relay->FreezeOpen();
   }
   const auto booked = site.Book("entry-1", "late dispatch", "key-late");
-  HoldAgainstRuns(site, booked, "late dispatch");
+  CheckAgainstRuns(site, booked, "late dispatch");
   BOOST_TEST(booked.mStatus == 200);
   for (auto& [name, relay] : relays) {
     relay->ThawAll();
   }
-  BOOST_TEST(WaitFor([&] { return CountLateDispatches(site) > 0; }),
+  BOOST_TEST(WaitFor([&] { return CountCancelledDispatches(site) > 0; }),
              "the late dispatch never arrived");
   BOOST_TEST(site.RunsOf("late dispatch") == 1);
 }
 
 // An entry records a booking and dies before the dispatch reaches the agent.
-// The other entry finds out that it never ran, runs it, and the dispatch that
-// arrives at last is refused.
+// The other entry finds out that it never ran and runs it; the agent must
+// refuse the dispatch that arrives late.
 BOOST_AUTO_TEST_CASE(EntryKilledBetweenRecordAndArrival)
 {
   desk_site site;
@@ -223,13 +227,13 @@
   for (auto& [name, relay] : relays) {
     relay->ThawAll();
   }
-  BOOST_TEST(WaitFor([&] { return CountLateDispatches(site) > 0; }),
+  BOOST_TEST(WaitFor([&] { return CountCancelledDispatches(site) > 0; }),
              "the late dispatch never arrived");
-  HoldAgainstRuns(site, again, "recorded");
+  CheckAgainstRuns(site, again, "recorded");
 }
 
-// An agent restarts while a dispatch for its predecessor is on the way. The
-// new process refuses it, and the booking is made elsewhere or not at all.
+// An agent restarts while a dispatch for its earlier process is in flight. The
+// new process must refuse it, and the booking is made elsewhere or not at all.
 BOOST_AUTO_TEST_CASE(AgentRestartedBetweenDispatchAndArrival)
 {
   desk_site site({}, { "desk-1" });
@@ -243,15 +247,15 @@
   relay.SetTarget(site.Desk("desk-1").mAgent->Port("wire"));
   relay.ThawAll();
   const auto answer = booking.get();
-  HoldAgainstRuns(site, answer, "restarted");
+  CheckAgainstRuns(site, answer, "restarted");
   BOOST_TEST(RanOf(answer) == "not_run");
   BOOST_TEST(CounterOf(site.Desk("desk-1").mAgent->Port("health"),
                        "lavender_agent_refusals_total",
                        "other_incarnation") > 0);
 }
 
-// More bookings come than the one desk takes. Those refused are told so at
-// once and truthfully, with a time to come back; the others are made once.
+// More bookings arrive than the one desk has room for. The excess is refused at
+// once, as "not run" and with a time to retry; the others run once.
 BOOST_AUTO_TEST_CASE(QueueFull)
 {
   desk_site site({ "--slots", "1", "--queue", "1" }, { "desk-1" });
@@ -264,7 +268,7 @@
   int refused = 0;
   for (auto& [body, booking] : bookings) {
     const auto answer = booking.get();
-    HoldAgainstRuns(site, answer, body);
+    CheckAgainstRuns(site, answer, body);
     if (ReasonOf(answer) == "queue_full") {
       ++refused;
       BOOST_TEST(!http::HeaderOr(answer.mHeaders, "Retry-After", "").empty());
@@ -273,9 +277,9 @@
   BOOST_TEST(refused > 0, "the queue was never full");
 }
 
-// An agent is stopped in a planned way while bookings run and wait, and its
-// drain deadline is too short for all. Those that run are answered whole, and
-// those that wait are told truthfully that they weren't made.
+// An agent is stopped by SIGTERM while bookings run and wait, and its drain
+// deadline is too short for all. The running ones get complete responses, and
+// the waiting ones are refused as "not run".
 BOOST_AUTO_TEST_CASE(AgentStoppedWhileBookingsWait)
 {
   desk_site site({ "--slots", "2", "--queue", "16", "--drain-deadline", "100" },
@@ -299,7 +303,7 @@
   int refused = 0;
   for (auto& [body, booking] : bookings) {
     const auto answer = booking.get();
-    HoldAgainstRuns(site, answer, body);
+    CheckAgainstRuns(site, answer, body);
     BOOST_TEST((answer.mStatus == 200 || RanOf(answer) == "not_run"));
     made += answer.mStatus == 200 ? 1 : 0;
     refused += ReasonOf(answer) == "draining" ? 1 : 0;
@@ -309,8 +313,9 @@
   BOOST_TEST(site.Desk("desk-1").mAgent->WaitForExit(20s) == 0);
 }
 
-// A caller gives half a second for a generation of ten. The engine must not
-// go on working for nobody, and the part that it made is no answer.
+// A caller sets a deadline of half a second for a generation of ten seconds.
+// The engine must stop working on it, and the partial output must not be
+// returned as a response.
 BOOST_AUTO_TEST_CASE(GenerationStopsAtTheDeadline)
 {
   fleet fleet;
@@ -347,7 +352,7 @@
   BOOST_TEST(log.mBody.Find("runs")->Elements().size() == 2u);
 }
 
-// A client uses a key again for another booking by mistake.
+// A client reuses an idempotency key for another booking by mistake.
 BOOST_AUTO_TEST_CASE(KeyUsedAgainWithAnotherBody)
 {
   desk_site site;
@@ -360,8 +365,8 @@
   BOOST_TEST(site.RunsOf("second body") == 0);
 }
 
-// The platform's store loses answers after the write, goes down, and comes
-// back. A booking is made once, or refused at once and not made.
+// The platform's store loses responses after writes, goes down, and comes back.
+// A booking runs once, or is refused at once and doesn't run.
 BOOST_AUTO_TEST_CASE(PlatformLosesAnswersAndGoesDown)
 {
   desk_site site;
@@ -389,9 +394,9 @@
   const auto refused = site.Book("entry-1", "down", "key-down");
   BOOST_TEST(refused.mStatus == 503);
   BOOST_TEST(ReasonOf(refused) == "platform_unavailable");
-  HoldAgainstRuns(site, refused, "down");
+  CheckAgainstRuns(site, refused, "down");
   BOOST_TEST(site.RunsOf("down") == 0);
-  // Calls without a key need no store.
+  // Requests without an idempotency key don't need the store.
   BOOST_TEST(site.Book("entry-1", "down, no key").mStatus == 200);
   down.Set("down", false);
   setFaults(down);
@@ -400,10 +405,10 @@
   BOOST_TEST(site.RunsOf("down") == 1);
 }
 
-// A booking runs, and its entry dies before the caller has the answer. The
-// caller asks the other entry with the same key while the platform is down:
-// "not run" there would make it book elsewhere, and the receiver is booked
-// twice. Nobody but the record can tell, so the outcome is unknown.
+// A booking runs, and its entry dies before the caller has the response. The
+// caller repeats the request at the other entry while the platform is down.
+// "not_run" there would make it book elsewhere and so twice. Only the record in
+// the store could tell, so the outcome is unknown.
 BOOST_AUTO_TEST_CASE(AskedAgainWhileThePlatformIsDown)
 {
   desk_site site;
@@ -427,8 +432,8 @@
   BOOST_TEST(site.RunsOf("in between") == 1);
 }
 
-// A key is remembered for a stated time; its record doesn't stay for ever in
-// the store, nor when the entry that wrote it has died.
+// An idempotency key is remembered for a stated time. Its record must not stay
+// in the store for ever, also when the entry that wrote it has died.
 BOOST_AUTO_TEST_CASE(OldRecordsAreRemoved)
 {
   desk_site site;
--- a/Tests/TestSamples.cpp
+++ b/Tests/TestSamples.cpp
@@ -11,9 +11,9 @@
 BOOST_AUTO_TEST_SUITE(TestSamples)
 
 // Weights change while a batch is made. A sample that spans the swap names
-// both versions with the tokens that each produced; one that can't be told
-// apart is made again. A trainer that took the engine's word, or the version
-// accepted, would weigh tokens by the wrong policy.
+// both versions with the tokens that each produced; one whose tokens can't be
+// attributed is made again. By the version that the engine claims, or by the
+// accepted version, the trainer would weight tokens by the wrong policy.
 BOOST_FIXTURE_TEST_CASE(NamesTrueVersionsThroughSwaps, training_site)
 {
   for (const char* engine : { "engine-1", "engine-2" }) {
@@ -29,8 +29,8 @@
   BOOST_TEST(OldestIn(batch.mBody) >= 3 - kBound);
 }
 
-// One engine fails its swap and still says that it holds what it was ordered
-// to; the other swaps late and says nothing of versions. Both go on making
+// One engine fails its swap and still reports the version that it was ordered
+// to load; the other swaps late and reports no version. Both go on producing
 // samples.
 BOOST_FIXTURE_TEST_CASE(NamesTrueVersionsThroughFailedAndLateSwaps,
                         training_site)
@@ -59,9 +59,9 @@
              std::string::npos);
 }
 
-// An agent is killed while its engine generates, and started anew; then the
-// engine itself loses its weights and comes back with its base model. The
-// samples that they held are made again, and none names the base model.
+// An agent is killed while its engine generates, and restarted; then the engine
+// itself loses its weights and comes back with its base model. The affected
+// samples are made again, and none names the base model.
 BOOST_FIXTURE_TEST_CASE(NamesTrueVersionsThroughAgentAndEngineRestarts,
                         training_site)
 {
@@ -83,9 +83,10 @@
   BOOST_TEST(WaitFor([&] { return HeldBy("engine-2") == 2; }));
 }
 
-// A trainer crashes before its acknowledgement and asks again, at another
-// entry, after the weights have moved on: it gets the same bytes. After the
-// acknowledgement a late doubled ask makes no new batch.
+// A trainer crashes before its acknowledgement and repeats the request at
+// another entry after the weights have changed: it must get the same bytes.
+// After the acknowledgement, a late duplicate of the request must not start a
+// new batch.
 BOOST_FIXTURE_TEST_CASE(GivesTheSameBatchUntilItIsAcknowledged, training_site)
 {
   const auto first = WaitForBatch("entry-1", 1);
@@ -107,8 +108,9 @@
   BOOST_TEST(parts.mBody.Find("items")->Elements().empty());
 }
 
-// Two entries are asked for one step at the same moment, over and over: one
-// makes it, both give it, and nothing is made twice beyond one claim.
+// Two entries get requests for one step at the same moment, repeatedly. One
+// entry claims the batch and makes it, both return it, and nothing is made
+// again outside that claim.
 BOOST_FIXTURE_TEST_CASE(MakesOneBatchForADoubledRequest, training_site)
 {
   for (int step = 1; step <= 3; ++step) {
@@ -130,9 +132,9 @@
   }
 }
 
-// One engine makes tokens twenty times slower than the other, and each step
-// would wait for the samples that landed there. Once its pace is known, the
-// last samples of a step are started again; each group stays whole.
+// One engine produces tokens twenty times more slowly than the other, and each
+// step would wait for the samples on it. Once its rate is known, the last
+// samples of a step are restarted elsewhere; each group stays complete.
 BOOST_FIXTURE_TEST_CASE(StartsSamplesOfASlowServerAgain, training_site)
 {
   SetFault("engine-1", { { "per_token_us", 5000 } });
@@ -149,8 +151,9 @@
   BOOST_TEST_MESSAGE("steps until a sample was started again: " << steps);
 }
 
-// A whole step of the size to design for, with long prompts, goes through one
-// entry: it needs more samples than may be under way, and more than one part.
+// A step of the largest supported size, with long prompts, goes through one
+// entry. It needs more samples than may be in flight at once, and is stored in
+// more than one part.
 BOOST_FIXTURE_TEST_CASE(DeliversAStepOf1024Samples, training_site)
 {
   std::string word(1200, 'x');
@@ -181,9 +184,9 @@
   BOOST_TEST(parts.mBody.Find("items")->Elements().size() > 1u);
 }
 
-// The entry that makes a batch is killed half-way. The trainer asks another,
-// which goes on from the groups that were saved, and the trainer sees one
-// whole batch.
+// The entry that makes a batch is killed half-way. The trainer asks another
+// entry, which continues from the groups that were saved, and the trainer gets
+// one complete batch.
 BOOST_FIXTURE_TEST_CASE(FinishesTheBatchOfAKilledEntry, training_site)
 {
   for (const char* engine : { "engine-1", "engine-2" }) {
--- a/Tests/TestSamplesPlatformDown.cpp
+++ b/Tests/TestSamplesPlatformDown.cpp
@@ -10,13 +10,13 @@
 
 using steady = std::chrono::steady_clock;
 
-/** Every answer that the trainer gets during an outage is final at once and
- * says when to come back. Returns how many it got. */
+/** Checks that the trainer gets its response at once during an outage, with a
+ * time to retry. Returns the number of such responses. */
 int
-AskThroughOutage(training_site& aSite,
-                 const std::string& aEntry,
-                 int aStep,
-                 std::chrono::milliseconds aLength)
+RequestDuringOutage(training_site& aSite,
+                    const std::string& aEntry,
+                    int aStep,
+                    std::chrono::milliseconds aLength)
 {
   int refused = 0;
   const auto end = steady::now() + aLength;
@@ -35,8 +35,8 @@
 BOOST_AUTO_TEST_SUITE(TestSamplesPlatformDown)
 
 // The store goes down while a step's samples are made. The engines go on, the
-// samples wait in the entry's memory, the trainer is told at once to come
-// back, and gets its batch as soon as the store has it.
+// samples stay in the entry's memory, the trainer is told at once to retry
+// later, and gets its batch as soon as the store has it.
 BOOST_FIXTURE_TEST_CASE(StepUnderWayIsFixedWhenTheStoreIsBack, training_site)
 {
   for (const char* engine : { "engine-1", "engine-2" }) {
@@ -45,7 +45,7 @@
   BOOST_TEST(Ask("entry-1", 1).mStatus == 503);
   std::this_thread::sleep_for(300ms);
   SetPlatformFault({ { "down", true } });
-  BOOST_TEST(AskThroughOutage(*this, "entry-1", 1, 6s) > 10);
+  BOOST_TEST(RequestDuringOutage(*this, "entry-1", 1, 6s) > 10);
   SetPlatformFault({ { "down", false } });
   const auto back = steady::now();
   const auto batch = WaitForBatch("entry-1", 1);
@@ -56,13 +56,13 @@
   CheckTruth(batch.mBody);
 }
 
-// The store is down already when the trainer asks. Nothing can be claimed, so
-// the samples are made without a claim; the claim, the parts and the end are
-// written once the store is back.
+// The store is already down when the trainer asks, so the batch can't be
+// claimed. The samples are made without a claim; the claim, the parts and the
+// end are written once the store is back.
 BOOST_FIXTURE_TEST_CASE(StepBegunInAnOutageIsMadeMeanwhile, training_site)
 {
   SetPlatformFault({ { "down", true } });
-  BOOST_TEST(AskThroughOutage(*this, "entry-1", 1, 4s) > 5);
+  BOOST_TEST(RequestDuringOutage(*this, "entry-1", 1, 4s) > 5);
   int runs = 0;
   for (const char* engine : { "engine-1", "engine-2" }) {
     const auto log = Send(Engine(engine), "GET", "/control/log").mBody;
@@ -81,9 +81,9 @@
   CheckTruth(batch.mBody);
 }
 
-// The store carries out a write and its answer gets lost, at the claim, the
-// parts, the end and the first delivery. Taken for failures, they would make
-// the step twice or deliver two batches.
+// The store carries out a write and its response is lost: at the claim, the
+// parts, the end and the first delivery. If the entry took these writes for
+// failed, it would make the step twice or deliver two batches.
 BOOST_FIXTURE_TEST_CASE(LostAnswersMakeNoSecondBatch, training_site)
 {
   for (int step = 1; step <= 4; ++step) {
@@ -100,8 +100,8 @@
   BOOST_TEST(records.Find("items")->Elements().size() == 4u);
 }
 
-// The store answers each call 400 ms late: no ask waits for samples, and the
-// batch still comes.
+// The store responds to each call after 400 ms: no request waits for samples,
+// and the batch is still delivered.
 BOOST_FIXTURE_TEST_CASE(SlowStoreDelaysOnlyTheFixing, training_site)
 {
   SetPlatformFault({ { "slow_ms", 400 } });
--- a/Tests/TestSecurity.cpp
+++ b/Tests/TestSecurity.cpp
@@ -16,31 +16,31 @@
 class echo_handler : public wire::entry_serviceNull
 {
 public:
-  void Exchange(wire::peer_digest& aReply,
+  void Exchange(wire::peer_digest& aResponse,
                 const wire::peer_digest& aDigest) override
   {
-    aReply = aDigest;
+    aResponse = aDigest;
   }
 };
 
 wire::wire_state
-AskFor(std::uint16_t aPort, std::chrono::milliseconds aTimeout)
+ExchangeWith(std::uint16_t aPort, std::chrono::milliseconds aTimeout)
 {
   entry_pool pool({ "127.0.0.1", aPort }, 1000ms);
   wire::peer_digest digest;
   digest.echo = "hello";
   const auto outcome = pool.Run<wire::peer_digest>(
-    aTimeout, "hello", [&](auto& aClient, auto& aReply) {
-      aClient.Exchange(aReply, digest);
+    aTimeout, "hello", [&](auto& aClient, auto& aResponse) {
+      aClient.Exchange(aResponse, digest);
     });
   BOOST_TEST_MESSAGE(outcome.mLastReason);
   return outcome.mState;
 }
 
-/** Plain TCP again when a test ends, however it ends. */
-struct restored_security
+/** Restores plain TCP when a test ends, also on failure. */
+struct security_guard
 {
-  ~restored_security() { wire::UseSecurity({}); }
+  ~security_guard() { wire::UseSecurity({}); }
 };
 
 std::unique_ptr<wire::wire_server>
@@ -59,48 +59,52 @@
 
 BOOST_AUTO_TEST_CASE(OnlySignedProcessesTalkToEachOther)
 {
-  restored_security restored;
+  security_guard guard;
   certificates ours;
   certificates theirs;
   wire::UseSecurity(
     { ours.Authority(), ours.Certificate(), ours.PrivateKey() });
   auto server = ServeEchoes();
-  BOOST_TEST((AskFor(server->Port(), 2000ms) == wire::wire_state::Answered));
+  BOOST_TEST(
+    (ExchangeWith(server->Port(), 2000ms) == wire::wire_state::Answered));
   // A process with a certificate of another authority, then one without any.
   wire::UseSecurity(
     { ours.Authority(), theirs.Certificate(), theirs.PrivateKey() });
-  BOOST_TEST((AskFor(server->Port(), 2000ms) != wire::wire_state::Answered));
+  BOOST_TEST(
+    (ExchangeWith(server->Port(), 2000ms) != wire::wire_state::Answered));
   wire::UseSecurity({});
-  BOOST_TEST((AskFor(server->Port(), 2000ms) != wire::wire_state::Answered));
+  BOOST_TEST(
+    (ExchangeWith(server->Port(), 2000ms) != wire::wire_state::Answered));
   wire::UseSecurity(
     { theirs.Authority(), ours.Certificate(), ours.PrivateKey() });
-  BOOST_TEST((AskFor(server->Port(), 2000ms) != wire::wire_state::Answered));
+  BOOST_TEST(
+    (ExchangeWith(server->Port(), 2000ms) != wire::wire_state::Answered));
 }
 
-// An entry's connection to an agent goes silent for good; with TLS the
-// handshake itself may be what never ends. The wait must end by the timeout
-// all the same.
+// An entry's connection to an agent becomes unresponsive for good; with TLS
+// this may already happen during the handshake. The call must still end by its
+// timeout.
 BOOST_AUTO_TEST_CASE(ASilentPeerEndsByTheTimeoutUnderTls)
 {
-  restored_security restored;
+  security_guard guard;
   certificates ours;
   wire::UseSecurity(
     { ours.Authority(), ours.Certificate(), ours.PrivateKey() });
-  // Accepts connections in its backlog and never says a word.
+  // Accepts connections in its backlog and never sends anything.
   apache::thrift::transport::TServerSocket silent("127.0.0.1", 0);
   silent.listen();
   const auto state =
-    AskFor(static_cast<std::uint16_t>(silent.getPort()), 300ms);
+    ExchangeWith(static_cast<std::uint16_t>(silent.getPort()), 300ms);
   BOOST_TEST((state == wire::wire_state::Unknown));
   silent.close();
 }
 
-// Messages longer than a TLS record, or than a read buffer, must arrive whole:
-// a library that leaves decrypted bytes behind waits for a wake-up that never
-// comes.
+// Messages longer than a TLS record, or than a read buffer, must arrive
+// complete: a transport that leaves decrypted bytes in its buffer waits for a
+// readiness event that never comes.
 BOOST_AUTO_TEST_CASE(MessagesOfEverySizePass)
 {
-  restored_security restored;
+  security_guard guard;
   certificates ours;
   wire::UseSecurity(
     { ours.Authority(), ours.Certificate(), ours.PrivateKey() });
@@ -112,8 +116,8 @@
     wire::peer_digest digest;
     digest.echo = echo;
     const auto outcome = pool.Run<wire::peer_digest>(
-      5000ms, echo, [&](auto& aClient, auto& aReply) {
-        aClient.Exchange(aReply, digest);
+      5000ms, echo, [&](auto& aClient, auto& aResponse) {
+        aClient.Exchange(aResponse, digest);
       });
     BOOST_TEST((outcome.mState == wire::wire_state::Answered), size);
   }
--- a/Tests/TestSettings.cpp
+++ b/Tests/TestSettings.cpp
@@ -9,7 +9,7 @@
 
 const std::string kBuild = LAVENDER_BUILD;
 
-/** Runs a program to its end; its exit status and standard error. */
+/** Runs a program to its end; returns its exit status and standard error. */
 std::pair<int, std::string>
 RunToEnd(const std::string& aProgram,
          const std::vector<std::string>& aArguments,
--- a/Tests/TestSilentConnection.cpp
+++ b/Tests/TestSilentConnection.cpp
@@ -19,9 +19,9 @@
     .count();
 }
 
-/** Whether an answer is the one to this body and no other's. */
+/** Whether a response belongs to this request body and to no other. */
 bool
-IsAnswerTo(const answer& aAnswer, const std::string& aBody)
+IsResponseTo(const answer& aAnswer, const std::string& aBody)
 {
   return aAnswer.mStatus == 200 &&
          json::StringAt(aAnswer.mBody, "body_digest", "") ==
@@ -32,9 +32,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestSilentConnection)
 
-// A booking hangs. Something between entry and agent has lost track of the
-// connections that are open: they carry nothing any more and never close,
-// while new ones work. The entry has to notice by the silence alone.
+// A device between entry and agent has lost its state of the open connections:
+// they carry nothing and never close, while new ones work. The entry has to
+// detect this by the missing responses alone.
 BOOST_AUTO_TEST_CASE(OpenConnectionsGoSilentWhileNewOnesWork)
 {
   desk_site site({}, { "desk-1" });
@@ -47,9 +47,9 @@
     const auto start = stopwatch::now();
     const auto booked = site.Book("entry-1", body);
     longest = std::max(longest, MillisecondsSince(start));
-    const bool isRefusedTruly =
+    const bool isRefusedCorrectly =
       RanOf(booked) == "not_run" && site.RunsOf(body) == 0;
-    BOOST_TEST((IsAnswerTo(booked, body) || isRefusedTruly));
+    BOOST_TEST((IsResponseTo(booked, body) || isRefusedCorrectly));
     BOOST_TEST(site.RunsOf(body) <= 1);
     BOOST_TEST(relay.HeldBytes() > 0u, "nothing met the silence");
     BOOST_TEST(site.Book("entry-1", body + " next").mStatus == 200);
@@ -58,9 +58,9 @@
                      << longest << " ms; stated bound 2600 ms");
 }
 
-// An agent is paused while it runs a booking. The caller hears "outcome
-// unknown" in bounded time; when the agent goes on, the same key brings the
-// answer of the one run.
+// An agent is paused while it runs a booking. The caller gets "outcome unknown"
+// in bounded time; once the agent resumes, the same idempotency key returns the
+// response of the one run.
 BOOST_AUTO_TEST_CASE(AgentPausedMidRun)
 {
   desk_site site({}, { "desk-1" });
@@ -81,13 +81,13 @@
     again = site.Book("entry-2", "paused", "key-paused");
     return again.mStatus == 200;
   }));
-  BOOST_TEST(IsAnswerTo(again, "paused"));
+  BOOST_TEST(IsResponseTo(again, "paused"));
   BOOST_TEST(site.RunsOf("paused") == 1);
 }
 
-// A caller gets another's answer. Agents pause for longer than entries wait
-// on a connection and then send all the late answers at once; whoever used
-// such a connection again would read the answer to an earlier call.
+// Guards against mismatched responses. Agents pause for longer than entries
+// wait on a connection and then send all late responses at once; a reused
+// connection would deliver the response to an earlier call.
 BOOST_AUTO_TEST_CASE(LateAnswersAreNeverTakenForAnothers)
 {
   desk_site site;
@@ -108,7 +108,8 @@
     for (const char* desk : { "desk-1", "desk-2" }) {
       site.Desk(desk).mAgent->Signal(SIGSTOP);
     }
-    // Longer than the silence after which entries drop a connection.
+    // Longer than the time without a response after which entries drop a
+    // connection.
     std::this_thread::sleep_for(2s);
     for (const char* desk : { "desk-1", "desk-2" }) {
       site.Desk(desk).mAgent->Signal(SIGCONT);
@@ -117,16 +118,16 @@
       const auto answer = booking.get();
       BOOST_TEST_CONTEXT(body << " " << ReasonOf(answer))
       {
-        BOOST_TEST(IsAnswerTo(answer, body));
+        BOOST_TEST(IsResponseTo(answer, body));
         BOOST_TEST(site.RunsOf(body) == 1);
       }
     }
   }
 }
 
-// An agent is stopped in a planned way while a booking runs, and just then the
-// connections to it go silent: the answer is written and never arrives. The
-// agent has to stay until the entry has found that out and asked again.
+// An agent is stopped by SIGTERM while a booking runs, and the connections to
+// it become unresponsive just then: the response is written and never arrives.
+// The agent has to stay until the entry has noticed and asked again.
 BOOST_AUTO_TEST_CASE(PlannedStopMeetsASilentConnection)
 {
   desk_site site({}, { "desk-1" });
@@ -136,8 +137,8 @@
   auto booking = site.BookAside("entry-1", "stopped");
   BOOST_REQUIRE(WaitFor([&] { return site.RunsOf("stopped") == 1; }));
   const auto ended = site.RunsEnded();
-  // The entry's next connection goes silent too, so that it waits on one when
-  // the run ends; later ones pass.
+  // The entry's next connection becomes unresponsive too, so that the entry
+  // waits on one when the run ends; later ones work.
   relay.HoldNew(true);
   relay.FreezeOpen();
   auto& agent = *site.Desk("desk-1").mAgent;
@@ -147,15 +148,15 @@
   const auto answer = booking.get();
   BOOST_TEST_CONTEXT(ReasonOf(answer))
   {
-    BOOST_TEST(IsAnswerTo(answer, "stopped"));
+    BOOST_TEST(IsResponseTo(answer, "stopped"));
   }
   BOOST_TEST(relay.HeldBytes() > 0u, "nothing met the silence");
   BOOST_TEST(agent.WaitForExit(20s) == 0);
 }
 
-// The platform's store accepts connections and never answers. A booking with a
-// key is refused in bounded time, the next ones at once, and none is made;
-// bookings without a key don't wait for it.
+// The platform's store accepts connections and never responds. A booking with
+// an idempotency key is refused in bounded time, the next ones at once, and
+// none runs; bookings without a key don't wait for the store.
 BOOST_AUTO_TEST_CASE(SilentPlatformHoldsNoBooking)
 {
   desk_site site;
@@ -177,7 +178,7 @@
   BOOST_TEST(site.RunsOf("store") == 1);
 }
 
-// A caller gives two seconds for an answer, and the agent is silent. The
+// A caller sets a deadline of two seconds, and the agent doesn't respond. The
 // refusal comes at the deadline, not when the entry gives the agent up.
 BOOST_AUTO_TEST_CASE(DeadlineHoldsWhileTheAgentIsSilent)
 {
--- a/Tests/TestTenThousandRequests.cpp
+++ b/Tests/TestTenThousandRequests.cpp
@@ -14,20 +14,20 @@
 constexpr int kRequests = 10000;
 constexpr int kClients = 64;
 
-/** What the clients saw. */
+/** Outcomes seen by the clients. */
 struct tally
 {
   std::mutex mMutex;
   int mAnswered = 0;
-  int mCrossed = 0;
+  int mMismatched = 0;
   std::map<std::string, int> mRefusals;
 };
 
 void
-SendShare(tally& aTally,
-          std::atomic<int>& aNext,
-          const std::vector<std::uint16_t>& aPorts,
-          const std::string& aKey)
+SendRequests(tally& aTally,
+             std::atomic<int>& aNext,
+             const std::vector<std::uint16_t>& aPorts,
+             const std::string& aKey)
 {
   for (int i = aNext++; i < kRequests; i = aNext++) {
     const auto prompt = "request" + std::to_string(i);
@@ -45,10 +45,10 @@
       continue;
     }
     ++aTally.mAnswered;
-    // The stand-in engine repeats the prompt's first words.
+    // The stand-in engine repeats the first words of the prompt.
     const auto& choice = answer.mBody.Find("choices")->Elements().at(0);
     if (json::StringAt(choice, "text", "") != prompt) {
-      ++aTally.mCrossed;
+      ++aTally.mMismatched;
     }
   }
 }
@@ -57,8 +57,8 @@
 
 BOOST_AUTO_TEST_SUITE(TestTenThousandRequests)
 
-// Many callers at once through two entries, as on an ordinary day: nobody's
-// request is lost, none runs twice, and nobody gets another's answer.
+// Many concurrent clients through two entries without faults: no request is
+// lost, none runs twice, and no client gets the response to another's request.
 BOOST_AUTO_TEST_CASE(NoneLostDoubledOrCrossed)
 {
   fleet fleet;
@@ -84,7 +84,7 @@
   const auto start = std::chrono::steady_clock::now();
   std::vector<std::thread> clients;
   for (int i = 0; i < kClients; ++i) {
-    clients.emplace_back([&] { SendShare(tally, next, ports, key); });
+    clients.emplace_back([&] { SendRequests(tally, next, ports, key); });
   }
   for (auto& client : clients) {
     client.join();
@@ -96,7 +96,7 @@
     BOOST_TEST_MESSAGE("refused " << reason << " " << count);
   }
   BOOST_TEST(tally.mAnswered == kRequests);
-  BOOST_TEST(tally.mCrossed == 0);
+  BOOST_TEST(tally.mMismatched == 0);
 
   std::set<std::string> requests;
   std::size_t runs = 0;
--- a/Tests/TestUsageReports.cpp
+++ b/Tests/TestUsageReports.cpp
@@ -13,17 +13,18 @@
 
 namespace {
 
-/** What the platform's intake received so far. */
-struct intake
+/** What the platform's usage intake has received so far. */
+struct usage_intake
 {
-  /** Figures of each window, as text; more than one is a fault. */
+  /** Distinct contents of each window's reports, as text; more than one is a
+   * fault. */
   std::map<std::int64_t, std::set<std::string>> mFigures;
-  std::map<std::int64_t, int> mTimes;
-  /** Requests billed to each customer, each window once. */
+  std::map<std::int64_t, int> mReportCounts;
+  /** Requests billed to each customer; each window counts once. */
   std::map<std::string, std::int64_t> mRequests;
   std::int64_t mLate = 0;
   std::string mLastCaller;
-  int mOldNumbers = 0;
+  int mStaleFencing = 0;
 };
 
 struct site
@@ -71,9 +72,9 @@
     Send(mFleet.PlatformPort(), "POST", "/control/faults", aFaults);
   }
 
-  intake Intake()
+  usage_intake ReadIntake()
   {
-    intake taken;
+    usage_intake received;
     const auto log = Send(mFleet.PlatformPort(), "GET", "/control/log");
     const auto* lines = log.mBody.Find("lines");
     for (const auto& line : lines ? lines->Elements() : json::array()) {
@@ -85,29 +86,30 @@
       json::value figures;
       figures.Set("rows", *detail.Find("rows"));
       figures.Set("late", *detail.Find("late"));
-      taken.mLastCaller = json::StringAt(line, "caller", "");
-      taken.mOldNumbers += json::IntegerAt(detail, "fencing", 0) <
-                           json::IntegerAt(*detail.Find("lease"), "fencing", 0);
-      taken.mFigures[window].insert(json::Write(figures));
-      if (taken.mTimes[window]++ > 0) {
+      received.mLastCaller = json::StringAt(line, "caller", "");
+      received.mStaleFencing +=
+        json::IntegerAt(detail, "fencing", 0) <
+        json::IntegerAt(*detail.Find("lease"), "fencing", 0);
+      received.mFigures[window].insert(json::Write(figures));
+      if (received.mReportCounts[window]++ > 0) {
         continue;
       }
       for (const char* part : { "rows", "late" }) {
         for (const auto& row : detail.Find(part)->Elements()) {
-          taken.mRequests[json::StringAt(row, "customer", "")] +=
+          received.mRequests[json::StringAt(row, "customer", "")] +=
             json::IntegerAt(row, "requests", 0);
-          taken.mLate += std::string(part) == "late";
+          received.mLate += std::string(part) == "late";
         }
       }
     }
-    return taken;
+    return received;
   }
 
   std::string Reporter()
   {
     std::string name;
     BOOST_REQUIRE(WaitFor([&] {
-      name = Intake().mLastCaller;
+      name = ReadIntake().mLastCaller;
       return !name.empty();
     }));
     return name;
@@ -120,32 +122,33 @@
 
   bool WaitForReportBy(const std::string& aEntry)
   {
-    return WaitFor([&] { return Intake().mLastCaller == aEntry; }, 30s);
+    return WaitFor([&] { return ReadIntake().mLastCaller == aEntry; }, 30s);
   }
 
-  /** Waits until all that was served is billed, and two windows more. */
+  /** Waits until everything served is billed and two more windows are reported,
+   * then checks that nothing is billed twice, changed or missing. */
   void CheckBilledOnce()
   {
     BOOST_TEST(WaitFor(
-      [&] { return Intake().mRequests["medellin-crew"] >= mServed; }, 40s));
-    const auto last = Intake().mFigures.rbegin()->first;
-    BOOST_TEST(
-      WaitFor([&] { return Intake().mFigures.rbegin()->first > last + 2; }));
-    auto taken = Intake();
-    BOOST_TEST(taken.mRequests["medellin-crew"] == mServed);
+      [&] { return ReadIntake().mRequests["medellin-crew"] >= mServed; }, 40s));
+    const auto last = ReadIntake().mFigures.rbegin()->first;
+    BOOST_TEST(WaitFor(
+      [&] { return ReadIntake().mFigures.rbegin()->first > last + 2; }));
+    auto received = ReadIntake();
+    BOOST_TEST(received.mRequests["medellin-crew"] == mServed);
     int changed = 0;
     int missing = 0;
-    for (const auto& [window, figures] : taken.mFigures) {
+    for (const auto& [window, figures] : received.mFigures) {
       changed += figures.size() > 1;
     }
-    for (auto window = taken.mFigures.begin()->first;
-         window < taken.mFigures.rbegin()->first;
+    for (auto window = received.mFigures.begin()->first;
+         window < received.mFigures.rbegin()->first;
          ++window) {
-      missing += taken.mFigures.count(window) == 0;
+      missing += received.mFigures.count(window) == 0;
     }
     BOOST_TEST(changed == 0);
     BOOST_TEST(missing == 0);
-    BOOST_TEST(taken.mOldNumbers == 0);
+    BOOST_TEST(received.mStaleFencing == 0);
   }
 
   void RestartAgents()
@@ -169,9 +172,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestUsageReports)
 
-// A customer is billed twice, or a window changes after it was reported. The
-// reporter is killed or paused at any point, answers get lost after the write,
-// and the platform is down through several windows.
+// Guards against a customer billed twice and a window that changes after it was
+// reported. The reporter is killed or paused at any point, responses are lost
+// after the write, and the platform is down through several windows.
 BOOST_FIXTURE_TEST_CASE(ReportersComeAndGo, site)
 {
   Serve("entry-1", 5);
@@ -192,26 +195,27 @@
   BOOST_TEST(mFleet.WaitUntilServing(mWarmKey, "reports"));
   Serve(paused, 5);
 
-  const auto before = Intake().mFigures.rbegin()->first;
+  const auto before = ReadIntake().mFigures.rbegin()->first;
   SetFaults({ { "down", true } });
   for (int i = 0; i < 12; ++i) {
     Serve(i % 2 == 0 ? "entry-1" : "entry-2", 1);
     std::this_thread::sleep_for(250ms);
   }
   SetFaults({ { "down", false } });
-  BOOST_TEST(
-    WaitFor([&] { return Intake().mFigures.rbegin()->first >= before + 3; }));
+  BOOST_TEST(WaitFor(
+    [&] { return ReadIntake().mFigures.rbegin()->first >= before + 3; }));
   CheckBilledOnce();
   int repeated = 0;
-  for (const auto& [window, times] : Intake().mTimes) {
+  for (const auto& [window, times] : ReadIntake().mReportCounts) {
     repeated += times > 1;
   }
   BOOST_TEST(repeated >= 1);
 }
 
-// Agents die with counts that no report has; the entries count the same. Then
-// an entry leaves with counts whose agent dies too; it handed them over. An
-// entry dies whose agents live.
+// Agents die with counts that no report contains yet; the entries hold the same
+// counts. Then the agents die again and an entry leaves that has counted the
+// same requests: it must hand its counts over first. At last an entry dies
+// whose agents live.
 BOOST_FIXTURE_TEST_CASE(WitnessesDieOrLeave, site)
 {
   Reporter();
@@ -231,22 +235,22 @@
   mFleet.PublishInstances();
   BOOST_TEST(mFleet.WaitUntilServing(mWarmKey, "reports"));
 
-  // Until now entry-2 is the only witness of its first requests; that both
-  // witnesses die is the stated loss, not this case.
+  // Until now entry-2 is the only witness of its first requests. Counts whose
+  // witnesses both die are lost by design, which this case doesn't cover.
   BOOST_TEST(WaitFor(
-    [&] { return Intake().mRequests["medellin-crew"] >= mServed; }, 40s));
+    [&] { return ReadIntake().mRequests["medellin-crew"] >= mServed; }, 40s));
 
   Serve("entry-2", 4);
   auto& dying = mFleet.Entries().at("entry-2");
   dying.mProcess->Signal(SIGKILL);
   dying.mProcess->WaitForExit(5s);
   CheckBilledOnce();
-  BOOST_TEST(Intake().mLate >= 1);
+  BOOST_TEST(ReadIntake().mLate >= 1);
 }
 
-// A customer is billed for two requests and made one. The agent that runs it
-// can't be reached any more, so the entry runs it again on the other server
-// and answers; then the first agent is in reach again and has counted it too.
+// Guards against a request billed twice: the agent that runs it becomes
+// unreachable, so the entry runs it again on the other server and responds;
+// then the first agent is reachable again and has counted the request too.
 BOOST_FIXTURE_TEST_CASE(RepeatedElsewhereIsBilledOnce, site)
 {
   std::map<std::string, std::unique_ptr<relay>> relays;
@@ -296,13 +300,13 @@
   mFleet.PublishInstances();
   BOOST_REQUIRE(WaitFor([&] {
     return relays[first->mName]->CarriedBytes() > 0 &&
-           Intake().mRequests["medellin-crew"] > 0;
+           ReadIntake().mRequests["medellin-crew"] > 0;
   }));
-  // Long enough for the windows that the first agent's count falls in.
-  const auto before = Intake().mFigures.rbegin()->first;
-  BOOST_TEST(
-    WaitFor([&] { return Intake().mFigures.rbegin()->first >= before + 4; }));
-  BOOST_TEST(Intake().mRequests["medellin-crew"] == 1);
+  // Long enough for the windows that contain the first agent's count.
+  const auto before = ReadIntake().mFigures.rbegin()->first;
+  BOOST_TEST(WaitFor(
+    [&] { return ReadIntake().mFigures.rbegin()->first >= before + 4; }));
+  BOOST_TEST(ReadIntake().mRequests["medellin-crew"] == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
