--- a/Tests/Soak/Clients.cpp
+++ b/Tests/Soak/Clients.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr milliseconds kPatience{ 2500 };
-constexpr int kMostTries = 8;
-/** Batches that are open at once. */
+constexpr milliseconds kTimeout{ 2500 };
+constexpr int kMaximumTries = 8;
+/** Maximum number of batches that aren't ended at a time. */
 constexpr int kOpenBatches = 4;
 
 edge::request
@@ -23,7 +23,7 @@
   if (!aId.empty()) {
     request.mHeaders.Add("X-Attempt-Id", aId);
   }
-  request.mHeaders.Add("X-Deadline-Ms", std::to_string(kPatience.count()));
+  request.mHeaders.Add("X-Deadline-Ms", std::to_string(kTimeout.count()));
   return request;
 }
 
@@ -47,7 +47,7 @@
 }
 
 void
-soak_clients::Find(std::string aFinding)
+soak_clients::AddFinding(std::string aFinding)
 {
   mSite.mFindings.push_back(std::move(aFinding));
 }
@@ -93,32 +93,35 @@
     { "127.0.0.1", AnyEntry().mCallers },
     Request("POST", aIsSafe ? "/safe/x" : "/once/x", "desk.example", id),
     {},
-    kPatience,
+    kTimeout,
     1 << 20,
-    [this, id, aIsSafe](edge::call_end aEnd, const edge::response& aAnswer) {
-      const bool isWhole = aEnd == edge::call_end::Complete;
-      if (isWhole && aAnswer.mStatus == 200) {
+    [this, id, aIsSafe](edge::call_end aEnd, const edge::response& aResponse) {
+      const bool isComplete = aEnd == edge::call_end::Complete;
+      if (isComplete && aResponse.mStatus == 200) {
         ++mServed;
-        if (aAnswer.mBody != "answer to " + id ||
-            aAnswer.mHeaders.ValueOr("X-Server-Seal", "") != "seal-" + id) {
-          Find("request " + id + " got another answer: " + aAnswer.mBody);
+        if (aResponse.mBody != "answer to " + id ||
+            aResponse.mHeaders.ValueOr("X-Server-Seal", "") != "seal-" + id) {
+          AddFinding(
+            "request " + id +
+            " got the response of another request: " + aResponse.mBody);
         }
       }
-      if (isWhole && (aAnswer.mStatus == 401 || aAnswer.mStatus == 404)) {
-        Find("request " + id + " was denied with " +
-             std::to_string(aAnswer.mStatus));
+      if (isComplete &&
+          (aResponse.mStatus == 401 || aResponse.mStatus == 404)) {
+        AddFinding("request " + id + " was denied with " +
+                   std::to_string(aResponse.mStatus));
       }
       if (!aIsSafe) {
-        mOnceAnswers[id] = isWhole ? aAnswer.mStatus : 0;
+        mOnceStatuses[id] = isComplete ? aResponse.mStatus : 0;
       }
     });
 }
 
 void
-soak_clients::AskForNewest()
+soak_clients::RequestNewestRoute()
 {
   for (const auto& entry : mSite.mEntries) {
-    if (mServeNewest.count(entry->mName) > 0) {
+    if (mServingNewest.count(entry->mName) > 0) {
       continue;
     }
     edge::FetchWhole(
@@ -130,27 +133,27 @@
               "desk.example",
               "n" + std::to_string(mNext++)),
       {},
-      kPatience,
+      kTimeout,
       1 << 20,
       [this, name = entry->mName](edge::call_end aEnd,
-                                  const edge::response& aAnswer) {
-        if (aEnd == edge::call_end::Complete && aAnswer.mStatus == 200) {
-          mServeNewest.insert(name);
+                                  const edge::response& aResponse) {
+        if (aEnd == edge::call_end::Complete && aResponse.mStatus == 200) {
+          mServingNewest.insert(name);
         }
       });
   }
 }
 
 std::set<std::string>
-soak_clients::LackingNewest() const
+soak_clients::EntriesWithoutNewestRoute() const
 {
-  std::set<std::string> lacking;
+  std::set<std::string> missing;
   for (const auto& entry : mSite.mEntries) {
-    if (mServeNewest.count(entry->mName) == 0) {
-      lacking.insert(entry->mName);
+    if (mServingNewest.count(entry->mName) == 0) {
+      missing.insert(entry->mName);
     }
   }
-  return lacking;
+  return missing;
 }
 
 void
@@ -187,17 +190,17 @@
     { "127.0.0.1", AnyEntry().mCallers },
     request,
     {},
-    kPatience,
+    kTimeout,
     1 << 20,
-    [this, aBatch](edge::call_end aEnd, const edge::response& aAnswer) {
-      const bool isWhole = aEnd == edge::call_end::Complete;
-      const bool isRefusal =
-        (isWhole && (aAnswer.mStatus == 503 || aAnswer.mStatus == 429)) ||
-        aEnd == edge::call_end::NotSent;
+    [this, aBatch](edge::call_end aEnd, const edge::response& aResponse) {
+      const bool isComplete = aEnd == edge::call_end::Complete;
+      const bool isRefusal = (isComplete && (aResponse.mStatus == 503 ||
+                                             aResponse.mStatus == 429)) ||
+                             aEnd == edge::call_end::NotSent;
       aBatch->mIsRefused = aBatch->mIsRefused && isRefusal;
-      if (isWhole && aAnswer.mStatus == 202) {
+      if (isComplete && aResponse.mStatus == 202) {
         aBatch->mIsAccepted = aBatch->mIsSettled = true;
-      } else if (aBatch->mTries < kMostTries) {
+      } else if (aBatch->mTries < kMaximumTries) {
         Submit(aBatch);
       } else {
         aBatch->mIsSettled = aBatch->mIsEnded = true;
@@ -208,7 +211,8 @@
 void
 soak_clients::Read(const std::shared_ptr<submitted_batch>& aBatch)
 {
-  // Now and then from the start, to see that nothing has moved.
+  // Sometimes reads from the start, to check that no earlier result has
+  // changed.
   const bool again = std::uniform_int_distribution<int>(0, 3)(mRandom) == 0;
   const auto after = again ? 0 : aBatch->mResults.size();
   aBatch->mIsReading = true;
@@ -223,40 +227,43 @@
     { "127.0.0.1", AnyEntry().mCallers },
     request,
     {},
-    kPatience,
+    kTimeout,
     64 << 20,
-    [this, aBatch, after](edge::call_end aEnd, const edge::response& aAnswer) {
+    [this, aBatch, after](edge::call_end aEnd,
+                          const edge::response& aResponse) {
       aBatch->mIsReading = false;
-      if (aEnd == edge::call_end::Complete && aAnswer.mStatus == 404) {
-        Find("accepted batch " + aBatch->mId + " is unknown to an entry");
+      if (aEnd == edge::call_end::Complete && aResponse.mStatus == 404) {
+        AddFinding("accepted batch " + aBatch->mId + ": an entry responds 404");
       }
-      if (aEnd == edge::call_end::Complete && aAnswer.mStatus == 200) {
-        TakePage(aBatch, after, aAnswer);
+      if (aEnd == edge::call_end::Complete && aResponse.mStatus == 200) {
+        HandlePage(aBatch, after, aResponse);
       }
     });
 }
 
 void
-soak_clients::TakePage(const std::shared_ptr<submitted_batch>& aBatch,
-                       std::size_t aAfter,
-                       const edge::response& aAnswer)
+soak_clients::HandlePage(const std::shared_ptr<submitted_batch>& aBatch,
+                         std::size_t aAfter,
+                         const edge::response& aResponse)
 {
-  const auto page = json::Parse(aAnswer.mBody);
+  const auto page = json::Parse(aResponse.mBody);
   const auto* results = page ? page->Find("results") : nullptr;
   if (!results) {
-    Find("batch " + aBatch->mId + ": a page can't be read");
+    AddFinding("batch " + aBatch->mId + ": a page of results can't be parsed");
     return;
   }
   if (json::IntegerAt(*page, "total", -1) != aBatch->mItems) {
-    Find("batch " + aBatch->mId + ": the total is wrong");
+    AddFinding("batch " + aBatch->mId +
+               ": the total isn't the number of submitted items");
   }
   auto position = aAfter;
   for (const auto& result : results->Elements()) {
     const auto text = json::Write(result);
     if (position < aBatch->mResults.size()) {
       if (aBatch->mResults[position] != text) {
-        Find("batch " + aBatch->mId + ": position " + std::to_string(position) +
-             " changed");
+        AddFinding("batch " + aBatch->mId + ": position " +
+                   std::to_string(position) +
+                   " changed since it was first read");
       }
     } else if (position == aBatch->mResults.size()) {
       aBatch->mResults.push_back(text);
@@ -279,12 +286,12 @@
     listed += known.find("\"" + id + "\"") != std::string::npos ? 1 : 0;
   }
   if (listed != 1 || id.compare(0, aBatch.mId.size(), aBatch.mId) != 0) {
-    Find("item " + id + " stands " + std::to_string(listed) + " times in " +
-         aBatch.mId);
+    AddFinding("item " + id + " is listed " + std::to_string(listed) +
+               " times in batch " + aBatch.mId);
   }
   if (json::StringAt(aResult, "state", "") == "completed" &&
       json::StringAt(aResult, "text", "") != ExpectedText(id, events)) {
-    Find("item " + id + ": its text isn't whole");
+    AddFinding("item " + id + ": its text isn't complete");
   }
   if (aBatch.mIsScored) {
     CheckScore(aResult);
@@ -292,7 +299,8 @@
   if (const auto* versions = aResult.Find("versions")) {
     for (const auto& version : versions->Elements()) {
       if (version.IntegerOr(0) < aBatch.mMinimumVersion) {
-        Find("item " + id + " came from too old weights");
+        AddFinding("item " + id +
+                   " was produced by a version below the batch's minimum");
       }
     }
   }
@@ -308,18 +316,20 @@
     constexpr int kAttempts = 4;
     const auto errors = server.mErrors.find(call);
     if (errors == server.mErrors.end() || errors->second < kAttempts) {
-      Find("item " + id + " was given up before its reward call had failed");
+      AddFinding("item " + id +
+                 " failed before its reward call had used all attempts");
     }
     return;
   }
   if (json::StringAt(aResult, "score", "") != "seal-" + call ||
       server.mScored.count(call) == 0) {
-    Find("item " + id + " is listed without the score of its reward call");
+    AddFinding("item " + id +
+               " is listed without the score of its reward call");
   }
 }
 
 bool
-soak_clients::AreBatchesWhole() const
+soak_clients::AreBatchesComplete() const
 {
   for (const auto& batch : mBatches) {
     if (!batch->mIsSettled || !batch->mIsEnded) {
@@ -332,22 +342,23 @@
 void
 soak_clients::CheckRuns()
 {
-  for (const auto& [id, status] : mOnceAnswers) {
+  for (const auto& [id, status] : mOnceStatuses) {
     const auto runs = mSite.mPlain.mRuns.find(id);
     const int count = runs == mSite.mPlain.mRuns.end() ? 0 : runs->second;
     if (count > 1) {
-      Find("request " + id + " may run once and ran " + std::to_string(count) +
-           " times");
+      AddFinding("request " + id + " may run only once but ran " +
+                 std::to_string(count) + " times");
     }
     if (count > 0 && (status == 503 || status == 429)) {
-      Find("request " + id + " was refused and ran");
+      AddFinding("request " + id + " was refused but ran");
     }
   }
   for (const auto& batch : mBatches) {
     for (const auto& agent : mSite.mAgents) {
       const bool hasRun = agent->mServer->mRuns.count(batch->mId + "i0") > 0;
       if (hasRun && batch->mIsRefused && !batch->mIsAccepted) {
-        Find("batch " + batch->mId + " was refused at every try and ran");
+        AddFinding("batch " + batch->mId +
+                   " was refused at every attempt but ran");
       }
     }
   }
@@ -355,15 +366,16 @@
     std::int64_t highest = 0;
     for (const auto& [epoch, holder] : agent->mServer->mOrders) {
       if (epoch < highest || holder != agent->mName) {
-        Find(agent->mName + ": an order came with an older epoch");
+        AddFinding(agent->mName + ": its server got a load order with an older "
+                                  "epoch or of another holder");
       }
       highest = std::max(highest, epoch);
     }
   }
   for (const auto& [window, counts] : mSite.mReports) {
     if (counts.size() > 1) {
-      Find("usage window " + std::to_string(window) +
-           " was reported with different counts");
+      AddFinding("usage window " + std::to_string(window) +
+                 " was reported with different counts");
     }
   }
 }
--- a/Tests/Soak/Clients.h
+++ b/Tests/Soak/Clients.h
@@ -4,16 +4,16 @@
 
 namespace lavender::soak {
 
-/** What a trainer knows of one batch. */
+/** State of one batch as its trainer sees it. */
 struct submitted_batch
 {
   std::string mId;
   int mItems = 0;
   std::int64_t mMinimumVersion = 1;
   bool mIsAccepted = false;
-  /** Every try was answered that nothing runs. */
-  /** Its items name reward calls. */
+  /** Whether its items name calls to the reward server. */
   bool mIsScored = false;
+  /** Whether every attempt to submit was refused as not run. */
   bool mIsRefused = true;
   bool mIsSettled = false;
   bool mIsEnded = false;
@@ -23,22 +23,23 @@
   bool mIsReading = false;
 };
 
-/** Callers and trainers: they send through any entry, also to open connections
- * of entries that leave, and compare what they see with the promises. */
+/** Callers and trainers. They send requests through any entry, also over open
+ * connections to entries that leave, and compare the responses with what the
+ * entries guarantee. */
 class soak_clients
 {
 public:
   soak_clients(soak_site& aSite, std::uint64_t aSeed);
 
-  /** Sends the next few requests, submissions and reads. */
+  /** Sends the next requests, submissions and reads. */
   void Step(bool aMaySubmit);
-  /** Every accepted batch has been read whole. */
-  bool AreBatchesWhole() const;
-  /** Asks each entry that hasn't done so yet for the newest route. */
-  void AskForNewest();
+  /** Whether every accepted batch has been read completely. */
+  bool AreBatchesComplete() const;
+  /** Requests the newest route from each entry that hasn't served it yet. */
+  void RequestNewestRoute();
   /** Entries that haven't served the newest route. */
-  std::set<std::string> LackingNewest() const;
-  /** What the servers ran against what callers were told. */
+  std::set<std::string> EntriesWithoutNewestRoute() const;
+  /** Compares the servers' runs with the responses that clients got. */
   void CheckRuns();
   std::string Summary() const;
 
@@ -47,19 +48,19 @@
   void SendPlain(bool aIsSafe);
   void Submit(const std::shared_ptr<submitted_batch>& aBatch);
   void Read(const std::shared_ptr<submitted_batch>& aBatch);
-  void TakePage(const std::shared_ptr<submitted_batch>& aBatch,
-                std::size_t aAfter,
-                const edge::response& aAnswer);
+  void HandlePage(const std::shared_ptr<submitted_batch>& aBatch,
+                  std::size_t aAfter,
+                  const edge::response& aResponse);
   void CheckResult(const submitted_batch& aBatch, const json::value& aResult);
   void CheckScore(const json::value& aResult);
-  void Find(std::string aFinding);
+  void AddFinding(std::string aFinding);
 
   soak_site& mSite;
   std::mt19937_64 mRandom;
   std::shared_ptr<edge::client_pool> mClients;
   std::vector<std::shared_ptr<submitted_batch>> mBatches;
-  std::map<std::string, unsigned> mOnceAnswers;
-  std::set<std::string> mServeNewest;
+  std::map<std::string, unsigned> mOnceStatuses;
+  std::set<std::string> mServingNewest;
   int mNext = 0;
   int mSent = 0;
   int mServed = 0;
--- a/Tests/Soak/FaultProxy.cpp
+++ b/Tests/Soak/FaultProxy.cpp
@@ -43,7 +43,7 @@
       });
   }
 
-  bool Passes(const tcp::socket& aFrom) const
+  bool Forwards(const tcp::socket& aFrom) const
   {
     return mFault != link_fault::Silence &&
            !(mFault == link_fault::OneWay && &aFrom == &mServer);
@@ -58,7 +58,7 @@
       boost::asio::buffer(aBuffer),
       [this, self = shared_from_this(), &aFrom, &aTo, &aTimer, &aBuffer](
         error_code aError, std::size_t aSize) {
-        if (!Passes(aFrom)) {
+        if (!Forwards(aFrom)) {
           if (!aError) {
             Pump(aFrom, aTo, aTimer, aBuffer);
           }
--- a/Tests/Soak/FaultProxy.h
+++ b/Tests/Soak/FaultProxy.h
@@ -14,17 +14,18 @@
   None,
   /** Bytes arrive late. */
   Delay,
-  /** Nothing passes in either direction, and nothing is closed. */
+  /** Nothing is forwarded in either direction, and nothing is closed. */
   Silence,
-  /** Nothing passes back. */
+  /** Nothing is forwarded from the target to the client. */
   OneWay,
-  /** Open connections are reset, and new ones too. */
+  /** Open connections and new ones are reset. */
   Reset
 };
 
-/** A loopback relay in front of one port. A fault concerns the connections
- * that are open when it begins and those that come while it lasts; the silent
- * ones stay silent after its end, as through a device that has lost them. */
+/** A loopback relay in front of one port. A fault applies to the connections
+ * that are open when it begins and to those opened while it lasts. Connections
+ * that became silent stay silent when it ends, as behind a network device that
+ * has lost their state. */
 class fault_proxy
 {
 public:
--- a/Tests/Soak/Process.cpp
+++ b/Tests/Soak/Process.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 int
-EndingOf(int aStatus)
+ExitStatusOf(int aStatus)
 {
   return WIFEXITED(aStatus) ? WEXITSTATUS(aStatus) : -WTERMSIG(aStatus);
 }
@@ -63,7 +63,7 @@
     return mId <= 0;
   }
   mId = -1;
-  mEnding = EndingOf(status);
+  mExitStatus = ExitStatusOf(status);
   return true;
 }
 
@@ -75,7 +75,7 @@
     int status = 0;
     waitpid(mId, &status, 0);
     mId = -1;
-    mEnding = EndingOf(status);
+    mExitStatus = ExitStatusOf(status);
   }
 }
 
--- a/Tests/Soak/Process.h
+++ b/Tests/Soak/Process.h
@@ -6,8 +6,8 @@
 
 namespace lavender::soak {
 
-/** A program that the soak started; its output goes to a file. Ended by its id
- * when this goes out of scope. */
+/** A program started by the soak, with its output in a file. The destructor
+ * ends it by its process id. */
 class process
 {
 public:
@@ -19,16 +19,17 @@
   bool Start(const std::vector<std::string>& aCommand,
              const std::string& aLogPath);
   void Signal(int aSignal) const;
-  /** Whether it has ended since; then it is reaped. */
+  /** Whether the process has ended; if so, reaps it. */
   bool HasEnded();
   bool IsStarted() const { return mId > 0; }
-  /** How it ended: the exit status, or minus the signal. */
-  int Ending() const { return mEnding; }
+  /** Exit status, or the negative signal number if a signal ended the process.
+   */
+  int ExitStatus() const { return mExitStatus; }
   void Reap();
 
 private:
   pid_t mId = -1;
-  int mEnding = 0;
+  int mExitStatus = 0;
 };
 
 } // namespace lavender::soak
--- a/Tests/Soak/RewardServer.cpp
+++ b/Tests/Soak/RewardServer.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr milliseconds kWorkTime{ 8 };
-constexpr milliseconds kLongSilence{ 1500 };
-constexpr unsigned kEachFails = 7;
+constexpr milliseconds kUnresponsiveTime{ 1500 };
+constexpr unsigned kFailureInterval = 7;
 
 std::string
 IdOf(const edge::exchange_ptr& aExchange)
@@ -39,14 +39,14 @@
 bool
 reward_server::AlwaysFails(const std::string& aCall)
 {
-  return std::hash<std::string>()(aCall) % kEachFails == 0;
+  return std::hash<std::string>()(aCall) % kFailureInterval == 0;
 }
 
 void
 reward_server::Serve(const edge::exchange_ptr& aExchange)
 {
-  if (std::uniform_real_distribution<>(0, 1)(mRandom) < mFaulty) {
-    ServeBadly(aExchange);
+  if (std::uniform_real_distribution<>(0, 1)(mRandom) < mFaultShare) {
+    ServeWithFault(aExchange);
     return;
   }
   const auto id = IdOf(aExchange);
@@ -58,7 +58,7 @@
 }
 
 void
-reward_server::ServeBadly(const edge::exchange_ptr& aExchange)
+reward_server::ServeWithFault(const edge::exchange_ptr& aExchange)
 {
   const auto id = IdOf(aExchange);
   switch (std::uniform_int_distribution<int>(0, 3)(mRandom)) {
@@ -72,7 +72,8 @@
       return;
     }
     case 2:
-      edge::RunAfter(mLoop, kLongSilence, [aExchange] { aExchange->Abort(); });
+      edge::RunAfter(
+        mLoop, kUnresponsiveTime, [aExchange] { aExchange->Abort(); });
       return;
     default:
       aExchange->Answer(Answer("another", 200));
--- a/Tests/Soak/RewardServer.h
+++ b/Tests/Soak/RewardServer.h
@@ -9,8 +9,8 @@
 
 namespace lavender::soak {
 
-/** Stand-in of a service that scores samples. A call whose item's number is a
- * multiple of seven fails each time, as a few always do. */
+/** Stand-in of a service that scores samples. About one call in seven, chosen
+ * by the hash of its id, fails at every attempt. */
 class reward_server
 {
 public:
@@ -19,18 +19,18 @@
   unsigned short Port() const { return mListener.Port(); }
   static bool AlwaysFails(const std::string& aCall);
 
-  /** Answers with 500 by call. */
+  /** Responses with status 500, by call. */
   std::map<std::string, int> mErrors;
-  /** Calls that were answered with success. */
+  /** Successful responses, by call. */
   std::map<std::string, int> mScored;
-  /** Share of the calls that meet one of the faults: the connection is cut,
-   * the call turned away, nothing answered for a while, or another call's
-   * answer given. */
-  double mFaulty = 0;
+  /** Share of the calls that meet a fault: the connection is cut, the call is
+   * refused as not executed, no response comes for a while, or the response is
+   * another call's. */
+  double mFaultShare = 0;
 
 private:
   void Serve(const edge::exchange_ptr& aExchange);
-  void ServeBadly(const edge::exchange_ptr& aExchange);
+  void ServeWithFault(const edge::exchange_ptr& aExchange);
 
   boost::asio::io_context& mLoop;
   std::mt19937 mRandom{ 1 };
--- a/Tests/Soak/Site.cpp
+++ b/Tests/Soak/Site.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/** A port that is free now, outside the range from which the system gives out
- * ports: one from that range may go to another program before the entry that
- * is to listen there has started. Each process begins elsewhere. */
+/** Returns a free port outside the system's ephemeral range: a port of that
+ * range could be given to another program before the entry that is to listen on
+ * it has started. Each soak process starts its search at another port. */
 unsigned short
 FreePort(boost::asio::io_context& aLoop)
 {
@@ -62,7 +62,7 @@
 {
   const auto id = aExchange->mRequest.mHeaders.ValueOr("X-Attempt-Id", "");
   ++mRuns[id];
-  if (std::uniform_real_distribution<>(0, 1)(mRandom) < mLosesAnswers) {
+  if (std::uniform_real_distribution<>(0, 1)(mRandom) < mLostResponseShare) {
     aExchange->Abort();
     return;
   }
@@ -200,7 +200,7 @@
 void
 soak_site::StartEntry(entry_instance& aEntry)
 {
-  aEntry.mMayEnd = false;
+  aEntry.mIsEndExpected = false;
   aEntry.mIsPaused = false;
   const bool isStarted =
     aEntry.mProcess.Start({ Program("Entry/lavender-entry"),
@@ -232,7 +232,8 @@
 void
 soak_site::StartAgent(agent_instance& aAgent)
 {
-  // The agent is beside its server: no link between them can fail.
+  // The agent reaches its server through the proxy whose address the server
+  // list has, and the store through the first entry's proxy.
   aAgent.mProcess.Start({ Program("Agent/lavender-agent"),
                           "site",
                           "--name",
@@ -247,14 +248,14 @@
 }
 
 void
-soak_site::Watch()
+soak_site::RestartEnded()
 {
   WriteServers();
   for (auto& entry : mEntries) {
     if (entry->mProcess.HasEnded()) {
-      const int ending = entry->mProcess.Ending();
-      if (!entry->mMayEnd) {
-        mFindings.push_back(entry->mName + " ended by itself with " +
+      const int ending = entry->mProcess.ExitStatus();
+      if (!entry->mIsEndExpected) {
+        mFindings.push_back(entry->mName + " ended unexpectedly with status " +
                             std::to_string(ending));
       }
       StartEntry(*entry);
@@ -262,9 +263,9 @@
   }
   for (auto& agent : mAgents) {
     if (agent->mProcess.HasEnded()) {
-      if (agent->mProcess.Ending() != -SIGKILL) {
-        mFindings.push_back(agent->mName + " ended by itself with " +
-                            std::to_string(agent->mProcess.Ending()));
+      if (agent->mProcess.ExitStatus() != -SIGKILL) {
+        mFindings.push_back(agent->mName + " ended unexpectedly with status " +
+                            std::to_string(agent->mProcess.ExitStatus()));
       }
       StartAgent(*agent);
     }
@@ -272,7 +273,7 @@
 }
 
 void
-soak_site::NameVersion()
+soak_site::PublishVersion()
 {
   ++mVersion;
   standin::PutDirectly(mState,
@@ -290,11 +291,11 @@
 }
 
 void
-soak_site::Heal()
+soak_site::ClearFaults()
 {
   mState.mFault = standin::store_fault::None;
-  mPlain.mLosesAnswers = 0;
-  mRewards.mFaulty = 0;
+  mPlain.mLostResponseShare = 0;
+  mRewards.mFaultShare = 0;
   for (auto& entry : mEntries) {
     entry->mStoreLink->SetFault(link_fault::None);
     entry->mProcess.Signal(SIGCONT);
--- a/Tests/Soak/Site.h
+++ b/Tests/Soak/Site.h
@@ -12,8 +12,8 @@
 
 namespace lavender::soak {
 
-/** Stand-in of a plain service: answers each request with its own id, and
- * remembers what it ran. */
+/** Stand-in of a plain service: responds to each request with the request's id,
+ * and counts its runs. */
 class plain_server
 {
 public:
@@ -22,8 +22,8 @@
   unsigned short Port() const { return mListener.Port(); }
 
   std::map<std::string, int> mRuns;
-  /** Runs a request and loses its answer, for this share of them. */
-  double mLosesAnswers = 0;
+  /** Share of the requests that run without a response. */
+  double mLostResponseShare = 0;
 
 private:
   void Serve(const edge::exchange_ptr& aExchange);
@@ -33,7 +33,7 @@
   edge::listener mListener;
 };
 
-/** One entry with the links through which it reaches the store. */
+/** One entry, its ports and the proxy through which it reaches the store. */
 struct entry_instance
 {
   std::string mName;
@@ -43,8 +43,9 @@
   std::unique_ptr<fault_proxy> mStoreLink;
   process mProcess;
   bool mIsPaused = false;
-  /** A signal of the soak's ends it; any other end is a finding. */
-  bool mMayEnd = false;
+  /** Whether the soak has ended the process by a signal; any other end is a
+   * finding. */
+  bool mIsEndExpected = false;
 };
 
 struct agent_instance
@@ -62,7 +63,7 @@
   std::string mLogFolder;
 };
 
-/** The platform's stand-ins and the real programs before them. */
+/** The platform's stand-ins and the real programs that use them. */
 class soak_site
 {
 public:
@@ -71,14 +72,15 @@
   void StartAll();
   void StartEntry(entry_instance& aEntry);
   void StartAgent(agent_instance& aAgent);
-  /** Restarts what the soak ended, and reports what ended by itself. */
-  void Watch();
-  void NameVersion();
+  /** Restarts the programs that have ended, and records a finding for those
+   * that the soak hasn't ended. */
+  void RestartEnded();
+  void PublishVersion();
   void ChangeConfiguration();
   /** Path of a route that only the newest configuration has. */
   std::string NewestPath() const;
-  /** Undoes every fault. */
-  void Heal();
+  /** Clears every fault. */
+  void ClearFaults();
 
   boost::asio::io_context& mLoop;
   site_options mOptions;
@@ -90,7 +92,7 @@
   std::vector<std::unique_ptr<agent_instance>> mAgents;
   std::int64_t mVersion = 1;
   std::int64_t mConfigurationVersion = 1;
-  /** Reports by window, each distinct count once. */
+  /** Reports by window; each distinct content once. */
   std::map<std::int64_t, std::set<std::string>> mReports;
   std::vector<std::string> mFindings;
 
--- a/Tests/Soak/main.cpp
+++ b/Tests/Soak/main.cpp
@@ -74,8 +74,8 @@
   return { aName,
            [aSignal](soak_site& aSite, std::mt19937_64& aRandom) {
              auto& entry = Pick(aSite.mEntries, aRandom);
-             entry.mMayEnd =
-               entry.mMayEnd || aSignal == SIGKILL || aSignal == SIGTERM;
+             entry.mIsEndExpected =
+               entry.mIsEndExpected || aSignal == SIGKILL || aSignal == SIGTERM;
              entry.mProcess.Signal(aSignal);
            },
            [](soak_site& aSite) {
@@ -97,7 +97,7 @@
     { "all entries killed",
       [](soak_site& aSite, std::mt19937_64&) {
         for (auto& entry : aSite.mEntries) {
-          entry->mMayEnd = true;
+          entry->mIsEndExpected = true;
           entry->mProcess.Signal(SIGKILL);
         }
       },
@@ -127,9 +127,9 @@
       nothing },
     { "answers lost",
       [](soak_site& aSite, std::mt19937_64&) {
-        aSite.mPlain.mLosesAnswers = 0.2;
+        aSite.mPlain.mLostResponseShare = 0.2;
       },
-      [](soak_site& aSite) { aSite.mPlain.mLosesAnswers = 0; } },
+      [](soak_site& aSite) { aSite.mPlain.mLostResponseShare = 0; } },
     { "runs broken off",
       [](soak_site& aSite, std::mt19937_64& aRandom) {
         Pick(aSite.mAgents, aRandom).mServer->mBreakAfter = 2;
@@ -140,27 +140,30 @@
         }
       } },
     { "version named",
-      [](soak_site& aSite, std::mt19937_64&) { aSite.NameVersion(); },
+      [](soak_site& aSite, std::mt19937_64&) { aSite.PublishVersion(); },
       nothing },
     { "configuration changed",
       [](soak_site& aSite, std::mt19937_64&) { aSite.ChangeConfiguration(); },
       nothing },
     { "reward calls fail",
-      [](soak_site& aSite, std::mt19937_64&) { aSite.mRewards.mFaulty = 0.3; },
-      [](soak_site& aSite) { aSite.mRewards.mFaulty = 0; } },
+      [](soak_site& aSite, std::mt19937_64&) {
+        aSite.mRewards.mFaultShare = 0.3;
+      },
+      [](soak_site& aSite) { aSite.mRewards.mFaultShare = 0; } },
   };
 }
 
-/** Runs the loop for a while; the programs under test run beside it. */
+/** Runs the event loop for that long, while the programs under test run in
+ * their own processes. */
 void
-Pass(boost::asio::io_context& aLoop, milliseconds aTime)
+RunLoop(boost::asio::io_context& aLoop, milliseconds aTime)
 {
   aLoop.restart();
   aLoop.run_for(aTime);
 }
 
-/** Set by a signal that ends the soak: it must not leave the programs that it
- * started behind. */
+/** Set by a signal that ends the soak early, so that the programs it started
+ * are still ended with it. */
 volatile std::sig_atomic_t gIsInterrupted = 0;
 
 struct planned_end
@@ -169,20 +172,21 @@
   std::size_t mFault = 0;
 };
 
-/** Faults come every few hundred ms, last up to two seconds, and overlap. */
+/** Injects random faults every few hundred ms. Each lasts up to two seconds,
+ * and they overlap. */
 void
-Disturb(soak_site& aSite,
-        soak_clients& aClients,
-        std::mt19937_64& aRandom,
-        std::chrono::seconds aTime)
+InjectFaults(soak_site& aSite,
+             soak_clients& aClients,
+             std::mt19937_64& aRandom,
+             std::chrono::seconds aTime)
 {
   const auto faults = AllFaults();
   const auto end = boot_clock::now() + aTime;
   auto nextFault = boot_clock::now() + 1500ms;
   std::vector<planned_end> planned;
   while (boot_clock::now() < end && !gIsInterrupted) {
-    Pass(aSite.mLoop, 60ms);
-    aSite.Watch();
+    RunLoop(aSite.mLoop, 60ms);
+    aSite.RestartEnded();
     aClients.Step(true);
     const auto now = boot_clock::now();
     for (auto& item : planned) {
@@ -207,25 +211,26 @@
   }
 }
 
-/** A change after the faults comes into force at every entry. */
+/** Changes the configuration after the faults and checks that every entry
+ * serves it. */
 void
 CheckConfiguration(soak_site& aSite, soak_clients& aClients)
 {
-  // Much longer than a change may take, but shorter than the waits after which
-  // an entry would learn of it by chance.
+  // Much longer than a change may take, but shorter than the periodic reads by
+  // which an entry would get the change without its watch.
   constexpr auto kLimit = 15s;
   aSite.ChangeConfiguration();
   const auto limit = boot_clock::now() + kLimit;
-  while (!aClients.LackingNewest().empty() && boot_clock::now() < limit &&
-         !gIsInterrupted) {
-    aClients.AskForNewest();
-    Pass(aSite.mLoop, 200ms);
-    aSite.Watch();
+  while (!aClients.EntriesWithoutNewestRoute().empty() &&
+         boot_clock::now() < limit && !gIsInterrupted) {
+    aClients.RequestNewestRoute();
+    RunLoop(aSite.mLoop, 200ms);
+    aSite.RestartEnded();
     aClients.Step(false);
   }
-  for (const auto& name : aClients.LackingNewest()) {
-    aSite.mFindings.push_back("a changed configuration isn't in force at " +
-                              name);
+  for (const auto& name : aClients.EntriesWithoutNewestRoute()) {
+    aSite.mFindings.push_back(
+      "a changed configuration isn't in force at entry " + name);
   }
 }
 
@@ -243,21 +248,23 @@
   soak_clients clients(site, aSeed);
   std::mt19937_64 random(aSeed);
   site.StartAll();
-  Pass(loop, 1500ms);
-  Disturb(site, clients, random, aTime);
-  site.Heal();
+  RunLoop(loop, 1500ms);
+  InjectFaults(site, clients, random, aTime);
+  site.ClearFaults();
   CheckConfiguration(site, clients);
-  // The limit ends a run that hangs; what isn't whole by then is a finding.
+  // The limit ends a run that hangs; a batch that isn't complete by then is a
+  // finding.
   constexpr auto kHealLimit = 60s;
   const auto limit = boot_clock::now() + kHealLimit;
-  while (!clients.AreBatchesWhole() && boot_clock::now() < limit &&
+  while (!clients.AreBatchesComplete() && boot_clock::now() < limit &&
          !gIsInterrupted) {
-    Pass(loop, 60ms);
-    site.Watch();
+    RunLoop(loop, 60ms);
+    site.RestartEnded();
     clients.Step(false);
   }
-  if (!clients.AreBatchesWhole()) {
-    site.mFindings.push_back("an accepted batch isn't whole after the faults");
+  if (!clients.AreBatchesComplete()) {
+    site.mFindings.push_back(
+      "an accepted batch isn't complete after the faults");
   }
   clients.CheckRuns();
   std::cout << clients.Summary() << "\n";
--- a/Tests/Support/Certificates.cpp
+++ b/Tests/Support/Certificates.cpp
@@ -23,8 +23,8 @@
   return { EVP_EC_gen("P-256"), &EVP_PKEY_free };
 }
 
-/** A certificate over the key, signed by the issuer's; by itself when there
- * is no issuer. */
+/** Creates a certificate for the key, signed with the issuer's key, or
+ * self-signed without an issuer. */
 certificate_pointer
 MakeCertificate(EVP_PKEY* aKey,
                 const char* aName,
@@ -62,7 +62,7 @@
   std::unique_ptr<FILE, decltype(&fclose)> file(fopen(aPath.c_str(), "w"),
                                                 &fclose);
   if (!file || aWriter(file.get()) != 1) {
-    throw std::runtime_error("can't write " + aPath);
+    throw std::runtime_error("can't write file " + aPath);
   }
 }
 
@@ -73,7 +73,8 @@
   std::string folder =
     (std::filesystem::temp_directory_path() / "lavender-XXXXXX").string();
   if (!mkdtemp(folder.data())) {
-    throw std::runtime_error("no folder for certificates");
+    throw std::runtime_error(
+      "can't create a temporary folder for the certificates");
   }
   mFolder = folder;
   const auto authorityKey = MakeKey();
--- a/Tests/Support/Certificates.h
+++ b/Tests/Support/Certificates.h
@@ -4,8 +4,8 @@
 
 namespace lavender::test {
 
-/** A folder with a fresh authority and one certificate signed by it, removed
- * with the object. */
+/** A temporary folder with a new certificate authority and one certificate
+ * signed by it; removed with the object. */
 class certificates
 {
 public:
--- a/Tests/Support/ChildProcess.cpp
+++ b/Tests/Support/ChildProcess.cpp
@@ -16,7 +16,7 @@
 namespace lavender::test {
 namespace {
 
-/** Whether every thread of the process stands still. */
+/** Whether every thread of the process is stopped. */
 bool
 IsStopped(pid_t aId)
 {
@@ -38,10 +38,10 @@
   return true;
 }
 
-/** A signal to stop takes effect when a thread of the process gets to run. On
- * a busy machine other threads go on meanwhile: 54 of 150 requests that were
- * sent right after the signal were still answered beside 24 busy processes.
- * Whoever pauses a process must see it paused first. */
+/** Waits until SIGSTOP has taken effect: it does so only once a thread of the
+ * process is scheduled, and on a busy machine other threads go on meanwhile.
+ * Beside 24 busy processes, 54 of 150 requests that were sent right after the
+ * signal were still answered. */
 void
 WaitUntilStopped(pid_t aId)
 {
@@ -65,7 +65,7 @@
 {
   int ends[2];
   if (pipe(ends) != 0) {
-    throw std::runtime_error("no pipe");
+    throw std::runtime_error("can't create a pipe for a program's output");
   }
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
@@ -100,7 +100,7 @@
   mOutput = ends[0];
   if (failure != 0) {
     close(mOutput);
-    throw std::runtime_error("can't start " + aProgram);
+    throw std::runtime_error("can't start program " + aProgram);
   }
 }
 
--- a/Tests/Support/ChildProcess.h
+++ b/Tests/Support/ChildProcess.h
@@ -9,14 +9,14 @@
 
 namespace lavender::test {
 
-/** Which of the program's outputs the test reads. */
+/** The output of the program that the test reads. */
 enum class output
 {
   Standard,
   Errors
 };
 
-/** A program of ours started by a test, and ended with it by its id. */
+/** A program started by a test. The destructor ends it by its process id. */
 class child_process
 {
 public:
@@ -24,22 +24,23 @@
                 const std::vector<std::string>& aArguments,
                 const std::vector<std::string>& aEnvironment = {},
                 output aOutput = output::Standard);
-  /** Kills the process when it still runs. */
+  /** Kills the process if it is still running. */
   ~child_process();
   child_process(child_process&& aOther) noexcept;
   child_process(const child_process&) = delete;
   child_process& operator=(const child_process&) = delete;
 
-  /** Waits for the line "ready NAME=PORT ..." and remembers the ports.
-   * False when the process ended or stayed silent for 20 s. */
+  /** Waits for the line "ready NAME=PORT ..." and stores the ports. Returns
+   * false when the process ended or didn't become ready within 20 s. */
   bool WaitUntilReady();
-  /** Everything that it writes until it closes its output or the wait is
+  /** Returns what the process writes until it closes its output or the time is
    * over. */
   std::string ReadToEnd(std::chrono::milliseconds aWait);
-  /** Port of that name from the ready line; 0 when there is none. */
+  /** Port of that name in the ready line; 0 when there is none. */
   std::uint16_t Port(const std::string& aName) const;
   void Signal(int aSignal) const;
-  /** Waits for the end; the exit status, or -1 for a signal or no end. */
+  /** Waits for the process to end. Returns its exit status, or -1 if a signal
+   * ended it or it still runs after the time. */
   int WaitForExit(std::chrono::milliseconds aWait);
   bool IsRunning();
   pid_t Id() const { return mId; }
--- a/Tests/Support/DelayingRelay.cpp
+++ b/Tests/Support/DelayingRelay.cpp
@@ -35,7 +35,7 @@
   socklen_t length = sizeof(address);
   if (bind(mListener, plain, length) != 0 || listen(mListener, 128) != 0 ||
       getsockname(mListener, plain, &length) != 0) {
-    throw std::runtime_error("relay can't listen");
+    throw std::runtime_error("delaying relay can't listen on a loopback port");
   }
   mPort = ntohs(address.sin_port);
   mThread = std::thread([this] { Accept(); });
@@ -78,12 +78,12 @@
     mConnections.emplace_back();
     auto& made = mConnections.back();
     made.mClient = accept4(mListener, nullptr, nullptr, SOCK_CLOEXEC);
-    made.mThread = std::thread([this, &made] { Pass(made); });
+    made.mThread = std::thread([this, &made] { Run(made); });
   }
 }
 
 void
-delaying_relay::Pass(connection& aConnection)
+delaying_relay::Run(connection& aConnection)
 {
   aConnection.mServer = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const auto address = Loopback(mTarget);
@@ -115,10 +115,10 @@
 }
 
 std::string
-delaying_relay::Passed()
+delaying_relay::ForwardedBytes()
 {
   std::lock_guard lock(mMutex);
-  return mPassed;
+  return mForwarded;
 }
 
 bool
@@ -131,7 +131,7 @@
   }
   {
     std::lock_guard lock(mMutex);
-    mPassed.append(buffer, static_cast<std::size_t>(got));
+    mForwarded.append(buffer, static_cast<std::size_t>(got));
   }
   if (aStart.empty()) {
     aStart.assign(buffer, std::min<std::size_t>(64, got));
--- a/Tests/Support/DelayingRelay.h
+++ b/Tests/Support/DelayingRelay.h
@@ -12,28 +12,28 @@
 namespace lavender::test {
 
 /** A TCP relay on loopback that stands for the network between two processes:
- * it delays, stalls or cuts what passes. Bytes it has taken in are "on the
- * wire": their sender's kernel counts them as received. */
+ * it delays, stalls or cuts connections. Bytes that the relay has read count as
+ * delivered for the sender's kernel, like bytes in the network. */
 class delaying_relay
 {
 public:
-  /** Passes connections on to that port. */
+  /** Forwards connections to that port on loopback. */
   explicit delaying_relay(std::uint16_t aTarget);
   ~delaying_relay();
   delaying_relay(const delaying_relay&) = delete;
   delaying_relay& operator=(const delaying_relay&) = delete;
 
   std::uint16_t Port() const { return mPort; }
-  /** From now on bytes of connections whose first bytes are so pass that much
-   * later; an empty start means all. */
+  /** From now on delays the bytes of connections whose first bytes begin
+   * with aStart; an empty aStart matches all connections. */
   void Delay(const std::string& aStart, std::chrono::milliseconds aDelay);
-  /** Keeps connections open but passes nothing. */
+  /** Keeps connections open but forwards nothing. */
   void Stall(bool aIsStalled) { mIsStalled = aIsStalled; }
   /** Closes all connections; new ones work. */
   void Cut() { ++mCuts; }
-  /** All bytes that passed so far, in both directions. */
-  std::string Passed();
-  /** How many chunks of bytes were delayed. */
+  /** All bytes forwarded so far, in both directions. */
+  std::string ForwardedBytes();
+  /** Number of chunks that were delayed. */
   std::int64_t Delayed() const { return mDelayed; }
 
 private:
@@ -45,7 +45,7 @@
   };
 
   void Accept();
-  void Pass(connection& aConnection);
+  void Run(connection& aConnection);
   bool Forward(int aFrom, int aTo, std::string& aStart);
   std::chrono::milliseconds DelayFor(const std::string& aStart);
 
@@ -57,7 +57,7 @@
   std::atomic<std::int64_t> mCuts{ 0 };
   std::atomic<std::int64_t> mDelayed{ 0 };
   std::mutex mMutex;
-  std::string mPassed;
+  std::string mForwarded;
   std::string mDelayStart;
   std::chrono::milliseconds mDelay{ 0 };
   std::list<connection> mConnections;
--- a/Tests/Support/DeskSite.cpp
+++ b/Tests/Support/DeskSite.cpp
@@ -23,7 +23,7 @@
   mFleet.Put("BackendPool", "desk", pool);
   mKey = mFleet.AddCustomer("geoandina");
   if (!WaitUntilServing()) {
-    throw std::runtime_error("the desks don't serve");
+    throw std::runtime_error("no entry serves all desks within the time limit");
   }
 }
 
@@ -48,7 +48,7 @@
 }
 
 std::future<answer>
-desk_site::BookAside(const std::string& aEntry,
+desk_site::BookAsync(const std::string& aEntry,
                      const std::string& aBody,
                      const std::string& aIdempotencyKey,
                      std::chrono::milliseconds aDeadline)
@@ -85,7 +85,7 @@
 }
 
 void
-desk_site::SetSlowness(std::chrono::milliseconds aTime)
+desk_site::SetRunTime(std::chrono::milliseconds aTime)
 {
   json::value faults;
   faults.Set("slow_ms", aTime.count());
@@ -137,7 +137,7 @@
   mFleet.PublishInstances();
   WaitFor([&] {
     for (const auto& [name, made] : relays) {
-      if (made->CarriedBytes() == 0) {
+      if (made->ForwardedBytes() == 0) {
         return false;
       }
     }
--- a/Tests/Support/DeskSite.h
+++ b/Tests/Support/DeskSite.h
@@ -7,12 +7,12 @@
 
 namespace lavender::test {
 
-/** Two booking desks whose calls may not be repeated, and two entries. The
- * desks count each run by its body, so a test sends each body once. */
+/** Two booking desks whose calls must not be repeated, and two entries. The
+ * desks count runs by request body, so a test uses each body once. */
 class desk_site
 {
 public:
-  /** @param aAgentArguments settings of both agents
+  /** @param aAgentArguments additional arguments of every agent
    * @param aDesks names of the desks */
   explicit desk_site(std::vector<std::string> aAgentArguments = {},
                      std::vector<std::string> aDesks = { "desk-1", "desk-2" });
@@ -28,28 +28,28 @@
   }
   const std::string& Key() const { return mKey; }
 
-  /** One booking; the body tells it from all others. */
+  /** Sends one booking. The body identifies it in RunsOf. */
   answer Book(const std::string& aEntry,
               const std::string& aBody,
               const std::string& aIdempotencyKey = "",
               std::chrono::milliseconds aDeadline = 20s);
-  std::future<answer> BookAside(const std::string& aEntry,
+  std::future<answer> BookAsync(const std::string& aEntry,
                                 const std::string& aBody,
                                 const std::string& aIdempotencyKey = "",
                                 std::chrono::milliseconds aDeadline = 20s);
 
-  /** Runs of that body on all desks. */
+  /** Number of runs of that body on all desks. */
   std::int64_t RunsOf(const std::string& aBody);
-  /** Runs that any desk has begun and ended. */
+  /** Number of runs that have ended on all desks. */
   std::int64_t RunsEnded();
-  /** Sets how long a booking takes on each desk. */
-  void SetSlowness(std::chrono::milliseconds aTime);
+  /** Sets how long a booking runs on each desk. */
+  void SetRunTime(std::chrono::milliseconds aTime);
   /** Waits until both entries have booked on each desk. */
   bool WaitUntilServing();
-  /** Starts an agent anew, as after a crash; the list follows. */
+  /** Restarts an agent as after a crash, and updates the instance list. */
   void RestartAgent(const std::string& aDesk);
-  /** Puts a relay before each agent, or before each desk, and restarts the
-   * agents behind it. */
+  /** Puts a relay in front of each agent, or of each desk, and restarts the
+   * agents with it. */
   std::map<std::string, std::unique_ptr<relay>> PutRelaysBeforeAgents();
   std::map<std::string, std::unique_ptr<relay>> PutRelaysBeforeDesks();
 
@@ -61,13 +61,13 @@
   int mNextProbe = 0;
 };
 
-/** Sum of a process's counters of that name whose labels hold the text. */
+/** Sum of a process's counters of that name whose labels contain the text. */
 std::int64_t
 CounterOf(std::uint16_t aHealthPort,
           const std::string& aName,
           const std::string& aLabel);
 
-/** Reason and "ran" of a refusal. */
+/** Fields "reason" and "ran" of an error response; empty without one. */
 std::string
 ReasonOf(const answer& aAnswer);
 std::string
--- a/Tests/Support/Fleet.h
+++ b/Tests/Support/Fleet.h
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-/** An answer with its parsed body. */
+/** A response with its parsed body. */
 struct answer
 {
   http::call_state mState = http::call_state::NotSent;
@@ -32,24 +32,25 @@
      const http::header_list& aHeaders = {},
      std::chrono::milliseconds aTimeout = 30s);
 
-/** Waits until the condition holds; false after the limit. */
+/** Polls the condition until it holds; returns false once the limit is over. */
 bool
 WaitFor(const std::function<bool()>& aCondition,
         std::chrono::milliseconds aLimit = 20s);
 
-/** One backend server with the agent beside it. */
+/** One backend server and its agent. */
 struct backend
 {
   std::string mName;
   std::string mAvailabilityZone;
   std::string mPool;
   std::string mKind;
-  /** Shared when several agents stand before one server. */
+  /** Shared when several agents are in front of one server. */
   std::shared_ptr<child_process> mServer;
   std::unique_ptr<child_process> mAgent;
-  /** Port of a relay that entries reach the agent by; 0 without one. */
+  /** Port of a relay through which entries reach the agent; 0 without one. */
   std::uint16_t mAgentRelay = 0;
-  /** Port of a relay that the agent reaches the server by; 0 without one. */
+  /** Port of a relay through which the agent reaches the server; 0 without one.
+   */
   std::uint16_t mServerRelay = 0;
 };
 
@@ -64,8 +65,8 @@
   std::uint16_t Health() const { return mProcess->Port("health"); }
 };
 
-/** The whole path as separate processes on loopback. Programs are found
- * beside the test through the LAVENDER_BUILD definition. */
+/** All processes of a site on loopback. The programs are found through the
+ * LAVENDER_BUILD definition. */
 class fleet
 {
 public:
@@ -76,8 +77,8 @@
   std::map<std::string, backend>& Backends() { return mBackends; }
   std::map<std::string, entry_instance>& Entries() { return mEntries; }
 
-  /** Starts an engine ("engine") or plain service ("service") and its agent.
-   */
+  /** Starts a server and its agent. aKind is "engine" for a model engine or
+   * "service" for a plain service. */
   backend& AddBackend(const std::string& aName,
                       const std::string& aZone,
                       const std::string& aPool,
@@ -86,21 +87,22 @@
   entry_instance& AddEntry(const std::string& aName,
                            const std::string& aZone,
                            const std::vector<std::string>& aArguments = {});
-  /** Starts (or restarts) the agent of a backend. */
+  /** Starts or restarts the agent of a backend. */
   void StartAgent(backend& aBackend,
                   const std::vector<std::string>& aArguments = {});
   void StartEntry(entry_instance& aEntry,
                   const std::vector<std::string>& aArguments = {});
-  /** Tells the platform which instances live; those named leave. */
+  /** Publishes the list of instances; those in aLeaving get the state
+   * "leaving". */
   void PublishInstances(const std::vector<std::string>& aLeaving = {});
-  /** Writes a resource at the first entry and returns the answer. */
+  /** Writes a resource through the first entry and returns the response. */
   answer Put(const std::string& aKind,
              const std::string& aName,
              const json::value& aSpec);
-  /** Creates a customer with one key; returns the key. */
+  /** Creates a customer with one key and returns the key. */
   std::string AddCustomer(const std::string& aName,
                           const json::value& aSpec = json::object{});
-  /** Waits until every entry serves the pool with that many servers alive. */
+  /** Waits until every entry serves the model's requests with this key. */
   bool WaitUntilServing(const std::string& aKey, const std::string& aModel);
 
 private:
@@ -109,7 +111,7 @@
   std::map<std::string, entry_instance> mEntries;
 };
 
-/** Body and call of a completion. */
+/** Sends a completion request. */
 answer
 Complete(std::uint16_t aPort,
          const std::string& aKey,
--- a/Tests/Support/RawConnection.cpp
+++ b/Tests/Support/RawConnection.cpp
@@ -19,7 +19,7 @@
               reinterpret_cast<const sockaddr*>(&address),
               sizeof address) != 0) {
     close(mSocket);
-    throw std::runtime_error("can't connect");
+    throw std::runtime_error("can't connect to the port on loopback");
   }
 }
 
@@ -49,13 +49,14 @@
 }
 
 std::string
-raw_connection::ReceiveAll(std::chrono::milliseconds aSilence, bool& aHasClosed)
+raw_connection::ReceiveAll(std::chrono::milliseconds aIdleTimeout,
+                           bool& aHasClosed)
 {
   std::string received;
   aHasClosed = false;
   while (true) {
     pollfd waiting{ mSocket, POLLIN, 0 };
-    if (poll(&waiting, 1, static_cast<int>(aSilence.count())) <= 0) {
+    if (poll(&waiting, 1, static_cast<int>(aIdleTimeout.count())) <= 0) {
       return received;
     }
     char buffer[4096];
--- a/Tests/Support/RawConnection.h
+++ b/Tests/Support/RawConnection.h
@@ -6,7 +6,7 @@
 
 namespace lavender::test {
 
-/** A TCP connection on loopback for bytes that no library would send. */
+/** A TCP connection on loopback that sends bytes no HTTP library would send. */
 class raw_connection
 {
 public:
@@ -15,13 +15,14 @@
   raw_connection(const raw_connection&) = delete;
   raw_connection& operator=(const raw_connection&) = delete;
 
-  /** False when the peer has closed. */
+  /** Returns false when the peer has closed the connection. */
   bool Send(const std::string& aBytes);
-  /** No more bytes will follow; reading goes on. */
+  /** Closes the sending direction; reading still works. */
   void FinishSending();
-  /** All bytes until the peer closes or stays silent that long.
+  /** Reads until the peer closes or sends nothing for that long.
    * @param aHasClosed set to whether the peer closed */
-  std::string ReceiveAll(std::chrono::milliseconds aSilence, bool& aHasClosed);
+  std::string ReceiveAll(std::chrono::milliseconds aIdleTimeout,
+                         bool& aHasClosed);
 
 private:
   int mSocket = -1;
--- a/Tests/Support/Relay.cpp
+++ b/Tests/Support/Relay.cpp
@@ -10,7 +10,7 @@
 namespace lavender::test {
 namespace {
 
-constexpr int kTickMilliseconds = 5;
+constexpr int kPollMilliseconds = 5;
 
 sockaddr_in
 Loopback(std::uint16_t aPort)
@@ -58,18 +58,19 @@
 
 } // namespace
 
-/** One client's connection with the one that the relay opened for it. */
+/** A client's connection and the one that the relay opened to the target for
+ * it. */
 struct relay::link
 {
   int mClient = -1;
   int mServer = -1;
-  std::atomic<bool> mIsSilent{ false };
+  std::atomic<bool> mIsFrozen{ false };
   std::atomic<bool> mIsClosed{ false };
-  std::atomic<bool> mIsOver{ false };
-  /** Requests read while silent, and not yet passed on. */
+  std::atomic<bool> mHasEnded{ false };
+  /** Request bytes read while frozen and not forwarded yet. */
   std::string mHeld;
   bool mHasClientEnded = false;
-  std::size_t mAnswered = 0;
+  std::size_t mResponseBytes = 0;
   std::thread mThread;
 };
 
@@ -83,7 +84,7 @@
       listen(mListener, 128) != 0 ||
       getsockname(mListener, reinterpret_cast<sockaddr*>(&address), &size)) {
     close(mListener);
-    throw std::runtime_error("relay can't listen");
+    throw std::runtime_error("relay can't listen on a loopback port");
   }
   mPort = ntohs(address.sin_port);
   mAcceptor = std::thread([this] { Accept(); });
@@ -104,7 +105,7 @@
 {
   while (!mIsStopping) {
     pollfd waiting{ mListener, POLLIN, 0 };
-    if (poll(&waiting, 1, kTickMilliseconds) <= 0) {
+    if (poll(&waiting, 1, kPollMilliseconds) <= 0) {
       continue;
     }
     const int client = accept(mListener, nullptr, nullptr);
@@ -114,24 +115,24 @@
     std::lock_guard lock(mMutex);
     auto& made = mLinks.emplace_back();
     made.mClient = client;
-    made.mIsSilent = mIsHoldingNew.load();
-    made.mThread = std::thread([this, &made] { Carry(made); });
+    made.mIsFrozen = mIsHoldingNew.load();
+    made.mThread = std::thread([this, &made] { Run(made); });
   }
 }
 
 void
-relay::Carry(link& aLink)
+relay::Run(link& aLink)
 {
   while (!mIsStopping && !aLink.mIsClosed) {
     pollfd waiting[] = { { aLink.mClient, POLLIN, 0 },
                          { aLink.mServer, POLLIN, 0 } };
-    if (aLink.mIsSilent) {
-      // The peers' kernels go on taking bytes, so poll would return at once.
-      std::this_thread::sleep_for(std::chrono::milliseconds(kTickMilliseconds));
+    if (aLink.mIsFrozen) {
+      // The peers' kernels still deliver bytes, so poll would return at once.
+      std::this_thread::sleep_for(std::chrono::milliseconds(kPollMilliseconds));
     } else {
-      poll(waiting, 2, kTickMilliseconds);
+      poll(waiting, 2, kPollMilliseconds);
     }
-    if (!CarryRequests(aLink) || !CarryAnswers(aLink)) {
+    if (!ForwardRequests(aLink) || !ForwardResponses(aLink)) {
       break;
     }
   }
@@ -139,11 +140,11 @@
   if (aLink.mServer >= 0) {
     close(aLink.mServer);
   }
-  aLink.mIsOver = true;
+  aLink.mHasEnded = true;
 }
 
 bool
-relay::CarryRequests(link& aLink)
+relay::ForwardRequests(link& aLink)
 {
   std::string held;
   {
@@ -155,7 +156,7 @@
       aLink.mHeld.append(bytes,
                          static_cast<std::size_t>(count > 0 ? count : 0));
     }
-    if (aLink.mIsSilent) {
+    if (aLink.mIsFrozen) {
       return true;
     }
     held.swap(aLink.mHeld);
@@ -170,9 +171,9 @@
 }
 
 bool
-relay::CarryAnswers(link& aLink)
+relay::ForwardResponses(link& aLink)
 {
-  if (aLink.mIsSilent || aLink.mServer < 0 || !IsReadable(aLink.mServer)) {
+  if (aLink.mIsFrozen || aLink.mServer < 0 || !IsReadable(aLink.mServer)) {
     return true;
   }
   char bytes[16384];
@@ -182,15 +183,15 @@
   }
   const auto size = static_cast<std::size_t>(count);
   const std::size_t limit = mCutAfter;
-  if (limit > 0 && aLink.mAnswered + size > limit) {
+  if (limit > 0 && aLink.mResponseBytes + size > limit) {
     ++mCuts;
-    if (limit > aLink.mAnswered) {
-      WriteAll(aLink.mClient, bytes, limit - aLink.mAnswered);
+    if (limit > aLink.mResponseBytes) {
+      WriteAll(aLink.mClient, bytes, limit - aLink.mResponseBytes);
     }
     return false;
   }
-  aLink.mAnswered += size;
-  mCarried += size;
+  aLink.mResponseBytes += size;
+  mForwarded += size;
   return WriteAll(aLink.mClient, bytes, size);
 }
 
@@ -199,7 +200,7 @@
 {
   std::lock_guard lock(mMutex);
   for (auto& link : mLinks) {
-    link.mIsSilent = true;
+    link.mIsFrozen = true;
   }
 }
 
@@ -209,7 +210,7 @@
   mIsHoldingNew = false;
   std::lock_guard lock(mMutex);
   for (auto& link : mLinks) {
-    link.mIsSilent = false;
+    link.mIsFrozen = false;
   }
 }
 
@@ -225,8 +226,8 @@
     }
   }
   for (const auto* link : open) {
-    while (!link->mIsOver) {
-      std::this_thread::sleep_for(std::chrono::milliseconds(kTickMilliseconds));
+    while (!link->mHasEnded) {
+      std::this_thread::sleep_for(std::chrono::milliseconds(kPollMilliseconds));
     }
   }
 }
--- a/Tests/Support/Relay.h
+++ b/Tests/Support/Relay.h
@@ -10,8 +10,8 @@
 
 namespace lavender::test {
 
-/** A TCP relay on loopback whose connections a test can make silent: they
- * stay open and carry nothing, while new ones pass. */
+/** A TCP relay on loopback whose connections a test can freeze: they stay open
+ * and forward nothing, while new ones work. */
 class relay
 {
 public:
@@ -21,34 +21,35 @@
   relay& operator=(const relay&) = delete;
 
   std::uint16_t Port() const { return mPort; }
-  /** New connections go there from now on. */
+  /** New connections go to that port from now on. */
   void SetTarget(std::uint16_t aTarget) { mTarget = aTarget; }
-  /** Connections that are open now go silent. */
+  /** Freezes the connections that are open now. */
   void FreezeOpen();
-  /** Connections opened from now on are accepted and held. */
+  /** Connections opened from now on are accepted and frozen. */
   void HoldNew(bool aIsHeld) { mIsHoldingNew = aIsHeld; }
-  /** All silent and held connections carry their bytes again. */
+  /** All frozen connections forward their bytes again. */
   void ThawAll();
-  /** Closes the connections that are open now, and returns when they are. */
+  /** Closes the connections that are open now; returns once they are closed. */
   void CloseOpen();
-  /** Every answer from now on is cut after that many bytes; 0 cuts none. */
-  void CutAnswersAfter(std::size_t aBytes) { mCutAfter = aBytes; }
-  /** Answers that were cut. */
+  /** Cuts every response from now on after that many bytes; 0 cuts none. */
+  void CutResponsesAfter(std::size_t aBytes) { mCutAfter = aBytes; }
+  /** Number of responses that were cut. */
   int Cuts() const { return mCuts; }
-  /** Bytes of answers that were passed on. */
-  std::size_t CarriedBytes() const { return mCarried; }
-  /** Bytes that silent connections were sent by clients and kept back. */
+  /** Bytes of responses that were forwarded. */
+  std::size_t ForwardedBytes() const { return mForwarded; }
+  /** Bytes that clients sent on frozen connections and that weren't forwarded.
+   */
   std::size_t HeldBytes() const;
-  /** Whether a text stands among the kept bytes. */
+  /** Whether the held bytes of a connection contain the text. */
   bool IsHolding(const std::string& aText) const;
 
 private:
   struct link;
 
   void Accept();
-  void Carry(link& aLink);
-  bool CarryRequests(link& aLink);
-  bool CarryAnswers(link& aLink);
+  void Run(link& aLink);
+  bool ForwardRequests(link& aLink);
+  bool ForwardResponses(link& aLink);
 
   int mListener = -1;
   std::uint16_t mPort = 0;
@@ -57,7 +58,7 @@
   std::atomic<bool> mIsStopping{ false };
   std::atomic<std::size_t> mCutAfter{ 0 };
   std::atomic<int> mCuts{ 0 };
-  std::atomic<std::size_t> mCarried{ 0 };
+  std::atomic<std::size_t> mForwarded{ 0 };
   mutable std::mutex mMutex;
   std::list<link> mLinks;
   std::thread mAcceptor;
--- a/Tests/Support/TrainingSite.cpp
+++ b/Tests/Support/TrainingSite.cpp
@@ -29,7 +29,7 @@
   mFleet.Put("TrainingRun", "minutes", run);
   Accept(2);
   for (const char* engine : { "engine-1", "engine-2" }) {
-    BOOST_REQUIRE(WaitFor([&] { return HeldBy(engine) == 2; }));
+    BOOST_REQUIRE(WaitFor([&] { return VersionHeldBy(engine) == 2; }));
   }
 }
 
@@ -56,7 +56,7 @@
 }
 
 std::int64_t
-training_site::HeldBy(const std::string& aEngine)
+training_site::VersionHeldBy(const std::string& aEngine)
 {
   const auto held = Send(Engine(aEngine), "GET", "/weights").mBody;
   return json::StringAt(held, "model", "") == "protokoll"
@@ -71,7 +71,7 @@
 }
 
 answer
-training_site::Ask(const std::string& aEntry, int aStep)
+training_site::RequestBatch(const std::string& aEntry, int aStep)
 {
   json::array prompts;
   for (int i = 0; i < kPrompts; ++i) {
@@ -81,15 +81,15 @@
     }
     prompts.emplace_back(words.str());
   }
-  json::value ask;
-  ask.Set("prompts", std::move(prompts));
-  ask.Set("samples_per_prompt", kPerPrompt);
-  ask.Set("max_tokens", kTokens);
+  json::value request;
+  request.Set("prompts", std::move(prompts));
+  request.Set("samples_per_prompt", kPerPrompt);
+  request.Set("max_tokens", kTokens);
   return Send(Entry(aEntry),
               "POST",
               "/v1/training-runs/minutes/steps/" + std::to_string(aStep) +
                 "/batch",
-              ask,
+              request,
               { { "Authorization", "Bearer " + mKey } });
 }
 
@@ -110,7 +110,7 @@
   answer got;
   BOOST_TEST(WaitFor(
     [&] {
-      got = Ask(aEntry, aStep);
+      got = RequestBatch(aEntry, aStep);
       return got.mStatus == 200;
     },
     40s));
@@ -118,7 +118,7 @@
 }
 
 int
-training_site::CheckTruth(const json::value& aBatch)
+training_site::CheckVersions(const json::value& aBatch)
 {
   std::map<std::string, json::value> truths;
   for (const auto& [name, backend] : mFleet.Backends()) {
@@ -150,7 +150,7 @@
 }
 
 std::int64_t
-training_site::OldestIn(const json::value& aBatch)
+training_site::OldestVersionIn(const json::value& aBatch)
 {
   std::int64_t oldest = 1000;
   for (const auto& sample : aBatch.Find("samples")->Elements()) {
@@ -172,7 +172,8 @@
 }
 
 int
-training_site::OrdersAt(const std::string& aEngine, std::int64_t aVersion)
+training_site::CountSwapOrders(const std::string& aEngine,
+                               std::int64_t aVersion)
 {
   int orders = 0;
   const auto log = Send(Engine(aEngine), "GET", "/control/log").mBody;
--- a/Tests/Support/TrainingSite.h
+++ b/Tests/Support/TrainingSite.h
@@ -9,7 +9,7 @@
 constexpr std::int64_t kTokens = 20;
 constexpr std::int64_t kBound = 1;
 
-/** Two engines, two entries, one training run that is at version 2. */
+/** Two engines, two entries and one training run at version 2. */
 struct training_site
 {
   fleet mFleet;
@@ -18,23 +18,24 @@
   training_site();
   std::uint16_t Engine(const std::string& aName);
   std::uint16_t Entry(const std::string& aName);
-  /** Declares a version as accepted. */
+  /** Writes the version's resource, which makes it the accepted version. */
   void Accept(std::int64_t aVersion);
   /** Version of the run's model that the engine holds; 0 for none. */
-  std::int64_t HeldBy(const std::string& aEngine);
+  std::int64_t VersionHeldBy(const std::string& aEngine);
   void SetFault(const std::string& aEngine, const json::object& aFault);
   void SetPlatformFault(const json::object& aFault);
-  answer Ask(const std::string& aEntry, int aStep);
+  answer RequestBatch(const std::string& aEntry, int aStep);
   answer Acknowledge(const std::string& aEntry, int aStep);
-  /** Asks until the batch is there. */
+  /** Repeats the request until the batch is delivered. */
   answer WaitForBatch(const std::string& aEntry, int aStep);
-  /** Holds each sample against the engines' own records of which version
-   * made each token. Returns how many name more than one version. */
-  int CheckTruth(const json::value& aBatch);
-  std::int64_t OldestIn(const json::value& aBatch);
+  /** Compares each sample with the engines' own records of the version that
+   * produced each token. Returns the number of samples with more than one
+   * version. */
+  int CheckVersions(const json::value& aBatch);
+  std::int64_t OldestVersionIn(const json::value& aBatch);
   std::string Metrics(const std::string& aEntry);
-  /** Swap orders that the engine's log shows for a version. */
-  int OrdersAt(const std::string& aEngine, std::int64_t aVersion);
+  /** Number of swap orders for a version in the engine's log. */
+  int CountSwapOrders(const std::string& aEngine, std::int64_t aVersion);
 };
 
 } // namespace lavender::test
--- a/Tests/TestOneInCharge.cpp
+++ b/Tests/TestOneInCharge.cpp
@@ -217,7 +217,7 @@
     BOOST_TEST(sharedNumbers == 0);
     BOOST_TEST(doubled == 0);
     BOOST_TEST_MESSAGE("orders " << orders.size() << ", holders "
-                                 << holders.size() << ", met mid-order "
+                                 << holders.size() << ", orders interrupted "
                                  << mInterruptedOrders);
   }
 };
--- a/Tests/TestOperators.cpp
+++ b/Tests/TestOperators.cpp
@@ -335,8 +335,8 @@
     TextOf(engine.mServer->Port("http"), "/control/received"),
     TextOf(desk.mServer->Port("http"), "/control/received"),
     TextOf(fleet.PlatformPort(), "/control/received"),
-    engineRelay.Passed(),
-    deskRelay.Passed(),
+    engineRelay.ForwardedBytes(),
+    deskRelay.ForwardedBytes(),
     TextOf(entry.Health(), "/metrics") +
       TextOf(engine.mAgent->Port("health"), "/metrics"),
     json::Write(shown.mBody),
--- a/Tests/TestOverload.cpp
+++ b/Tests/TestOverload.cpp
@@ -174,7 +174,8 @@
   for (auto& caller : callers) {
     caller.join();
   }
-  BOOST_TEST_MESSAGE("running at once " << maximum << ", refused " << refused);
+  BOOST_TEST_MESSAGE("most requests running at once " << maximum << ", refused "
+                                                      << refused);
   BOOST_TEST(refused > 0);
   BOOST_TEST(isBeyondEven);
   BOOST_TEST(maximum <= kLimit);
--- a/Tests/TestRunOnce.cpp
+++ b/Tests/TestRunOnce.cpp
@@ -66,7 +66,7 @@
   refused = static_cast<int>(CounterOf(site.Entry("entry-1").Health(),
                                        "lavender_retries_total",
                                        "server_unreachable"));
-  BOOST_TEST(refused > 0, "no dispatch met the dead agent");
+  BOOST_TEST(refused > 0, "no dispatch was sent to the dead agent");
 }
 
 // The agent dies while a booking runs. The caller must get "outcome unknown" at
@@ -74,8 +74,8 @@
 BOOST_AUTO_TEST_CASE(AgentKilledDuringTheRun)
 {
   desk_site site;
-  site.SetSlowness(1500ms);
-  auto booking = site.BookAside("entry-1", "during", "key-during");
+  site.SetRunTime(1500ms);
+  auto booking = site.BookAsync("entry-1", "during", "key-during");
   BOOST_REQUIRE(WaitForRun(site, "during"));
   site.Desk("desk-1").mAgent->Signal(SIGKILL);
   site.Desk("desk-2").mAgent->Signal(SIGKILL);
@@ -83,7 +83,7 @@
   BOOST_TEST(RanOf(first) == "outcome_unknown");
   site.RestartAgent("desk-1");
   site.RestartAgent("desk-2");
-  site.SetSlowness(0ms);
+  site.SetRunTime(0ms);
   BOOST_REQUIRE(site.WaitUntilServing());
   for (const char* entry : { "entry-1", "entry-2" }) {
     const auto again = site.Book(entry, "during", "key-during");
@@ -101,8 +101,8 @@
   auto relays = site.PutRelaysBeforeAgents();
   // Long enough for the relays to freeze before the run ends, on a loaded
   // machine too.
-  site.SetSlowness(2000ms);
-  auto booking = site.BookAside("entry-1", "after", "key-after");
+  site.SetRunTime(2000ms);
+  auto booking = site.BookAsync("entry-1", "after", "key-after");
   BOOST_REQUIRE(WaitForRun(site, "after"));
   const auto ended = site.RunsEnded();
   for (auto& [name, relay] : relays) {
@@ -123,8 +123,8 @@
 BOOST_AUTO_TEST_CASE(EntryKilledMidRequest)
 {
   desk_site site;
-  site.SetSlowness(800ms);
-  auto booking = site.BookAside("entry-1", "entry dies", "key-entry");
+  site.SetRunTime(800ms);
+  auto booking = site.BookAsync("entry-1", "entry dies", "key-entry");
   BOOST_REQUIRE(WaitForRun(site, "entry dies"));
   site.Entry("entry-1").mProcess->Signal(SIGKILL);
   BOOST_TEST(booking.get().mStatus != 200);
@@ -138,11 +138,11 @@
 BOOST_AUTO_TEST_CASE(DoubledAtBothEntriesAtOnce)
 {
   desk_site site;
-  site.SetSlowness(50ms);
+  site.SetRunTime(50ms);
   for (int i = 0; i < 25; ++i) {
     const auto body = "both " + std::to_string(i);
-    auto one = site.BookAside("entry-1", body, body);
-    auto two = site.BookAside("entry-2", body, body);
+    auto one = site.BookAsync("entry-1", body, body);
+    auto two = site.BookAsync("entry-2", body, body);
     const auto first = one.get();
     const auto second = two.get();
     BOOST_TEST(first.mStatus == 200);
@@ -156,7 +156,7 @@
       site.Entry("entry-1").Health(), "lavender_shared_calls_total", "") +
     CounterOf(
       site.Entry("entry-2").Health(), "lavender_shared_calls_total", "");
-  BOOST_TEST(shared > 0, "no request met another one's record");
+  BOOST_TEST(shared > 0, "no request found the record of another one");
 }
 
 // A desk's response breaks off in the middle. It must not be passed on as a
@@ -166,7 +166,7 @@
   desk_site site;
   auto relays = site.PutRelaysBeforeDesks();
   for (auto& [name, relay] : relays) {
-    relay->CutAnswersAfter(120);
+    relay->CutResponsesAfter(120);
   }
   const auto first = site.Book("entry-1", "cut", "key-cut");
   BOOST_TEST(RanOf(first) == "outcome_unknown");
@@ -177,7 +177,7 @@
   for (auto& [name, relay] : relays) {
     cuts += relay->Cuts();
   }
-  BOOST_TEST(cuts > 0, "no answer was cut");
+  BOOST_TEST(cuts > 0, "no response was cut");
 }
 
 // A dispatch is stuck on a connection that became unresponsive. The entry
@@ -211,7 +211,7 @@
   for (auto& [name, relay] : relays) {
     relay->FreezeOpen();
   }
-  auto booking = site.BookAside("entry-1", "recorded", "key-recorded");
+  auto booking = site.BookAsync("entry-1", "recorded", "key-recorded");
   const auto isHeld = [&] {
     bool isFound = false;
     for (auto& [name, relay] : relays) {
@@ -241,7 +241,7 @@
   auto& relay = *relays.at("desk-1");
   relay.HoldNew(true);
   relay.CloseOpen();
-  auto booking = site.BookAside("entry-1", "restarted");
+  auto booking = site.BookAsync("entry-1", "restarted");
   BOOST_REQUIRE(WaitFor([&] { return relay.IsHolding("restarted"); }));
   site.RestartAgent("desk-1");
   relay.SetTarget(site.Desk("desk-1").mAgent->Port("wire"));
@@ -259,11 +259,11 @@
 BOOST_AUTO_TEST_CASE(QueueFull)
 {
   desk_site site({ "--slots", "1", "--queue", "1" }, { "desk-1" });
-  site.SetSlowness(300ms);
+  site.SetRunTime(300ms);
   std::vector<std::pair<std::string, std::future<answer>>> bookings;
   for (int i = 0; i < 8; ++i) {
     const auto body = "full " + std::to_string(i);
-    bookings.emplace_back(body, site.BookAside("entry-1", body));
+    bookings.emplace_back(body, site.BookAsync("entry-1", body));
   }
   int refused = 0;
   for (auto& [body, booking] : bookings) {
@@ -284,11 +284,11 @@
 {
   desk_site site({ "--slots", "2", "--queue", "16", "--drain-deadline", "100" },
                  { "desk-1" });
-  site.SetSlowness(700ms);
+  site.SetRunTime(700ms);
   std::vector<std::pair<std::string, std::future<answer>>> bookings;
   for (int i = 0; i < 8; ++i) {
     const auto body = "stop " + std::to_string(i);
-    bookings.emplace_back(body, site.BookAside("entry-1", body));
+    bookings.emplace_back(body, site.BookAsync("entry-1", body));
   }
   const auto countRuns = [&] {
     std::int64_t runs = 0;
@@ -386,7 +386,7 @@
   BOOST_TEST(CounterOf(entry.Health(),
                        "lavender_platform_calls_total",
                        "call=\"write\",result=\"500\"") > 0,
-             "no answer was lost");
+             "no response was lost");
   json::value down;
   down.Set("down", true);
   down.Set("lose_answers", 0);
@@ -412,8 +412,8 @@
 BOOST_AUTO_TEST_CASE(AskedAgainWhileThePlatformIsDown)
 {
   desk_site site;
-  site.SetSlowness(800ms);
-  auto booking = site.BookAside("entry-1", "in between", "key-between");
+  site.SetRunTime(800ms);
+  auto booking = site.BookAsync("entry-1", "in between", "key-between");
   BOOST_REQUIRE(WaitForRun(site, "in between"));
   site.Entry("entry-1").mProcess->Signal(SIGKILL);
   BOOST_TEST(booking.get().mStatus != 200);
--- a/Tests/TestSamples.cpp
+++ b/Tests/TestSamples.cpp
@@ -19,14 +19,14 @@
   for (const char* engine : { "engine-1", "engine-2" }) {
     SetFault(engine, { { "per_token_us", 30000 } });
   }
-  BOOST_TEST(Ask("entry-1", 1).mStatus == 503);
+  BOOST_TEST(RequestBatch("entry-1", 1).mStatus == 503);
   std::this_thread::sleep_for(300ms);
   Accept(3);
   const auto batch = WaitForBatch("entry-1", 1);
-  const int spans = CheckTruth(batch.mBody);
+  const int spans = CheckVersions(batch.mBody);
   BOOST_TEST_MESSAGE("samples that span a swap: " << spans);
   BOOST_TEST(spans > 0);
-  BOOST_TEST(OldestIn(batch.mBody) >= 3 - kBound);
+  BOOST_TEST(OldestVersionIn(batch.mBody) >= 3 - kBound);
 }
 
 // One engine fails its swap and still reports the version that it was ordered
@@ -43,18 +43,18 @@
            { { "per_token_us", 20000 },
              { "swap_late_ms", 700 },
              { "account", "none" } });
-  BOOST_TEST(Ask("entry-1", 1).mStatus == 503);
+  BOOST_TEST(RequestBatch("entry-1", 1).mStatus == 503);
   std::this_thread::sleep_for(200ms);
   Accept(3);
   for (int step = 1; step <= 3; ++step) {
     const auto batch = WaitForBatch("entry-1", step);
-    CheckTruth(batch.mBody);
-    BOOST_TEST(OldestIn(batch.mBody) >= 3 - kBound);
+    CheckVersions(batch.mBody);
+    BOOST_TEST(OldestVersionIn(batch.mBody) >= 3 - kBound);
     BOOST_TEST(Acknowledge("entry-1", step).mStatus == 200);
   }
-  BOOST_TEST(OrdersAt("engine-1", 3) > 0);
-  BOOST_TEST(OrdersAt("engine-2", 3) > 0);
-  BOOST_TEST(WaitFor([&] { return HeldBy("engine-1") == 3; }));
+  BOOST_TEST(CountSwapOrders("engine-1", 3) > 0);
+  BOOST_TEST(CountSwapOrders("engine-2", 3) > 0);
+  BOOST_TEST(WaitFor([&] { return VersionHeldBy("engine-1") == 3; }));
   BOOST_TEST(Metrics("entry-1").find("lavender_sample_retries_total") !=
              std::string::npos);
 }
@@ -68,7 +68,7 @@
   for (const char* engine : { "engine-1", "engine-2" }) {
     SetFault(engine, { { "per_token_us", 20000 } });
   }
-  BOOST_TEST(Ask("entry-1", 1).mStatus == 503);
+  BOOST_TEST(RequestBatch("entry-1", 1).mStatus == 503);
   std::this_thread::sleep_for(200ms);
   auto& backend = mFleet.Backends().at("engine-1");
   backend.mAgent->Signal(SIGKILL);
@@ -76,11 +76,11 @@
   mFleet.StartAgent(backend);
   mFleet.PublishInstances();
   Send(Engine("engine-2"), "POST", "/control/crash", json::object{});
-  BOOST_TEST(HeldBy("engine-2") == 0);
+  BOOST_TEST(VersionHeldBy("engine-2") == 0);
   const auto batch = WaitForBatch("entry-1", 1);
-  CheckTruth(batch.mBody);
-  BOOST_TEST(OldestIn(batch.mBody) >= 2);
-  BOOST_TEST(WaitFor([&] { return HeldBy("engine-2") == 2; }));
+  CheckVersions(batch.mBody);
+  BOOST_TEST(OldestVersionIn(batch.mBody) >= 2);
+  BOOST_TEST(WaitFor([&] { return VersionHeldBy("engine-2") == 2; }));
 }
 
 // A trainer crashes before its acknowledgement and repeats the request at
@@ -92,13 +92,13 @@
   const auto first = WaitForBatch("entry-1", 1);
   Accept(3);
   Accept(4);
-  BOOST_TEST(WaitFor([&] { return HeldBy("engine-1") == 4; }));
+  BOOST_TEST(WaitFor([&] { return VersionHeldBy("engine-1") == 4; }));
   const auto again = WaitForBatch("entry-2", 1);
   BOOST_TEST(json::Write(first.mBody) == json::Write(again.mBody));
   BOOST_TEST(Acknowledge("entry-2", 1).mStatus == 200);
   BOOST_TEST(Acknowledge("entry-1", 1).mStatus == 200);
   for (const char* entry : { "entry-1", "entry-2" }) {
-    const auto late = Ask(entry, 1);
+    const auto late = RequestBatch(entry, 1);
     BOOST_TEST(late.mStatus == 410);
     BOOST_TEST(json::StringAt(*late.mBody.Find("error"), "reason", "") ==
                "already_acknowledged");
@@ -143,12 +143,12 @@
   BOOST_TEST(WaitFor(
     [&] {
       ++steps;
-      CheckTruth(WaitForBatch("entry-1", steps).mBody);
+      CheckVersions(WaitForBatch("entry-1", steps).mBody);
       return Metrics("entry-1").find("reason=\"server_slow\"") !=
              std::string::npos;
     },
     60s));
-  BOOST_TEST_MESSAGE("steps until a sample was started again: " << steps);
+  BOOST_TEST_MESSAGE("steps until a sample was restarted: " << steps);
 }
 
 // A step of the largest supported size, with long prompts, goes through one
@@ -161,17 +161,17 @@
   for (int i = 0; i < 128; ++i) {
     prompts.emplace_back(word + std::to_string(i) + " ends");
   }
-  json::value ask;
-  ask.Set("prompts", std::move(prompts));
-  ask.Set("samples_per_prompt", 8);
-  ask.Set("max_tokens", 2);
+  json::value request;
+  request.Set("prompts", std::move(prompts));
+  request.Set("samples_per_prompt", 8);
+  request.Set("max_tokens", 2);
   answer got;
   BOOST_TEST(WaitFor(
     [&] {
       got = Send(Entry("entry-1"),
                  "POST",
                  "/v1/training-runs/minutes/steps/1/batch",
-                 ask,
+                 request,
                  { { "Authorization", "Bearer " + mKey } });
       return got.mStatus == 200;
     },
@@ -192,7 +192,7 @@
   for (const char* engine : { "engine-1", "engine-2" }) {
     SetFault(engine, { { "per_token_us", 40000 } });
   }
-  BOOST_TEST(Ask("entry-1", 1).mStatus == 503);
+  BOOST_TEST(RequestBatch("entry-1", 1).mStatus == 503);
   const auto saved = [&] {
     const auto record =
       Send(mFleet.PlatformPort(), "GET", "/v1/objects/Batch/minutes.1").mBody;
@@ -204,7 +204,7 @@
   mFleet.Entries().at("entry-1").mProcess->Signal(SIGKILL);
   BOOST_TEST(mFleet.Entries().at("entry-1").mProcess->WaitForExit(5s) == -1);
   const auto batch = WaitForBatch("entry-2", 1);
-  CheckTruth(batch.mBody);
+  CheckVersions(batch.mBody);
   BOOST_TEST(Metrics("entry-2").find("lavender_batches_taken_over_total 1") !=
              std::string::npos);
 }
--- a/Tests/TestSamplesPlatformDown.cpp
+++ b/Tests/TestSamplesPlatformDown.cpp
@@ -21,7 +21,7 @@
   int refused = 0;
   const auto end = steady::now() + aLength;
   while (steady::now() < end) {
-    const auto got = aSite.Ask(aEntry, aStep);
+    const auto got = aSite.RequestBatch(aEntry, aStep);
     BOOST_TEST(got.mStatus == 503);
     BOOST_TEST(!http::HeaderOr(got.mHeaders, "Retry-After", "").empty());
     ++refused;
@@ -42,7 +42,7 @@
   for (const char* engine : { "engine-1", "engine-2" }) {
     SetFault(engine, { { "per_token_us", 20000 } });
   }
-  BOOST_TEST(Ask("entry-1", 1).mStatus == 503);
+  BOOST_TEST(RequestBatch("entry-1", 1).mStatus == 503);
   std::this_thread::sleep_for(300ms);
   SetPlatformFault({ { "down", true } });
   BOOST_TEST(RequestDuringOutage(*this, "entry-1", 1, 6s) > 10);
@@ -53,7 +53,7 @@
   BOOST_TEST_MESSAGE(
     "trainer idle after the store was back, ms: "
     << std::chrono::duration_cast<std::chrono::milliseconds>(idle).count());
-  CheckTruth(batch.mBody);
+  CheckVersions(batch.mBody);
 }
 
 // The store is already down when the trainer asks, so the batch can't be
@@ -78,7 +78,7 @@
   BOOST_TEST_MESSAGE(
     "trainer idle after the store was back, ms: "
     << std::chrono::duration_cast<std::chrono::milliseconds>(idle).count());
-  CheckTruth(batch.mBody);
+  CheckVersions(batch.mBody);
 }
 
 // The store carries out a write and its response is lost: at the claim, the
@@ -92,8 +92,8 @@
     SetPlatformFault({ { "lose_answers", 1 } });
     BOOST_TEST(
       WaitFor([&] { return Acknowledge("entry-1", step).mStatus == 200; }));
-    BOOST_TEST(Ask("entry-2", step).mStatus == 410);
-    CheckTruth(first.mBody);
+    BOOST_TEST(RequestBatch("entry-2", step).mStatus == 410);
+    CheckVersions(first.mBody);
   }
   const auto records =
     Send(mFleet.PlatformPort(), "GET", "/v1/objects?kind=Batch").mBody;
@@ -106,7 +106,7 @@
 {
   SetPlatformFault({ { "slow_ms", 400 } });
   const auto batch = WaitForBatch("entry-1", 1);
-  CheckTruth(batch.mBody);
+  CheckVersions(batch.mBody);
   SetPlatformFault({ { "slow_ms", 0 } });
 }
 
--- a/Tests/TestSilentConnection.cpp
+++ b/Tests/TestSilentConnection.cpp
@@ -51,10 +51,11 @@
       RanOf(booked) == "not_run" && site.RunsOf(body) == 0;
     BOOST_TEST((IsResponseTo(booked, body) || isRefusedCorrectly));
     BOOST_TEST(site.RunsOf(body) <= 1);
-    BOOST_TEST(relay.HeldBytes() > 0u, "nothing met the silence");
+    BOOST_TEST(relay.HeldBytes() > 0u,
+               "no bytes were sent on a frozen connection");
     BOOST_TEST(site.Book("entry-1", body + " next").mStatus == 200);
   }
-  BOOST_TEST_MESSAGE("longest answer with a silent connection: "
+  BOOST_TEST_MESSAGE("longest response time with a frozen connection: "
                      << longest << " ms; stated bound 2600 ms");
 }
 
@@ -64,13 +65,13 @@
 BOOST_AUTO_TEST_CASE(AgentPausedMidRun)
 {
   desk_site site({}, { "desk-1" });
-  site.SetSlowness(500ms);
-  auto booking = site.BookAside("entry-1", "paused", "key-paused", 30s);
+  site.SetRunTime(500ms);
+  auto booking = site.BookAsync("entry-1", "paused", "key-paused", 30s);
   BOOST_REQUIRE(WaitFor([&] { return site.RunsOf("paused") == 1; }));
   site.Desk("desk-1").mAgent->Signal(SIGSTOP);
   const auto start = stopwatch::now();
   const auto first = booking.get();
-  BOOST_TEST_MESSAGE("answer with a paused agent after "
+  BOOST_TEST_MESSAGE("response with a paused agent after "
                      << MillisecondsSince(start)
                      << " ms; stated bound 6600 ms");
   BOOST_TEST(RanOf(first) == "outcome_unknown");
@@ -91,14 +92,14 @@
 BOOST_AUTO_TEST_CASE(LateAnswersAreNeverTakenForAnothers)
 {
   desk_site site;
-  site.SetSlowness(200ms);
+  site.SetRunTime(200ms);
   for (int round = 0; round < 2; ++round) {
     std::vector<std::pair<std::string, std::future<answer>>> bookings;
     for (int i = 0; i < 16; ++i) {
       const auto body =
         "late " + std::to_string(round) + "/" + std::to_string(i);
       bookings.emplace_back(
-        body, site.BookAside(i % 2 == 0 ? "entry-1" : "entry-2", body));
+        body, site.BookAsync(i % 2 == 0 ? "entry-1" : "entry-2", body));
     }
     BOOST_REQUIRE(WaitFor([&] {
       return site.RunsOf(bookings.front().first) +
@@ -133,8 +134,8 @@
   desk_site site({}, { "desk-1" });
   auto relays = site.PutRelaysBeforeAgents();
   auto& relay = *relays.at("desk-1");
-  site.SetSlowness(2000ms);
-  auto booking = site.BookAside("entry-1", "stopped");
+  site.SetRunTime(2000ms);
+  auto booking = site.BookAsync("entry-1", "stopped");
   BOOST_REQUIRE(WaitFor([&] { return site.RunsOf("stopped") == 1; }));
   const auto ended = site.RunsEnded();
   // The entry's next connection becomes unresponsive too, so that the entry
@@ -150,7 +151,8 @@
   {
     BOOST_TEST(IsResponseTo(answer, "stopped"));
   }
-  BOOST_TEST(relay.HeldBytes() > 0u, "nothing met the silence");
+  BOOST_TEST(relay.HeldBytes() > 0u,
+             "no bytes were sent on a frozen connection");
   BOOST_TEST(agent.WaitForExit(20s) == 0);
 }
 
@@ -165,7 +167,8 @@
     const auto body = "no store " + std::to_string(i);
     const auto start = stopwatch::now();
     const auto refused = site.Book("entry-1", body, body);
-    BOOST_TEST_MESSAGE("refusal " << i << " with a silent platform after "
+    BOOST_TEST_MESSAGE("refusal " << i
+                                  << " with an unresponsive platform after "
                                   << MillisecondsSince(start) << " ms");
     BOOST_TEST(ReasonOf(refused) == "platform_unavailable");
     BOOST_TEST(RanOf(refused) == "outcome_unknown");
--- a/Tests/TestUsageReports.cpp
+++ b/Tests/TestUsageReports.cpp
@@ -265,7 +265,7 @@
   mFleet.PublishInstances();
   BOOST_REQUIRE(WaitFor([&] {
     return std::all_of(relays.begin(), relays.end(), [](const auto& aRelay) {
-      return aRelay.second->CarriedBytes() > 0;
+      return aRelay.second->ForwardedBytes() > 0;
     });
   }));
   BOOST_REQUIRE(mFleet.WaitUntilServing(mWarmKey, "reports"));
@@ -299,7 +299,7 @@
   first->mAgentRelay = relays[first->mName]->Port();
   mFleet.PublishInstances();
   BOOST_REQUIRE(WaitFor([&] {
-    return relays[first->mName]->CarriedBytes() > 0 &&
+    return relays[first->mName]->ForwardedBytes() > 0 &&
            ReadIntake().mRequests["medellin-crew"] > 0;
   }));
   // Long enough for the windows that contain the first agent's count.
