--- a/Libraries/Edge/Caller.cpp
+++ b/Libraries/Edge/Caller.cpp
@@ -7,8 +7,8 @@
 namespace lavender::edge {
 
 namespace {
-/** Idle connections kept per server; more would hold its places. */
-constexpr std::size_t kMostIdle = 16;
+/** Idle connections kept per server; more would occupy the server's slots. */
+constexpr std::size_t kMaximumIdleConnections = 16;
 } // namespace
 
 const char*
@@ -56,7 +56,7 @@
                    call_options aOptions,
                    call_events aEvents)
 {
-  auto connection = aOptions.mMayReuse ? TakeIdle(aServer)
+  auto connection = aOptions.mMayReuse ? PopIdle(aServer)
                                        : std::shared_ptr<client_connection>();
   if (connection) {
     ++mCounts.mReused;
@@ -70,7 +70,7 @@
 }
 
 std::shared_ptr<client_connection>
-client_pool::TakeIdle(const endpoint& aServer)
+client_pool::PopIdle(const endpoint& aServer)
 {
   const auto found = mIdle.find(aServer);
   if (found == mIdle.end()) {
@@ -91,8 +91,8 @@
   if (idle.empty()) {
     mIdle.erase(found);
   }
-  // Closing takes the connection off its list, and an empty list off the map:
-  // only once neither is in use here.
+  // Close removes the connection from the list, and an empty list from the map,
+  // so it must run when neither is in use here any more.
   for (const auto& connection : expired) {
     connection->Close();
   }
@@ -103,7 +103,7 @@
 client_pool::Keep(const std::shared_ptr<client_connection>& aConnection)
 {
   auto& idle = mIdle[aConnection->Server()];
-  if (idle.size() >= kMostIdle) {
+  if (idle.size() >= kMaximumIdleConnections) {
     aConnection->Close();
     return;
   }
@@ -144,10 +144,10 @@
 
 namespace {
 
-/** Gathers one answer. */
-struct gathering
+/** Buffers the response to one call. */
+struct response_buffer
 {
-  explicit gathering(boost::asio::io_context& aLoop)
+  explicit response_buffer(boost::asio::io_context& aLoop)
     : mTimer(aLoop)
   {
   }
@@ -158,13 +158,13 @@
       mTimer.cancel();
       const auto done = std::move(mDone);
       mDone = nullptr;
-      done(aEnd, std::move(mAnswer));
+      done(aEnd, std::move(mResponse));
     }
   }
 
   boost::asio::steady_timer mTimer;
   call_handle mCall;
-  response mAnswer;
+  response mResponse;
   std::size_t mMaximumBytes = 0;
   whole_answer mDone;
 };
@@ -181,14 +181,14 @@
            std::size_t aMaximumBytes,
            whole_answer aDone)
 {
-  auto state = std::make_shared<gathering>(aLoop);
+  auto state = std::make_shared<response_buffer>(aLoop);
   state->mMaximumBytes = aMaximumBytes;
   state->mDone = std::move(aDone);
   call_events events;
-  events.mOnHead = [state](const response& aHead) { state->mAnswer = aHead; };
+  events.mOnHead = [state](const response& aHead) { state->mResponse = aHead; };
   events.mOnBody = [state](std::string_view aPiece) {
-    state->mAnswer.mBody.append(aPiece);
-    if (state->mAnswer.mBody.size() > state->mMaximumBytes) {
+    state->mResponse.mBody.append(aPiece);
+    if (state->mResponse.mBody.size() > state->mMaximumBytes) {
       state->mCall.Cancel();
       state->End(call_end::Malformed);
     }
--- a/Libraries/Edge/Caller.h
+++ b/Libraries/Edge/Caller.h
@@ -11,18 +11,20 @@
 
 namespace lavender::edge {
 
-/** How a call ended. What may be repeated depends on it. */
+/** How a call ended, which decides whether it may be repeated. */
 enum class call_end
 {
-  /** The whole answer arrived. */
+  /** The complete response arrived. */
   Complete,
-  /** No connection: nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   NotSent,
-  /** Sent at least in part, and the connection broke before a whole answer. */
+  /** The connection broke after part of the request may have been sent and
+   * before the response was complete. */
   Broken,
-  /** Bytes that are no HTTP answer, or more than one answer. */
+  /** The server sent bytes that are not an HTTP response, or bytes after the
+   * response. */
   Malformed,
-  /** Silent for longer than allowed. */
+  /** The server sent nothing for longer than allowed. */
   TimedOut
 };
 
@@ -31,32 +33,33 @@
 
 struct call_options
 {
-  /** The other side must accept within this. */
+  /** Maximum time for the connection to be established. */
   milliseconds mConnectTimeout{ 300 };
-  /** Longest silence after the request has been sent. */
+  /** Maximum time without bytes from the server, from the start of sending. */
   milliseconds mSilenceTimeout{ 30000 };
-  /** May use a connection that was open before. Such a connection can be dead
-   * without a sign, so a call that must not be repeated opens its own. */
+  /** Whether the call may use an idle connection. Such a connection can be
+   * broken without notice, so a call that must not be repeated opens its own.
+   */
   bool mMayReuse = true;
-  /** Keep-alive probes find a connection that was dropped on the way while a
-   * call waits long; each costs a packet. */
+  /** Whether TCP keep-alive probes are sent. They detect a connection that was
+   * lost in the network during a long call; each one costs a packet. */
   bool mProbesConnection = false;
 };
 
-/** What the caller of a call is told, each on the loop's thread. */
+/** Callbacks of a call, invoked on the loop's thread. */
 struct call_events
 {
   std::function<void(const response&)> mOnHead;
   std::function<void(std::string_view)> mOnBody;
-  /** Called exactly once, last; never after Cancel. */
+  /** Called exactly once, after the other callbacks; never after Cancel. */
   std::function<void(call_end)> mOnEnd;
 };
 
 class client_connection;
 
-/** A call under way. Cancel closes its connection, which is how a server is
- * told to stop its work. Once the call has ended, its connection may be idle or
- * serve another call; a late Cancel leaves it alone. */
+/** Handle of a call in flight. Cancel closes the call's connection, which tells
+ * the server to stop its work. After the end of the call, Cancel does nothing,
+ * because the connection may serve another call by then. */
 class call_handle
 {
 public:
@@ -77,25 +80,26 @@
   std::uint64_t mReused = 0;
 };
 
-/** Outgoing connections, kept per endpoint between calls. */
+/** Outgoing connections, kept open between calls for each endpoint. */
 class client_pool : public std::enable_shared_from_this<client_pool>
 {
 public:
   explicit client_pool(boost::asio::io_context& aLoop);
 
-  /** Sends a request. The answer's head must bear the request's fields that
-   * the caller checks in mOnHead; the pool only matches order. */
+  /** Sends a request. The pool matches responses to requests only by their
+   * order on a connection; a caller that needs more checks the response's
+   * fields in mOnHead. */
   call_handle Start(const endpoint& aServer,
                     const request& aRequest,
                     call_options aOptions,
                     call_events aEvents);
-  /** Closes idle connections to a server that has left. */
+  /** Closes the idle connections to a server. */
   void Forget(const endpoint& aServer);
   const client_counts& Counts() const { return mCounts; }
 
 private:
   friend class client_connection;
-  std::shared_ptr<client_connection> TakeIdle(const endpoint& aServer);
+  std::shared_ptr<client_connection> PopIdle(const endpoint& aServer);
   void Keep(const std::shared_ptr<client_connection>& aConnection);
   void Drop(const client_connection* aConnection);
 
@@ -104,12 +108,12 @@
   client_counts mCounts;
 };
 
-/** A whole call with its answer held in memory. */
+/** Called at the end of a call with the complete response. */
 using whole_answer = std::function<void(call_end, response)>;
 
-/** Runs a call and gathers its body, at most that many bytes; a longer one
- * ends as Malformed.
- * @param aDeadline longest time in all */
+/** Runs a call and buffers the body of its response. A body of more than
+ * aMaximumBytes ends the call as Malformed.
+ * @param aDeadline maximum duration of the whole call */
 call_handle
 FetchWhole(client_pool& aPool,
            boost::asio::io_context& aLoop,
--- a/Libraries/Edge/ClientConnection.cpp
+++ b/Libraries/Edge/ClientConnection.cpp
@@ -12,19 +12,22 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 16384;
-/** Servers that don't say how long they keep an idle connection are taken to
- * keep it at least this long. */
+/** How long an idle connection is assumed to stay open when the server doesn't
+ * state a time. */
 constexpr milliseconds kDefaultKeepAlive{ 4000 };
-/** An idle connection is given up this much before the server closes it: a
- * request that crosses the close has an unknown outcome. */
+/** An idle connection is no longer used this long before the server closes it:
+ * a request sent while the server closes the connection has an unknown outcome.
+ */
 constexpr milliseconds kKeepAliveMargin{ 700 };
-/** Unacknowledged bytes end a connection after this; without it a peer that
- * lost power would hold a call until the end of its time. */
+/** TCP closes the connection when sent bytes stay unacknowledged for this long.
+ * Without this limit, a call to a peer that lost power would last until its
+ * timeout. */
 constexpr unsigned kUserTimeoutMilliseconds = 3000;
-/** Probes: first after this, then each second, given up after two. */
-constexpr int kProbeAfterSeconds = 1;
-constexpr int kProbeEachSeconds = 1;
-constexpr int kProbes = 2;
+/** TCP keep-alive: idle time before the first probe, interval between probes,
+ * and number of unacknowledged probes that close the connection. */
+constexpr int kProbeIdleSeconds = 1;
+constexpr int kProbeIntervalSeconds = 1;
+constexpr int kMaximumProbes = 2;
 
 std::string
 WriteRequest(const request& aRequest, const endpoint& aServer)
@@ -45,7 +48,8 @@
   return bytes + "\r\n" + aRequest.mBody;
 }
 
-/** Seconds that a Keep-Alive field names, as time; none when it names none. */
+/** The timeout in the Keep-Alive field; none when the field or the timeout is
+ * missing. */
 std::optional<milliseconds>
 ReadKeepAlive(const header_list& aHeaders)
 {
@@ -91,7 +95,7 @@
   const auto number = ++mCalls;
   mIsBusy = true;
   mIsSent = false;
-  mHasToldHead = false;
+  mHasReportedHead = false;
   mOptions = aOptions;
   mEvents = std::move(aEvents);
   mOutgoing = WriteRequest(aRequest, mServer);
@@ -109,7 +113,7 @@
 void
 client_connection::Connect()
 {
-  Arm(mOptions.mConnectTimeout);
+  SetTimer(mOptions.mConnectTimeout);
   error_code error;
   const boost::asio::ip::tcp::endpoint address(
     boost::asio::ip::make_address_v4(mServer.mAddress, error), mServer.mPort);
@@ -141,14 +145,15 @@
     setsockopt(handle,
                IPPROTO_TCP,
                TCP_KEEPIDLE,
-               &kProbeAfterSeconds,
-               sizeof kProbeAfterSeconds);
+               &kProbeIdleSeconds,
+               sizeof kProbeIdleSeconds);
     setsockopt(handle,
                IPPROTO_TCP,
                TCP_KEEPINTVL,
-               &kProbeEachSeconds,
-               sizeof kProbeEachSeconds);
-    setsockopt(handle, IPPROTO_TCP, TCP_KEEPCNT, &kProbes, sizeof kProbes);
+               &kProbeIntervalSeconds,
+               sizeof kProbeIntervalSeconds);
+    setsockopt(
+      handle, IPPROTO_TCP, TCP_KEEPCNT, &kMaximumProbes, sizeof kMaximumProbes);
   }
 }
 
@@ -157,15 +162,15 @@
 {
   mIsSent = true;
   mIsWriting = true;
-  Arm(mOptions.mSilenceTimeout);
+  SetTimer(mOptions.mSilenceTimeout);
   boost::asio::async_write(
     mSocket,
     boost::asio::buffer(mOutgoing),
     [self = shared_from_this()](error_code aError, std::size_t) {
       self->mIsWriting = false;
       self->mOutgoing.clear();
-      // A broken write shows in the read as well, after an answer that the
-      // server may have sent before it stopped reading.
+      // A failed write also fails the read, which first delivers a response
+      // that the server may have sent before it stopped reading.
       if (!aError && self->mIsBusy) {
         self->CompleteWhenDone();
       }
@@ -184,23 +189,23 @@
     mBuffer.prepare(kReadBytes),
     [self = shared_from_this()](error_code aError, std::size_t aSize) {
       self->mIsReading = false;
-      self->TakeBytes(aError, aSize);
+      self->HandleBytes(aError, aSize);
     });
 }
 
 void
-client_connection::TakeBytes(const error_code& aError, std::size_t aSize)
+client_connection::HandleBytes(const error_code& aError, std::size_t aSize)
 {
   if (mIsClosed) {
     return;
   }
   if (!mIsBusy) {
-    // Bytes or a close on an idle connection belong to no call.
+    // Bytes, a close or an error on an idle connection belong to no call.
     Close();
     return;
   }
   if (aError == boost::asio::error::eof) {
-    TakeEndOfFile();
+    HandleEndOfFile();
     return;
   }
   if (aError) {
@@ -208,7 +213,7 @@
     return;
   }
   mBuffer.commit(aSize);
-  Arm(mOptions.mSilenceTimeout);
+  SetTimer(mOptions.mSilenceTimeout);
   Parse();
   if (!mIsClosed) {
     Read();
@@ -216,7 +221,7 @@
 }
 
 void
-client_connection::TakeEndOfFile()
+client_connection::HandleEndOfFile()
 {
   error_code error;
   if (mParser->is_header_done() && !mParser->is_done()) {
@@ -246,19 +251,19 @@
     return;
   }
   if (mParser->is_header_done()) {
-    TellHead();
-    TellBody();
+    ReportHead();
+    ReportBody();
     CompleteWhenDone();
   }
 }
 
 void
-client_connection::TellHead()
+client_connection::ReportHead()
 {
-  if (mHasToldHead || !mIsBusy) {
+  if (mHasReportedHead || !mIsBusy) {
     return;
   }
-  mHasToldHead = true;
+  mHasReportedHead = true;
   const auto& message = mParser->get();
   response head;
   head.mStatus = message.result_int();
@@ -266,14 +271,14 @@
     head.mHeaders.Add(std::string(field.name_string()),
                       std::string(field.value()));
   }
-  mKeepsFor = ReadKeepAlive(head.mHeaders).value_or(kDefaultKeepAlive);
+  mKeepAliveTimeout = ReadKeepAlive(head.mHeaders).value_or(kDefaultKeepAlive);
   if (mEvents.mOnHead) {
     mEvents.mOnHead(head);
   }
 }
 
 void
-client_connection::TellBody()
+client_connection::ReportBody()
 {
   if (!mIsBusy) {
     return;
@@ -288,8 +293,8 @@
 void
 client_connection::CompleteWhenDone()
 {
-  // A server may answer before it has taken the whole body; the rest of the
-  // body must reach it before anything else does.
+  // A server may respond before it has read the whole request body. The rest of
+  // the body must be sent before the connection is used again.
   if (!mIsBusy || !mParser->is_done() || mIsWriting) {
     return;
   }
@@ -311,8 +316,9 @@
     aEnd == call_end::Complete && mParser->keep_alive() && !mParser->need_eof();
   const auto pool = mPool.lock();
   if (isReusable && pool) {
-    // The server counts from the end of its answer, which may be a long stream.
-    mUsableUntil = boot_clock::now() + mKeepsFor - kKeepAliveMargin;
+    // The server's idle time begins at the end of its response, which may be a
+    // long stream.
+    mUsableUntil = boot_clock::now() + mKeepAliveTimeout - kKeepAliveMargin;
     pool->Keep(self);
     Read();
   } else {
@@ -329,8 +335,8 @@
   if (!mIsBusy || aCall != mCalls) {
     return;
   }
-  // The caller may cancel from within one of these functions, which must
-  // outlive its own return.
+  // Cancel may be called from within one of these callbacks, which must not be
+  // destroyed before it returns.
   boost::asio::post(mSocket.get_executor(), [events = std::move(mEvents)] {});
   mEvents = {};
   mIsBusy = false;
@@ -353,12 +359,13 @@
 }
 
 void
-client_connection::Arm(milliseconds aTimeout)
+client_connection::SetTimer(milliseconds aTimeout)
 {
   mTimer.expires_after(aTimeout);
   mTimer.async_wait([self = weak_from_this()](error_code aError) {
     const auto connection = self.lock();
-    // A wait that ended just before it was set anew still calls back.
+    // A wait that ended just before the timer was set again still calls its
+    // handler.
     if (!connection || aError || !connection->mIsBusy ||
         connection->mTimer.expiry() > std::chrono::steady_clock::now()) {
       return;
--- a/Libraries/Edge/ClientConnection.h
+++ b/Libraries/Edge/ClientConnection.h
@@ -11,7 +11,7 @@
 
 namespace lavender::edge {
 
-/** One connection to a server; one call at a time. */
+/** A connection to a server, which runs one call at a time. */
 class client_connection : public std::enable_shared_from_this<client_connection>
 {
 public:
@@ -25,7 +25,7 @@
   std::uint64_t Start(const request& aRequest,
                       const call_options& aOptions,
                       call_events aEvents);
-  /** Cuts the call with that number, unless it has ended. */
+  /** Cancels the call with that number, unless it has ended. */
   void Cancel(std::uint64_t aCall);
   void Close();
 
@@ -36,14 +36,14 @@
   void Connect();
   void Send();
   void Read();
-  void TakeBytes(const boost::system::error_code& aError, std::size_t aSize);
-  void TakeEndOfFile();
+  void HandleBytes(const boost::system::error_code& aError, std::size_t aSize);
+  void HandleEndOfFile();
   void Parse();
-  void TellHead();
-  void TellBody();
+  void ReportHead();
+  void ReportBody();
   void CompleteWhenDone();
   void End(call_end aEnd);
-  void Arm(milliseconds aTimeout);
+  void SetTimer(milliseconds aTimeout);
   void SetSocketOptions();
 
   boost::asio::ip::tcp::socket mSocket;
@@ -55,9 +55,11 @@
   call_options mOptions;
   call_events mEvents;
   std::string mOutgoing;
-  /** How long the server keeps an idle connection, by its last answer. */
-  milliseconds mKeepsFor{ 0 };
-  /** End of the time for which the server keeps the connection idle. */
+  /** How long the server keeps an idle connection open, according to its last
+   * response. */
+  milliseconds mKeepAliveTimeout{ 0 };
+  /** Time from which the idle connection isn't used any more, shortly before
+   * the server closes it. */
   time_point mUsableUntil;
   std::uint64_t mCalls = 0;
   bool mIsConnected = false;
@@ -65,7 +67,7 @@
   bool mIsReading = false;
   bool mIsSent = false;
   bool mIsWriting = false;
-  bool mHasToldHead = false;
+  bool mHasReportedHead = false;
   bool mIsClosed = false;
 };
 
--- a/Libraries/Edge/Listener.cpp
+++ b/Libraries/Edge/Listener.cpp
@@ -10,12 +10,13 @@
 using boost::asio::ip::tcp;
 
 namespace {
-/** Waiting connections that the kernel holds; more are dropped and come back
- * a second later, so a burst needs room. */
+/** Maximum number of connections that wait in the kernel to be accepted. Peers
+ * of dropped connections retry a second later, so the queue has room for a
+ * burst. */
 constexpr int kBacklog = 512;
-/** Pause after an accept that failed for want of descriptors: trying at once
- * would spin. */
-constexpr milliseconds kAcceptPause{ 50 };
+/** Delay before the next accept after one that failed, for example for lack of
+ * file descriptors: an immediate retry would loop without pause. */
+constexpr milliseconds kAcceptRetryDelay{ 50 };
 } // namespace
 
 struct listener::implementation
@@ -25,7 +26,7 @@
                  std::shared_ptr<const listener_limits> aLimits,
                  request_handler aHandler)
     : mAcceptor(aLoop)
-    , mPause(aLoop)
+    , mRetryTimer(aLoop)
     , mShared(std::make_shared<listener_state>())
   {
     mShared->mLimits = std::move(aLimits);
@@ -36,19 +37,20 @@
   {
     mAcceptor.async_accept(
       [self = shared_from_this()](auto aError, tcp::socket aSocket) {
-        self->Take(aError, std::move(aSocket));
+        self->HandleAccepted(aError, std::move(aSocket));
       });
   }
 
-  void Take(const boost::system::error_code& aError, tcp::socket aSocket)
+  void HandleAccepted(const boost::system::error_code& aError,
+                      tcp::socket aSocket)
   {
     if (aError == boost::asio::error::operation_aborted ||
         !mAcceptor.is_open()) {
       return;
     }
     if (aError) {
-      mPause.expires_after(kAcceptPause);
-      mPause.async_wait([self = shared_from_this()](auto aStopped) {
+      mRetryTimer.expires_after(kAcceptRetryDelay);
+      mRetryTimer.async_wait([self = shared_from_this()](auto aStopped) {
         if (!aStopped) {
           self->Accept();
         }
@@ -62,7 +64,7 @@
   }
 
   tcp::acceptor mAcceptor;
-  boost::asio::steady_timer mPause;
+  boost::asio::steady_timer mRetryTimer;
   std::shared_ptr<listener_state> mShared;
 };
 
@@ -146,17 +148,17 @@
           unsigned aStatus,
           std::optional<milliseconds> aRetryAfter)
 {
-  response answer;
-  answer.mStatus = aStatus;
+  response generated;
+  generated.mStatus = aStatus;
   if (aRetryAfter) {
     char text[32];
     std::snprintf(text,
                   sizeof text,
                   "%.2f",
                   std::chrono::duration<double>(*aRetryAfter).count());
-    answer.mHeaders.Add("Retry-After", text);
+    generated.mHeaders.Add("Retry-After", text);
   }
-  aExchange->Answer(std::move(answer));
+  aExchange->Answer(std::move(generated));
 }
 
 } // namespace lavender::edge
--- a/Libraries/Edge/Listener.h
+++ b/Libraries/Edge/Listener.h
@@ -10,27 +10,30 @@
 
 namespace lavender::edge {
 
-/** What a caller may send, and how long it may take. Read again for each
- * request, so that a change is in force at once. */
+/** Limits on the size and duration of requests. They are read again for each
+ * request, so that a change applies at once. */
 struct listener_limits
 {
   std::size_t mMaximumHeaderBytes = 16384;
   std::size_t mMaximumBodyBytes = 32 << 20;
-  /** From the first byte of a request to the last of its body's header. */
+  /** Maximum time from the first byte of a request to the end of its header. */
   milliseconds mHeaderTimeout{ 5000 };
-  /** A connection without a request is closed after this. */
+  /** Time after which a connection without a request is closed. */
   milliseconds mIdleTimeout{ 60000 };
-  /** Bodies of all requests under way together; a request beyond it is told to
-   * come back. Without it a few large uploads end the process for memory. */
+  /** Maximum total size of the bodies of all requests in flight. A request
+   * beyond it gets status 503 with Retry-After. Without this limit, a few large
+   * uploads exhaust the memory of the process. */
   std::size_t mMaximumBufferedBytes = 256 << 20;
-  /** Connections beyond this are closed at once: descriptors are limited. */
+  /** Connections beyond this number are closed at once, because file
+   * descriptors are limited. */
   std::size_t mMaximumConnections = 2000;
 };
 
 class server_connection;
 
-/** One request and the answer to it. Answer, or Begin with Write and Finish;
- * later calls after the caller has left do nothing. */
+/** A request and its response. The response is sent by Answer, or piece by
+ * piece by Begin, Write and Finish. These calls do nothing after the caller has
+ * closed its connection. */
 class exchange
 {
 public:
@@ -41,22 +44,23 @@
   exchange& operator=(const exchange&) = delete;
 
   const request mRequest;
-  /** When the whole request had been read. */
+  /** Time at which the complete request had been read. */
   const time_point mReadAt = boot_clock::now();
 
   void Answer(response aResponse);
-  /** Starts an answer of unknown length. */
+  /** Starts a response of unknown length. */
   void Begin(unsigned aStatus, const header_list& aHeaders);
   void Write(std::string_view aPiece);
   void Finish();
-  /** Resets the connection, so that what was sent can't be taken for a whole
-   * answer. */
+  /** Resets the connection, so that the caller can't take the bytes sent so far
+   * for a complete response. */
   void Abort();
   bool IsEnded() const { return mIsEnded; }
   bool HasBegun() const { return mHasBegun; }
-  /** Bytes that the caller hasn't taken yet. */
+  /** Bytes of the response that are not yet written to the socket. */
   std::size_t Unsent() const;
-  /** Called once when the caller leaves before its answer is whole. */
+  /** Sets a handler that is called once when the caller closes its connection
+   * before the response is complete. */
   void OnCallerLeft(std::function<void()> aHandler);
 
 private:
@@ -69,8 +73,8 @@
 
 using exchange_ptr = std::shared_ptr<exchange>;
 
-/** Answers with a status of this process's own, without a body.
- * @param aRetryAfter when to come back, told in seconds with a fraction */
+/** Sends a response without a body that this process generates itself.
+ * @param aRetryAfter value of Retry-After, sent in seconds with a fraction */
 void
 AnswerOwn(const exchange_ptr& aExchange,
           unsigned aStatus,
@@ -78,7 +82,7 @@
 
 using request_handler = std::function<void(const exchange_ptr&)>;
 
-/** Accepts connections on one address. */
+/** Accepts connections on one address and serves their requests. */
 class listener
 {
 public:
@@ -89,16 +93,17 @@
   listener(const listener&) = delete;
   listener& operator=(const listener&) = delete;
 
-  /** Opens the address; port 0 picks one.
-   * @return what went wrong, or empty */
+  /** Listens on the address; port 0 selects a free port.
+   * @return the error, or an empty string */
   std::string Open(const endpoint& aAddress);
   unsigned short Port() const;
-  /** From now on each answer asks its caller to close, and idle connections
-   * close after a moment in which a request may still cross. */
+  /** Adds "Connection: close" to every response from now on, and closes idle
+   * connections after a short time, so that a request that is already on its
+   * way is still answered. */
   void StartDraining();
   void StopAccepting();
   std::size_t Connections() const;
-  /** Requests without a whole answer. */
+  /** Number of requests whose response is not complete. */
   std::size_t Requests() const;
 
 private:
--- a/Libraries/Edge/LoopScheduler.h
+++ b/Libraries/Edge/LoopScheduler.h
@@ -6,8 +6,8 @@
 
 namespace lavender::edge {
 
-/** The boot clock, and actions on the loop's thread.
- * @param aLoop outlives the scheduler and what was planned with it */
+/** A scheduler that uses the boot clock and runs actions on the loop's thread.
+ * @param aLoop must outlive the scheduler and its scheduled actions */
 scheduler
 LoopScheduler(boost::asio::io_context& aLoop);
 
--- a/Libraries/Edge/Message.h
+++ b/Libraries/Edge/Message.h
@@ -7,23 +7,23 @@
 #include <utility>
 #include <vector>
 
-/** HTTP on one event loop: a listener whose answers can be streamed, and a
- * client that tells how far a call came. Parsing is Boost.Beast's. */
+/** HTTP/1.1 on one event loop: a listener whose responses can be streamed, and
+ * a client that reports how a call ended. Boost.Beast parses the messages. */
 namespace lavender::edge {
 
-/** Header fields in the order in which they came; names compare without
- * regard to case. */
+/** Header fields in the order received; names are case-insensitive. */
 struct header_list
 {
   std::vector<std::pair<std::string, std::string>> mFields;
 
-  /** The first value of that name, or none. */
+  /** The first value with that name, or null. */
   const std::string* Find(std::string_view aName) const;
   std::string ValueOr(std::string_view aName, std::string aFallback) const;
-  /** The value as a whole number; none when absent or malformed. */
+  /** The value as a non-negative integer; none when it is missing or malformed.
+   */
   std::optional<long long> Integer(std::string_view aName) const;
   void Add(std::string aName, std::string aValue);
-  /** Replaces all values of that name. */
+  /** Replaces all values with that name. */
   void Set(std::string aName, std::string aValue);
   void Remove(std::string_view aName);
 };
@@ -31,7 +31,8 @@
 bool
 IsSameName(std::string_view aLeft, std::string_view aRight);
 
-/** A whole number without sign or blanks; none for anything else. */
+/** Parses a non-negative integer without sign or spaces; none for any other
+ * text. */
 std::optional<long long>
 ParseInteger(std::string_view aText);
 
@@ -42,7 +43,7 @@
   std::string mTarget;
   header_list mHeaders;
   std::string mBody;
-  /** The caller wants to use the connection again. */
+  /** Whether the caller wants to reuse the connection. */
   bool mKeepsConnection = true;
 };
 
@@ -53,12 +54,13 @@
   std::string mBody;
 };
 
-/** Standard phrase of a status, for the status line. */
+/** Standard reason phrase of a status code. */
 std::string_view
 ReasonPhrase(unsigned aStatus);
 
-/** True for fields that concern one connection only and are never forwarded
- * (RFC 9110, section 7.6.1), and for the length, which each side writes. */
+/** True for fields that apply to one connection only and are never forwarded
+ * (RFC 9110, section 7.6.1), and for Content-Length, which each sender sets
+ * itself. */
 bool
 IsConnectionField(std::string_view aName);
 
@@ -78,7 +80,7 @@
   }
 };
 
-/** Reads "IP:PORT"; none when it is anything else. */
+/** Parses "IPv4:PORT"; none for any other text. */
 std::optional<endpoint>
 ParseAddress(std::string_view aText);
 
--- a/Libraries/Edge/RunAfter.h
+++ b/Libraries/Edge/RunAfter.h
@@ -4,13 +4,14 @@
 
 namespace lavender::edge {
 
-/** Runs an action once after a pause, on the loop; it can't be taken back. */
+/** Runs an action once after a delay, on the loop's thread; the action can't be
+ * cancelled. */
 inline void
 RunAfter(boost::asio::io_context& aLoop,
-         milliseconds aPause,
+         milliseconds aDelay,
          std::function<void()> aAction)
 {
-  lavender::RunAfter(LoopScheduler(aLoop), aPause, std::move(aAction));
+  lavender::RunAfter(LoopScheduler(aLoop), aDelay, std::move(aAction));
 }
 
 } // namespace lavender::edge
--- a/Libraries/Edge/ServerConnection.cpp
+++ b/Libraries/Edge/ServerConnection.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/** One read; larger bodies take several. */
 constexpr std::size_t kReadBytes = 16384;
-/** Bytes of a following request that are kept while one is answered; the rest
- * stays in the kernel and holds the sender back. */
+/** Maximum number of bytes read ahead while a request is in flight; further
+ * bytes stay in the kernel, which slows the sender down. */
 constexpr std::size_t kReadAheadBytes = 65536;
-/** How long and how far a closing connection is read on, so that unread bytes
- * don't reset it before the caller has its answer. */
-constexpr milliseconds kLinger{ 1000 };
+/** Maximum time and bytes for which a closing connection is still read: closing
+ * it with unread bytes would reset it before the caller has the response. */
+constexpr milliseconds kLingerTimeout{ 1000 };
 constexpr std::size_t kLingerBytes = 4 << 20;
-/** A draining listener keeps an idle connection this long, so that a request
- * which crosses the close is still answered. */
-constexpr milliseconds kDrainIdle{ 1500 };
+/** A draining listener keeps an idle connection open this long, so that a
+ * request that is already on its way is still answered. */
+constexpr milliseconds kDrainIdleTimeout{ 1500 };
 
-/** Seconds after which room for another body is likely. */
-constexpr char kComeBackAfter[] = "0.5";
+/** Retry-After, in seconds, of a request refused because the listener's limit
+ * of buffered bytes is reached: space is likely to be free by then. */
+constexpr char kRetryAfterSeconds[] = "0.5";
 
 std::string
 WriteHead(unsigned aStatus,
@@ -65,7 +65,7 @@
 
 exchange::~exchange()
 {
-  // A handler that forgets its request would leave the caller waiting.
+  // Without a response or a reset, the caller would wait in vain.
   if (!mIsEnded) {
     Abort();
   }
@@ -178,19 +178,20 @@
   mParser->body_limit(limits.mMaximumBodyBytes);
   mParser->eager(true);
   mHasRequestBegun = false;
-  Arm(limits.mIdleTimeout, &server_connection::TimeOutIdle);
+  SetTimer(limits.mIdleTimeout, &server_connection::TimeOutIdle);
   if (mBuffer.size() > 0) {
     Parse();
   }
 }
 
 void
-server_connection::Arm(milliseconds aTimeout,
-                       void (server_connection::*aAction)())
+server_connection::SetTimer(milliseconds aTimeout,
+                            void (server_connection::*aAction)())
 {
   mTimer.expires_after(aTimeout);
   mTimer.async_wait([self = weak_from_this(), aAction](error_code aError) {
-    // A wait that ended just before it was set anew still calls back.
+    // A wait that ended just before the timer was set again still calls its
+    // handler.
     if (auto connection = self.lock();
         connection && !aError &&
         connection->mTimer.expiry() <= std::chrono::steady_clock::now()) {
@@ -227,18 +228,18 @@
     mBuffer.prepare(kReadBytes),
     [self = shared_from_this()](error_code aError, std::size_t aSize) {
       self->mIsReading = false;
-      self->TakeBytes(aError, aSize);
+      self->HandleBytes(aError, aSize);
     });
 }
 
 void
-server_connection::TakeBytes(const error_code& aError, std::size_t aSize)
+server_connection::HandleBytes(const error_code& aError, std::size_t aSize)
 {
   if (mIsClosed) {
     return;
   }
   if (aError) {
-    TellCallerLeft();
+    ReportCallerLeft();
     Close();
     return;
   }
@@ -261,7 +262,8 @@
 {
   if (!mHasRequestBegun) {
     mHasRequestBegun = true;
-    Arm(mShared->mLimits->mHeaderTimeout, &server_connection::TimeOutHeader);
+    SetTimer(mShared->mLimits->mHeaderTimeout,
+             &server_connection::TimeOutHeader);
   }
   error_code error;
   while (mBuffer.size() > 0 && !mParser->is_done()) {
@@ -285,10 +287,10 @@
   } else if (mShared->mBodyBytes > limits.mMaximumBufferedBytes) {
     Refuse(503);
   } else if (mParser->is_done()) {
-    HandOn();
+    HandleRequest();
   } else if (mParser->is_header_done()) {
-    // The bound on headers doesn't concern a long body under way.
-    Arm(mShared->mLimits->mIdleTimeout, &server_connection::TimeOutHeader);
+    // The header timeout doesn't apply to a body.
+    SetTimer(mShared->mLimits->mIdleTimeout, &server_connection::TimeOutHeader);
   }
 }
 
@@ -311,24 +313,24 @@
 }
 
 void
-server_connection::HandOn()
+server_connection::HandleRequest()
 {
   mTimer.cancel();
   auto message = mParser->release();
-  request taken;
-  taken.mMethod = std::string(message.method_string());
-  taken.mTarget = std::string(message.target());
-  taken.mKeepsConnection = message.keep_alive();
+  request received;
+  received.mMethod = std::string(message.method_string());
+  received.mTarget = std::string(message.target());
+  received.mKeepsConnection = message.keep_alive();
   for (const auto& field : message) {
-    taken.mHeaders.Add(std::string(field.name_string()),
-                       std::string(field.value()));
+    received.mHeaders.Add(std::string(field.name_string()),
+                          std::string(field.value()));
   }
-  taken.mBody = std::move(message.body());
-  mKeepsConnection = taken.mKeepsConnection;
+  received.mBody = std::move(message.body());
+  mKeepsConnection = received.mKeepsConnection;
   ++mShared->mRequests;
   mHasRequest = true;
   const auto current =
-    std::make_shared<exchange>(shared_from_this(), std::move(taken));
+    std::make_shared<exchange>(shared_from_this(), std::move(received));
   mExchange = current;
   mShared->mHandler(current);
 }
@@ -339,7 +341,7 @@
   mKeepsConnection = false;
   header_list headers;
   if (aStatus == 503) {
-    headers.Add("Retry-After", kComeBackAfter);
+    headers.Add("Retry-After", kRetryAfterSeconds);
   }
   CountBody(0);
   Send(WriteHead(aStatus, headers, std::size_t{ 0 }, true), true);
@@ -369,19 +371,19 @@
     mSocket,
     boost::asio::buffer(mWriting),
     [self = shared_from_this()](error_code aError, std::size_t) {
-      self->AfterWrite(aError);
+      self->HandleWritten(aError);
     });
 }
 
 void
-server_connection::AfterWrite(const error_code& aError)
+server_connection::HandleWritten(const error_code& aError)
 {
   mIsWriting = false;
   if (mIsClosed) {
     return;
   }
   if (aError) {
-    TellCallerLeft();
+    ReportCallerLeft();
     Close();
     return;
   }
@@ -414,7 +416,7 @@
 }
 
 void
-server_connection::TellCallerLeft()
+server_connection::ReportCallerLeft()
 {
   if (!mHasRequest) {
     return;
@@ -438,7 +440,7 @@
   mSocket.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
   mIsLingering = true;
   mBuffer.consume(mBuffer.size());
-  Arm(kLinger, &server_connection::Close);
+  SetTimer(kLingerTimeout, &server_connection::Close);
   Read();
 }
 
@@ -457,7 +459,7 @@
 server_connection::Drain()
 {
   if (!mHasRequest && !mHasRequestBegun) {
-    Arm(kDrainIdle, &server_connection::TimeOutIdle);
+    SetTimer(kDrainIdleTimeout, &server_connection::TimeOutIdle);
   }
 }
 
--- a/Libraries/Edge/ServerConnection.h
+++ b/Libraries/Edge/ServerConnection.h
@@ -12,20 +12,21 @@
 
 namespace lavender::edge {
 
-/** What the connections of one listener share. */
+/** State shared by the connections of one listener. */
 struct listener_state
 {
   std::shared_ptr<const listener_limits> mLimits;
   request_handler mHandler;
   std::unordered_set<server_connection*> mConnections;
   std::size_t mRequests = 0;
-  /** Of request bodies that are held or announced. */
+  /** Size of all request bodies, received or announced by Content-Length. */
   std::size_t mBodyBytes = 0;
   bool mIsDraining = false;
 };
 
-/** One caller's connection: reads a request, hands it on, writes the answer,
- * and keeps reading meanwhile to notice that the caller has left. */
+/** A caller's connection: reads a request, passes it to the handler and writes
+ * the response. It goes on reading meanwhile to detect that the caller has
+ * closed the connection. */
 class server_connection : public std::enable_shared_from_this<server_connection>
 {
 public:
@@ -36,10 +37,10 @@
   void Start();
   void Send(std::string aBytes, bool aIsLast);
   void Reset();
-  /** Closes soon when no request is under way. */
+  /** Closes the connection after a short time unless a request begins. */
   void Drain();
   std::size_t Unsent() const { return mUnsent; }
-  /** Whether the answer under way is the last on this connection. */
+  /** Whether the connection closes after the current response. */
   bool IsClosing() const;
 
 private:
@@ -48,19 +49,19 @@
 
   void PrepareRequest();
   void Read();
-  void TakeBytes(const boost::system::error_code& aError, std::size_t aSize);
+  void HandleBytes(const boost::system::error_code& aError, std::size_t aSize);
   void Parse();
-  void HandOn();
+  void HandleRequest();
   void Refuse(unsigned aStatus);
   void CountBody(std::size_t aBytes);
   std::size_t BodyBytes() const;
   void Flush();
-  void AfterWrite(const boost::system::error_code& aError);
+  void HandleWritten(const boost::system::error_code& aError);
   void EndRequest();
-  void TellCallerLeft();
+  void ReportCallerLeft();
   void Linger();
   void Close();
-  void Arm(milliseconds aTimeout, void (server_connection::*aAction)());
+  void SetTimer(milliseconds aTimeout, void (server_connection::*aAction)());
   void TimeOutHeader();
   void TimeOutIdle();
 
@@ -69,14 +70,14 @@
   std::shared_ptr<listener_state> mShared;
   boost::beast::flat_buffer mBuffer;
   std::optional<parser> mParser;
-  /** The handler owns the exchange: one that it drops unanswered resets the
-   * connection instead of leaving the caller waiting. */
+  /** Owned by the handler. An exchange destroyed without a response resets the
+   * connection, so that the caller doesn't wait in vain. */
   std::weak_ptr<exchange> mExchange;
   bool mHasRequest = false;
   std::string mQueued;
   std::string mWriting;
   std::size_t mUnsent = 0;
-  /** This connection's part of the listener's body bytes. */
+  /** This connection's share of listener_state::mBodyBytes. */
   std::size_t mCountedBytes = 0;
   std::size_t mLingered = 0;
   bool mIsReading = false;
