--- a/Libraries/ObjectStore/Mirror.cpp
+++ b/Libraries/ObjectStore/Mirror.cpp
@@ -27,23 +27,23 @@
 mirror::Stop()
 {
   mIsStopped = true;
-  mPlanned.reset();
+  mTimer.reset();
 }
 
 void
 mirror::ListAgain()
 {
   if (mIsStarted && !mIsStopped) {
-    mPlanned.reset();
-    NoteLoss();
+    mTimer.reset();
+    RecordLoss();
     List({}, {});
   }
 }
 
 void
-mirror::After(milliseconds aPause, void (mirror::*aAction)())
+mirror::Schedule(milliseconds aDelay, void (mirror::*aAction)())
 {
-  mPlanned = mScheduler.mAfter(aPause, [weak = weak_from_this(), aAction] {
+  mTimer = mScheduler.mAfter(aDelay, [weak = weak_from_this(), aAction] {
     if (const auto self = weak.lock(); self && !self->mIsStopped) {
       ((*self).*aAction)();
     }
@@ -51,59 +51,59 @@
 }
 
 void
-mirror::NoteLoss()
+mirror::RecordLoss()
 {
   if (mHasListed && !mLostSince) {
-    mLostSince = mWatchesSince;
+    mLostSince = mWatchStartedAt;
   }
 }
 
 void
-mirror::List(const std::string& aAfter, object_map aGathered)
+mirror::List(const std::string& aAfter, object_map aCollected)
 {
   if (!MayCall()) {
-    After(mOptions.mRetryPause, &mirror::ListAgain);
+    Schedule(mOptions.mRetryDelay, &mirror::ListAgain);
     return;
   }
-  if (aGathered.empty()) {
-    mListsSince = mScheduler.mNow();
+  if (aCollected.empty()) {
+    mListStartedAt = mScheduler.mNow();
   }
-  auto take = [self = shared_from_this(),
-               gathered = std::move(aGathered),
-               call = ++mCall](list_reply aReply) mutable {
+  auto handle = [self = shared_from_this(),
+                 collected = std::move(aCollected),
+                 call = ++mCall](list_reply aReply) mutable {
     if (!self->mIsStopped && self->mCall == call) {
-      self->ApplyList(std::move(aReply), std::move(gathered));
+      self->ApplyList(std::move(aReply), std::move(collected));
     }
   };
   mStore.mList(
-    mOptions.mKind, aAfter, freshness::Linearizable, std::move(take));
+    mOptions.mKind, aAfter, freshness::Linearizable, std::move(handle));
 }
 
 void
-mirror::ApplyList(list_reply aReply, object_map aGathered)
+mirror::ApplyList(list_reply aReply, object_map aCollected)
 {
   if (aReply.mOutcome != store_outcome::Done) {
-    After(mOptions.mRetryPause, &mirror::ListAgain);
+    Schedule(mOptions.mRetryDelay, &mirror::ListAgain);
     return;
   }
-  if (aGathered.empty()) {
-    mListedAt = aReply.mStoreRevision;
+  if (aCollected.empty()) {
+    mListedRevision = aReply.mStoreRevision;
   }
   std::string last;
   for (auto& object : aReply.mObjects) {
     last = object.mName;
-    aGathered[object.mName] = std::move(object);
+    aCollected[object.mName] = std::move(object);
   }
   if (aReply.mHasMore && !last.empty()) {
-    List(last, std::move(aGathered));
+    List(last, std::move(aCollected));
     return;
   }
-  mObjects = std::move(aGathered);
-  mRevision = mListedAt;
-  mLastListing = mScheduler.mNow();
+  mObjects = std::move(aCollected);
+  mRevision = mListedRevision;
+  mLastListedAt = mScheduler.mNow();
   mHasListed = true;
   mLostSince.reset();
-  mVerifiedAt = mListsSince;
+  mVerifiedAt = mListStartedAt;
   if (mEvents.mOnListed) {
     mEvents.mOnListed(mObjects);
   }
@@ -117,73 +117,75 @@
     return;
   }
   if (!MayCall()) {
-    After(mOptions.mRetryPause, &mirror::Watch);
+    Schedule(mOptions.mRetryDelay, &mirror::Watch);
     return;
   }
-  mWatchesSince = mScheduler.mNow();
+  mWatchStartedAt = mScheduler.mNow();
   mStore.mWatch(
     mOptions.mKind,
     mRevision,
     mOptions.mWatchWait,
     [self = shared_from_this(), call = ++mCall](watch_reply aReply) {
       if (!self->mIsStopped && self->mCall == call) {
-        self->TakeWatch(std::move(aReply));
+        self->HandleWatchResponse(std::move(aReply));
       }
     });
-  mPlanned = mScheduler.mAfter(mOptions.mWatchWait + mOptions.mWatchSlack,
-                               [weak = weak_from_this(), call = mCall] {
-                                 if (const auto self = weak.lock();
-                                     self && self->mCall == call) {
-                                   self->TakeWatch({});
-                                 }
-                               });
+  mTimer = mScheduler.mAfter(mOptions.mWatchWait + mOptions.mWatchTimeoutMargin,
+                             [weak = weak_from_this(), call = mCall] {
+                               if (const auto self = weak.lock();
+                                   self && self->mCall == call) {
+                                 self->HandleWatchResponse({});
+                               }
+                             });
 }
 
 void
-mirror::TakeWatch(watch_reply aReply)
+mirror::HandleWatchResponse(watch_reply aReply)
 {
-  mPlanned.reset();
+  mTimer.reset();
   switch (aReply.mOutcome) {
     case store_outcome::Done:
       break;
     case store_outcome::Refused:
-      NoteLoss();
-      After(mOptions.mRetryPause, &mirror::ListAgain);
+      RecordLoss();
+      Schedule(mOptions.mRetryDelay, &mirror::ListAgain);
       return;
     default:
-      NoteLoss();
-      ListSoon();
+      RecordLoss();
+      ListAfterRetryDelay();
       return;
   }
   mRevision = std::max(mRevision, aReply.mStoreRevision);
-  // Without events the store has waited the whole time before it answered.
+  // A response without events is sent only after the whole wait, so every
+  // change up to that time is known.
   const auto waited =
     aReply.mEvents.empty() ? mOptions.mWatchWait : milliseconds(0);
-  mVerifiedAt = mWatchesSince + waited;
-  TakeEvents(aReply.mEvents);
+  mVerifiedAt = mWatchStartedAt + waited;
+  ApplyEvents(aReply.mEvents);
   if (mEvents.mOnProven) {
     mEvents.mOnProven();
   }
   if (aReply.mEvents.empty() || mOptions.mGatherFor.count() == 0) {
     Watch();
   } else {
-    After(mOptions.mGatherFor, &mirror::Watch);
+    Schedule(mOptions.mGatherFor, &mirror::Watch);
   }
 }
 
 void
-mirror::ListSoon()
+mirror::ListAfterRetryDelay()
 {
-  const auto earliest = mLastListing + mOptions.mRetryPause;
+  const auto earliest = mLastListedAt + mOptions.mRetryDelay;
   if (const auto now = mScheduler.mNow(); now < earliest) {
-    After(std::chrono::ceil<milliseconds>(earliest - now), &mirror::ListAgain);
+    Schedule(std::chrono::ceil<milliseconds>(earliest - now),
+             &mirror::ListAgain);
   } else {
     List({}, {});
   }
 }
 
 void
-mirror::TakeEvents(const std::vector<object_event>& aEvents)
+mirror::ApplyEvents(const std::vector<object_event>& aEvents)
 {
   for (const auto& event : aEvents) {
     if (event.mIsDeleted) {
--- a/Libraries/ObjectStore/Mirror.h
+++ b/Libraries/ObjectStore/Mirror.h
@@ -11,34 +11,41 @@
 struct mirror_options
 {
   std::string mKind;
-  /** Longest wait of one watch. Each watch is a priced call, but one whose
-   * connection has died without a sign is noticed only after this. */
+  /** Maximum time that the store holds a watch open without events. A shorter
+   * wait costs more calls, which are charged; a longer one delays the detection
+   * of a connection that was lost without a close. */
   milliseconds mWatchWait{ 500 };
-  /** A watch that hasn't answered this long after its wait is given up. The
-   * store answers within 0.4 s when it is a hundred times slower than usual. */
-  milliseconds mWatchSlack{ 600 };
-  /** Pause after an event, so that changes that come together are one call. */
+  /** A watch without a response this long after its wait is abandoned. The
+   * store responds within 0.4 s when it is a hundred times slower than usual.
+   */
+  milliseconds mWatchTimeoutMargin{ 600 };
+  /** Delay of the next watch after events, so that one call returns several
+   * changes made in quick succession. */
   milliseconds mGatherFor{ 0 };
-  /** Pause after a listing that failed, and the least between two listings. */
-  milliseconds mRetryPause{ 300 };
-  /** False while calls would be in vain; they wait, as each is priced. */
+  /** Delay after a listing that failed, and the minimum time between two
+   * listings. */
+  milliseconds mRetryDelay{ 300 };
+  /** Returns false while calls would fail; calls are then deferred, because
+   * each one is charged. */
   std::function<bool()> mMayCall;
 };
 
 struct mirror_events
 {
-  /** All objects, after a listing. */
+  /** Called with all objects after a listing. */
   std::function<void(const std::map<std::string, stored_object>&)> mOnListed;
   std::function<void(const object_event&)> mOnEvent;
-  /** A watch has been answered, after its events. */
+  /** Called after a successful response to a watch and after the calls for its
+   * events. */
   std::function<void()> mOnProven;
 };
 
-/** Keeps a copy of all objects of one kind: lists, then watches from there.
+/** Keeps a copy of all objects of one kind: lists the kind, then watches it
+ * from the revision of the listing.
  *
- * After a watch that ended without an answer the kind is listed again: nobody
- * knows what was changed meanwhile, and whether the history still tells of it.
- * The copy goes on to serve: what was known isn't dropped. */
+ * Schedule a watch that failed, the kind is listed again: changes may have been
+ * missed, and the store's history may no longer contain them. Until the listing
+ * is complete, the copy stays available as it was. */
 class mirror : public std::enable_shared_from_this<mirror>
 {
 public:
@@ -47,55 +54,59 @@
          mirror_options aOptions,
          mirror_events aEvents);
 
-  /** Does nothing when it was started before. */
+  /** Does nothing after the first call. */
   void Start();
   void Stop();
-  /** Lists anew; answers to the present call are dropped. */
+  /** Lists the kind again; the response to the current call is ignored. */
   void ListAgain();
   const std::string& Kind() const { return mOptions.mKind; }
   bool HasListed() const { return mHasListed; }
-  /** Since when changes may have gone unheard; none while a watch is alive as
-   * far as is known. */
+  /** Time since which changes may have been missed; none unless a watch has
+   * failed or ListAgain was called since the last complete listing. */
   std::optional<time_point> LostSince() const { return mLostSince; }
-  /** A time up to which every change is known. */
+  /** Time up to which every change is known. */
   time_point VerifiedAt() const { return mVerifiedAt; }
-  /** Every change up to this one is known, but for those unheard. */
+  /** Revision up to which every change is known, except for changes missed
+   * since LostSince. */
   revision_number Revision() const { return mRevision; }
 
 private:
   using object_map = std::map<std::string, stored_object>;
 
-  void List(const std::string& aAfter, object_map aGathered);
-  void ApplyList(list_reply aReply, object_map aGathered);
+  void List(const std::string& aAfter, object_map aCollected);
+  void ApplyList(list_reply aReply, object_map aCollected);
   void Watch();
-  void TakeWatch(watch_reply aReply);
-  void TakeEvents(const std::vector<object_event>& aEvents);
-  void NoteLoss();
-  /** At once, but for a store that cuts each watch as soon as it begins. */
-  void ListSoon();
-  void After(milliseconds aPause, void (mirror::*aAction)());
+  void HandleWatchResponse(watch_reply aReply);
+  void ApplyEvents(const std::vector<object_event>& aEvents);
+  void RecordLoss();
+  /** Lists at once, or when the retry delay since the last listing has passed:
+   * otherwise a store that ends each watch at once would cause a listing per
+   * watch. */
+  void ListAfterRetryDelay();
+  void Schedule(milliseconds aDelay, void (mirror::*aAction)());
   bool MayCall() const { return !mOptions.mMayCall || mOptions.mMayCall(); }
 
   const scheduler mScheduler;
   const object_store& mStore;
   const mirror_options mOptions;
   const mirror_events mEvents;
-  /** The next call, or giving up the present watch. */
-  planned_action mPlanned;
+  /** Timer of the next call, or of the timeout of the current watch. */
+  planned_action mTimer;
   object_map mObjects;
   revision_number mRevision = 0;
-  /** Of a listing's first page: changes during the listing come again. */
-  revision_number mListedAt = 0;
-  /** When the present watch began. */
-  time_point mWatchesSince;
-  time_point mListsSince;
+  /** Store revision of the first page of a listing. The watch begins there, so
+   * that it also returns the changes made during the listing. */
+  revision_number mListedRevision = 0;
+  time_point mWatchStartedAt;
+  time_point mListStartedAt;
   time_point mVerifiedAt;
   std::optional<time_point> mLostSince;
-  time_point mLastListing;
+  time_point mLastListedAt;
   bool mIsStarted = false;
   bool mHasListed = false;
   bool mIsStopped = false;
-  /** Tells the answer of the present call from those of calls given up. */
+  /** Number of the current call; responses to earlier, abandoned calls are
+   * ignored. */
   std::uint64_t mCall = 0;
 };
 
--- a/Libraries/ObjectStore/ObjectStore.h
+++ b/Libraries/ObjectStore/ObjectStore.h
@@ -8,18 +8,20 @@
 #include <string>
 #include <vector>
 
-/** The platform's store of versioned objects, as the duties see it: calls that
- * answer later, with outcomes that say what is known about a write. */
+/** Interface of the platform's store of versioned objects: asynchronous calls
+ * whose outcomes state what is known about a write. */
 namespace lavender::objects {
 
-/** Counts changes of the whole store; an object bears that of its last one. */
+/** Number of a change, counted over the whole store. An object has the revision
+ * of its last change. */
 using revision_number = std::int64_t;
 
 struct stored_object
 {
   std::string mName;
   revision_number mRevision = 0;
-  /** Of its creation: another one under the same name differs here. */
+  /** Revision of the object's creation. It differs for an object that was
+   * deleted and created again under the same name. */
   revision_number mCreatedAt = 0;
   json::value mSpec;
   json::value mStatus;
@@ -28,14 +30,15 @@
 enum class store_outcome
 {
   Done,
-  /** The condition didn't hold; the object as it is comes along. */
+  /** The condition didn't hold; the reply contains the current object. */
   Conflict,
   NotFound,
-  /** The store said that it did nothing. */
+  /** The store did nothing: it refused the call, or the call was not sent. */
   Refused,
-  /** The asked history is gone: list again. */
+  /** The store no longer has the history since the requested revision; the kind
+   * must be listed again. */
   HistoryGone,
-  /** No answer: the write may have happened, or may yet. */
+  /** No valid response: the write may have happened or may still happen. */
   Unknown
 };
 
@@ -53,7 +56,8 @@
   store_outcome mOutcome = store_outcome::Unknown;
   std::vector<stored_object> mObjects;
   bool mHasMore = false;
-  /** Revision that the listing shows; a watch goes on from it. */
+  /** Revision of the store that the listing shows; a watch continues from it.
+   */
   revision_number mStoreRevision = 0;
 };
 
@@ -70,8 +74,8 @@
   revision_number mStoreRevision = 0;
 };
 
-/** How fresh a read must be: a stale one costs a tenth and may lag by
- * seconds. */
+/** How current a read must be. A stale read costs a tenth of a linearizable one
+ * and may lag by seconds. */
 enum class freshness
 {
   Linearizable,
@@ -82,9 +86,9 @@
 using list_done = std::function<void(list_reply)>;
 using watch_done = std::function<void(watch_reply)>;
 
-/** The calls, as functions that an adapter or a test fills in. Each calls back
- * exactly once, on the loop's thread. Content to write comes as JSON text, so
- * that large parts are encoded once. */
+/** The store's operations, as functions that an adapter or a test sets. Each
+ * operation invokes its callback exactly once, on the loop's thread. Content is
+ * passed as JSON text, so that large parts are encoded only once. */
 struct object_store
 {
   std::function<void(const std::string& aKind,
@@ -92,7 +96,7 @@
                      freshness,
                      object_done)>
     mGet;
-  /** Objects with names after the given one. */
+  /** Lists a page of the objects whose names sort after aAfter. */
   std::function<void(const std::string& aKind,
                      const std::string& aAfter,
                      freshness,
@@ -103,14 +107,14 @@
                      milliseconds aWait,
                      watch_done)>
     mWatch;
-  /** Creates under a name that must be free. */
+  /** Creates an object; a Conflict when the name is in use. */
   std::function<void(const std::string& aKind,
                      const std::string& aName,
                      std::string aSpecJson,
                      object_done)>
     mCreate;
-  /** Replaces the content if the object is still at that revision; 0 replaces
-   * in any case. */
+  /** Replaces the content if the object is still at revision aExpected; 0
+   * replaces it unconditionally. */
   std::function<void(const std::string& aKind,
                      const std::string& aName,
                      revision_number aExpected,
