--- a/Libraries/EventLog/EventLog.cpp
+++ b/Libraries/EventLog/EventLog.cpp
@@ -16,23 +16,25 @@
 
 using namespace std::chrono_literals;
 
-/** Pause of the writing thread; each of its wake-ups costs processor time. */
-constexpr milliseconds kWriteEach = 250ms;
-constexpr milliseconds kReaderPatience = 300ms;
+/** Interval at which the writing thread wakes up; each wake-up costs processor
+ * time. */
+constexpr milliseconds kWriteInterval = 250ms;
+/** Maximum wait for the reader of the output to accept more bytes. */
+constexpr milliseconds kReaderTimeout = 300ms;
 
 struct log_state
 {
   log_options mOptions;
   std::mutex mMutex;
-  std::condition_variable mStopping;
+  std::condition_variable mStopCondition;
   std::string mBuffered;
   bool mIsStopped = false;
   std::thread mThread;
   std::atomic<std::uint64_t> mDropped{ 0 };
   std::uint64_t mReportedDrops = 0;
-  /** Lines that may be written now; grows with time. */
-  double mAllowance = 0;
-  time_point mAllowanceAt;
+  /** Token bucket of the rate limit: lines that may be logged now. */
+  double mTokens = 0;
+  time_point mTokensUpdatedAt;
 };
 
 log_state&
@@ -42,21 +44,22 @@
   return state;
 }
 
-/** Writes what the reader of the output takes. A reader that has stopped
- * reading must hold up nothing, least of all the end of the process: what it
- * doesn't take in time is given up.
- * @return lines that were not written */
+/** Writes as much as the reader of the output accepts. A reader that has
+ * stopped must not block the process, above all its shutdown, so text that the
+ * reader doesn't accept within kReaderTimeout is dropped.
+ * @return number of lines that were not written */
 std::uint64_t
 WriteAll(const std::string& aText)
 {
   std::size_t written = 0;
   while (written < aText.size()) {
     pollfd output{ STDOUT_FILENO, POLLOUT, 0 };
-    const auto timeout = static_cast<int>(kReaderPatience.count());
+    const auto timeout = static_cast<int>(kReaderTimeout.count());
     if (poll(&output, 1, timeout) <= 0) {
       break;
     }
-    // A ready pipe takes this many bytes without blocking.
+    // A pipe that poll reports as writable accepts PIPE_BUF bytes without
+    // blocking.
     const auto size =
       write(STDOUT_FILENO,
             aText.data() + written,
@@ -87,19 +90,19 @@
   }
 }
 
-/** Takes one line from the allowance. */
+/** Consumes a token for one line; false when none is left. */
 bool
-TakeAllowance(log_state& aState)
+ConsumeToken(log_state& aState)
 {
   const auto now = boot_clock::now();
   const auto rate = static_cast<double>(aState.mOptions.mLinesPerSecond);
-  const std::chrono::duration<double> passed = now - aState.mAllowanceAt;
-  aState.mAllowanceAt = now;
-  aState.mAllowance = std::min(rate, aState.mAllowance + passed.count() * rate);
-  if (aState.mAllowance < 1) {
+  const std::chrono::duration<double> passed = now - aState.mTokensUpdatedAt;
+  aState.mTokensUpdatedAt = now;
+  aState.mTokens = std::min(rate, aState.mTokens + passed.count() * rate);
+  if (aState.mTokens < 1) {
     return false;
   }
-  aState.mAllowance -= 1;
+  aState.mTokens -= 1;
   return true;
 }
 
@@ -108,8 +111,8 @@
 {
   std::unique_lock lock(aState.mMutex);
   for (;;) {
-    const bool isStopped = aState.mStopping.wait_for(
-      lock, kWriteEach, [&] { return aState.mIsStopped; });
+    const bool isStopped = aState.mStopCondition.wait_for(
+      lock, kWriteInterval, [&] { return aState.mIsStopped; });
     std::string text;
     text.swap(aState.mBuffered);
     lock.unlock();
@@ -134,8 +137,8 @@
 {
   auto& state = State();
   state.mOptions = std::move(aOptions);
-  state.mAllowance = static_cast<double>(state.mOptions.mLinesPerSecond);
-  state.mAllowanceAt = boot_clock::now();
+  state.mTokens = static_cast<double>(state.mOptions.mLinesPerSecond);
+  state.mTokensUpdatedAt = boot_clock::now();
   state.mThread = std::thread([&state] { WriteUntilStopped(state); });
 }
 
@@ -147,7 +150,7 @@
     std::lock_guard lock(state.mMutex);
     state.mIsStopped = true;
   }
-  state.mStopping.notify_all();
+  state.mStopCondition.notify_all();
   if (state.mThread.joinable()) {
     state.mThread.join();
   }
@@ -164,10 +167,10 @@
   auto& state = State();
   {
     std::lock_guard lock(state.mMutex);
-    mIsKept = state.mBuffered.size() < state.mOptions.mBufferedBytes &&
-              TakeAllowance(state);
+    mIsAccepted = state.mBuffered.size() < state.mOptions.mBufferedBytes &&
+                  ConsumeToken(state);
   }
-  if (!mIsKept) {
+  if (!mIsAccepted) {
     ++state.mDropped;
     return;
   }
@@ -182,7 +185,7 @@
 
 line::~line()
 {
-  if (mIsKept) {
+  if (mIsAccepted) {
     auto& state = State();
     std::lock_guard lock(state.mMutex);
     state.mBuffered += mText;
@@ -201,7 +204,7 @@
 line&
 line::With(std::string_view aName, std::string_view aValue)
 {
-  if (mIsKept) {
+  if (mIsAccepted) {
     Name(aName);
     mText += '"';
     AppendEscaped(mText, aValue);
@@ -213,7 +216,7 @@
 line&
 line::With(std::string_view aName, std::int64_t aValue)
 {
-  if (mIsKept) {
+  if (mIsAccepted) {
     Name(aName);
     mText += std::to_string(aValue);
   }
--- a/Libraries/EventLog/EventLog.h
+++ b/Libraries/EventLog/EventLog.h
@@ -6,41 +6,43 @@
 #include <string>
 #include <string_view>
 
-/** Structured log: one JSON object a line on standard output, one line for
- * each decision about a request or change of belief.
+/** Structured log: one JSON object per line on standard output, one line for
+ * each decision about a request and each change of what is known of the system.
  *
  * Writing never blocks the caller: lines go into a bounded buffer that a
- * thread empties. When it is full, or when a process writes more lines a
- * second than allowed, lines are dropped and counted, and the count is written
- * with the next batch. */
+ * thread writes out. When the buffer is full, or when the process logs more
+ * lines per second than allowed, lines are dropped and counted, and the count
+ * is written with the next batch. */
 namespace lavender::events {
 
 struct log_options
 {
   /** Name of the process in each line. */
   std::string mProcess;
-  /** Lines a second, on average, with bursts of as many: an overload of
-   * thousands of requests a second must not spend the processor on logs. */
+  /** Average of lines per second, and the maximum size of a burst. It keeps an
+   * overload of thousands of requests per second from using the processor for
+   * logging. */
   std::size_t mLinesPerSecond = 400;
   std::size_t mBufferedBytes = 256 << 10;
 };
 
-/** Starts the writing thread. Called once, first in main. */
+/** Starts the writing thread. Called once, before anything else in main. */
 void
 StartEventLog(log_options aOptions);
 
-/** Writes what is buffered and ends the thread. */
+/** Writes the buffered lines and ends the thread. */
 void
 StopEventLog();
 
+/** Lines dropped since the start of the process. */
 std::uint64_t
 DroppedLines();
 
-/** One line, written when it goes out of scope. */
+/** One line of the log, buffered for writing by its destructor. */
 class line
 {
 public:
-  /** @param aEvent what happened, as one word of the table in OPERATIONS */
+  /** @param aEvent name of the event, from the table in OPERATIONS */
   explicit line(std::string_view aEvent);
   ~line();
   line(const line&) = delete;
@@ -60,7 +62,7 @@
 private:
   void Name(std::string_view aName);
 
-  bool mIsKept;
+  bool mIsAccepted;
   std::string mText;
 };
 
