--- a/Bench/SampleStragglers.cpp
+++ b/Bench/SampleStragglers.cpp
@@ -1,9 +1,10 @@
-// Stragglers of a step: waiting, spare samples, racing a second run and
-// starting again by the server's pace, on the same seeded steps.
+// Compares policies for the stragglers of a training step on the same seeded
+// steps: waiting, spare samples, racing a second run, and restarting the runs
+// of slow servers.
 //
-// Everything is simulated: servers with slots and a pace, answers with a heavy
-// tail of lengths, some servers five times slower, some runs that hang. Prints
-// CSV, one line for each policy.
+// Everything is simulated: servers with slots and a speed, responses with a
+// heavy-tailed length distribution, one server that is five times slower, and
+// runs that hang. Prints CSV, one line for each policy.
 
 #include <algorithm>
 #include <cmath>
@@ -18,15 +19,15 @@
 constexpr int kServers = 9;
 constexpr int kSlots = 16;
 constexpr int kGroups = 128;
-constexpr int kPerGroup = 8;
+constexpr int kSamplesPerGroup = 8;
 constexpr double kSecondsPerToken = 0.02;
 constexpr double kMedianTokens = 300;
-constexpr double kSpread = 0.8;
+constexpr double kLengthSpread = 0.8;
 constexpr double kMaximumTokens = 4000;
 constexpr double kSlowFactor = 5;
 constexpr double kHangShare = 0.002;
-/** After this a run that hangs is given up and made again. */
-constexpr double kDeadline = 120;
+/** Seconds after which a run that hangs is cancelled and started again. */
+constexpr double kRunTimeout = 120;
 constexpr int kSteps = 200;
 
 enum class policy
@@ -34,12 +35,12 @@
   Wait,
   Spares,
   Race,
-  RestartByPace,
-  ResumeByPace,
-  /** As RestartByPace; slow servers get no further sample either. */
+  RestartOnSlowServer,
+  ResumeOnSlowServer,
+  /** Like RestartOnSlowServer, and slow servers get no new samples. */
   AvoidAndRestart,
-  /** Slow servers get no further sample; nothing is started again but what
-   * hangs. */
+  /** Slow servers get no new samples. Only runs that reach the timeout are
+   * restarted. */
   Avoid
 };
 
@@ -58,33 +59,34 @@
   double mEnd = 0;
   double mTokens = 0;
   bool mHangs = false;
-  bool mIsOver = false;
-  /** Started in another's place; it isn't replaced again. */
-  bool mIsSecond = false;
-  int mTwin = -1;
+  bool mHasEnded = false;
+  /** Replaces or races another run; such a run isn't replaced itself. */
+  bool mIsReplacement = false;
+  int mRacingRun = -1;
 };
 
 struct step_result
 {
   double mSeconds = 0;
   double mUsedTokens = 0;
-  double mMadeTokens = 0;
+  double mGeneratedTokens = 0;
   int mUsed = 0;
 };
 
-struct world
+struct step_simulation
 {
   variant mVariant;
   std::mt19937_64 mRandom;
-  std::vector<double> mPace;
-  std::vector<int> mFree;
+  std::vector<double> mSecondsPerToken;
+  std::vector<int> mFreeSlots;
   std::vector<run> mRuns;
-  std::vector<int> mLeft;
+  std::vector<int> mRemainingInGroup;
   std::vector<int> mUnstarted;
-  std::vector<double> mFinished;
-  /** Seconds and tokens finished by each server: its pace as seen. */
-  std::vector<double> mSeenSeconds;
-  std::vector<double> mSeenTokens;
+  std::vector<double> mFinishedDurations;
+  /** Seconds and tokens of the finished runs of each server, from which its
+   * observed speed follows. */
+  std::vector<double> mObservedSeconds;
+  std::vector<double> mObservedTokens;
   std::priority_queue<std::pair<double, int>,
                       std::vector<std::pair<double, int>>,
                       std::greater<>>
@@ -94,20 +96,20 @@
   double DrawTokens()
   {
     std::lognormal_distribution<double> lengths(std::log(kMedianTokens),
-                                                kSpread);
+                                                kLengthSpread);
     return std::min(kMaximumTokens, std::max(1.0, lengths(mRandom)));
   }
 
-  int PickServer(int aNot)
+  int PickServer(int aExcluded)
   {
     int best = -1;
     for (int i = 0; i < kServers; ++i) {
       const bool isAvoided =
-        (aNot >= 0 || mVariant.mPolicy == policy::AvoidAndRestart ||
+        (aExcluded >= 0 || mVariant.mPolicy == policy::AvoidAndRestart ||
          mVariant.mPolicy == policy::Avoid) &&
         IsSlow(i);
-      if (i != aNot && mFree[i] > 0 && !isAvoided &&
-          (best < 0 || mFree[i] > mFree[best])) {
+      if (i != aExcluded && mFreeSlots[i] > 0 && !isAvoided &&
+          (best < 0 || mFreeSlots[i] > mFreeSlots[best])) {
         best = i;
       }
     }
@@ -119,26 +121,32 @@
     double seconds = 0;
     double tokens = 0;
     for (int i = 0; i < kServers; ++i) {
-      seconds += mSeenSeconds[i];
-      tokens += mSeenTokens[i];
+      seconds += mObservedSeconds[i];
+      tokens += mObservedTokens[i];
     }
-    return mSeenTokens[aServer] > 0 && tokens > 0 &&
-           mSeenSeconds[aServer] / mSeenTokens[aServer] > 2 * seconds / tokens;
+    return mObservedTokens[aServer] > 0 && tokens > 0 &&
+           mObservedSeconds[aServer] / mObservedTokens[aServer] >
+             2 * seconds / tokens;
   }
 
-  int Start(int aGroup, int aServer, double aNow, double aTokens, bool aSecond)
+  int Start(int aGroup,
+            int aServer,
+            double aNow,
+            double aTokens,
+            bool aIsReplacement)
   {
     run started;
     started.mGroup = aGroup;
     started.mServer = aServer;
     started.mStart = aNow;
     started.mTokens = aTokens;
-    started.mIsSecond = aSecond;
+    started.mIsReplacement = aIsReplacement;
     started.mHangs =
       std::uniform_real_distribution<>(0, 1)(mRandom) < kHangShare;
     started.mEnd =
-      aNow + (started.mHangs ? kDeadline : aTokens * mPace[aServer]);
-    --mFree[aServer];
+      aNow +
+      (started.mHangs ? kRunTimeout : aTokens * mSecondsPerToken[aServer]);
+    --mFreeSlots[aServer];
     const int index = static_cast<int>(mRuns.size());
     mRuns.push_back(started);
     mEnds.push({ started.mEnd, index });
@@ -148,11 +156,11 @@
   void Cancel(int aRun, double aNow)
   {
     auto& run = mRuns[aRun];
-    run.mIsOver = true;
-    ++mFree[run.mServer];
+    run.mHasEnded = true;
+    ++mFreeSlots[run.mServer];
     if (!run.mHangs) {
-      mResult.mMadeTokens +=
-        std::min(run.mTokens, (aNow - run.mStart) / mPace[run.mServer]);
+      mResult.mGeneratedTokens += std::min(
+        run.mTokens, (aNow - run.mStart) / mSecondsPerToken[run.mServer]);
     }
   }
 
@@ -168,23 +176,23 @@
     }
     if (mVariant.mPolicy != policy::Wait &&
         mVariant.mPolicy != policy::Spares) {
-      HelpStragglers(aNow);
+      ReplaceStragglers(aNow);
     }
   }
 
   double FinishedQuantile(double aShare) const
   {
-    if (mFinished.size() < 100) {
+    if (mFinishedDurations.size() < 100) {
       return 1e9;
     }
-    auto sorted = mFinished;
+    auto sorted = mFinishedDurations;
     const auto at = static_cast<std::ptrdiff_t>(
       aShare * static_cast<double>(sorted.size() - 1));
     std::nth_element(sorted.begin(), sorted.begin() + at, sorted.end());
     return sorted[static_cast<std::size_t>(at)];
   }
 
-  void HelpStragglers(double aNow)
+  void ReplaceStragglers(double aNow)
   {
     const double limit = mVariant.mPolicy == policy::Race
                            ? FinishedQuantile(0.9)
@@ -192,13 +200,13 @@
     const auto count = mRuns.size();
     for (std::size_t i = 0; i < count; ++i) {
       const auto run = mRuns[i];
-      if (run.mIsOver || run.mIsSecond || run.mTwin >= 0) {
+      if (run.mHasEnded || run.mIsReplacement || run.mRacingRun >= 0) {
         continue;
       }
-      const bool isPaceSlow = mVariant.mPolicy != policy::Race &&
-                              mVariant.mPolicy != policy::Avoid &&
-                              IsSlow(run.mServer);
-      if (!isPaceSlow && aNow - run.mStart < limit) {
+      const bool isServerSlow = mVariant.mPolicy != policy::Race &&
+                                mVariant.mPolicy != policy::Avoid &&
+                                IsSlow(run.mServer);
+      if (!isServerSlow && aNow - run.mStart < limit) {
         continue;
       }
       const int server = PickServer(run.mServer);
@@ -206,17 +214,19 @@
         return;
       }
       if (mVariant.mPolicy == policy::Race) {
-        const int twin = Start(run.mGroup, server, aNow, DrawTokens(), true);
-        mRuns[i].mTwin = twin;
-        mRuns[static_cast<std::size_t>(twin)].mTwin = static_cast<int>(i);
+        const int racing = Start(run.mGroup, server, aNow, DrawTokens(), true);
+        mRuns[i].mRacingRun = racing;
+        mRuns[static_cast<std::size_t>(racing)].mRacingRun =
+          static_cast<int>(i);
         continue;
       }
       double tokens = DrawTokens();
-      if (mVariant.mPolicy == policy::ResumeByPace && !run.mHangs) {
-        // What it has made so far is carried over.
-        tokens =
-          std::max(1.0, run.mTokens - (aNow - run.mStart) / mPace[run.mServer]);
-        mResult.mMadeTokens -= run.mTokens - tokens;
+      if (mVariant.mPolicy == policy::ResumeOnSlowServer && !run.mHangs) {
+        // The replacement continues after the tokens generated so far.
+        tokens = std::max(1.0,
+                          run.mTokens - (aNow - run.mStart) /
+                                          mSecondsPerToken[run.mServer]);
+        mResult.mGeneratedTokens -= run.mTokens - tokens;
         mResult.mUsedTokens += run.mTokens - tokens;
       }
       Cancel(static_cast<int>(i), aNow);
@@ -227,31 +237,32 @@
   void End(int aRun, double aNow)
   {
     const auto run = mRuns[aRun];
-    if (run.mIsOver) {
+    if (run.mHasEnded) {
       return;
     }
-    mRuns[aRun].mIsOver = true;
-    ++mFree[run.mServer];
+    mRuns[aRun].mHasEnded = true;
+    ++mFreeSlots[run.mServer];
     if (run.mHangs) {
       mUnstarted.push_back(run.mGroup);
       return;
     }
-    mResult.mMadeTokens += run.mTokens;
-    mFinished.push_back(aNow - run.mStart);
-    mSeenSeconds[run.mServer] += aNow - run.mStart;
-    mSeenTokens[run.mServer] += run.mTokens;
-    if (run.mTwin >= 0 && !mRuns[static_cast<std::size_t>(run.mTwin)].mIsOver) {
-      Cancel(run.mTwin, aNow);
+    mResult.mGeneratedTokens += run.mTokens;
+    mFinishedDurations.push_back(aNow - run.mStart);
+    mObservedSeconds[run.mServer] += aNow - run.mStart;
+    mObservedTokens[run.mServer] += run.mTokens;
+    if (run.mRacingRun >= 0 &&
+        !mRuns[static_cast<std::size_t>(run.mRacingRun)].mHasEnded) {
+      Cancel(run.mRacingRun, aNow);
     }
-    if (mLeft[run.mGroup] == 0) {
+    if (mRemainingInGroup[run.mGroup] == 0) {
       return;
     }
-    --mLeft[run.mGroup];
+    --mRemainingInGroup[run.mGroup];
     ++mResult.mUsed;
     mResult.mUsedTokens += run.mTokens;
-    if (mLeft[run.mGroup] == 0) {
+    if (mRemainingInGroup[run.mGroup] == 0) {
       for (std::size_t i = 0; i < mRuns.size(); ++i) {
-        if (!mRuns[i].mIsOver && mRuns[i].mGroup == run.mGroup) {
+        if (!mRuns[i].mHasEnded && mRuns[i].mGroup == run.mGroup) {
           Cancel(static_cast<int>(i), aNow);
         }
       }
@@ -263,22 +274,22 @@
 
   step_result Run()
   {
-    mFree.assign(kServers, kSlots);
-    mPace.assign(kServers, kSecondsPerToken);
-    // One server of the nine is slow in this step.
-    mPace[std::uniform_int_distribution<>(0, kServers - 1)(mRandom)] *=
-      kSlowFactor;
-    mSeenSeconds.assign(kServers, 0);
-    mSeenTokens.assign(kServers, 0);
-    mLeft.assign(kGroups, kPerGroup);
+    mFreeSlots.assign(kServers, kSlots);
+    mSecondsPerToken.assign(kServers, kSecondsPerToken);
+    // One of the nine servers is slow in this step.
+    mSecondsPerToken[std::uniform_int_distribution<>(0, kServers - 1)(
+      mRandom)] *= kSlowFactor;
+    mObservedSeconds.assign(kServers, 0);
+    mObservedTokens.assign(kServers, 0);
+    mRemainingInGroup.assign(kGroups, kSamplesPerGroup);
     for (int group = kGroups - 1; group >= 0; --group) {
-      for (int i = 0; i < kPerGroup + mVariant.mSpares; ++i) {
+      for (int i = 0; i < kSamplesPerGroup + mVariant.mSpares; ++i) {
         mUnstarted.push_back(group);
       }
     }
     double now = 0;
     FillFreeSlots(now);
-    while (!mEnds.empty() && mResult.mUsed < kGroups * kPerGroup) {
+    while (!mEnds.empty() && mResult.mUsed < kGroups * kSamplesPerGroup) {
       const auto [at, index] = mEnds.top();
       mEnds.pop();
       now = at;
@@ -308,8 +319,8 @@
     { "spares_1_of_8", policy::Spares, 1 },
     { "spares_2_of_8", policy::Spares, 2 },
     { "race_after_p90", policy::Race, 0 },
-    { "restart_by_pace", policy::RestartByPace, 0 },
-    { "resume_by_pace", policy::ResumeByPace, 0 },
+    { "restart_by_pace", policy::RestartOnSlowServer, 0 },
+    { "resume_by_pace", policy::ResumeOnSlowServer, 0 },
     { "avoid_slow", policy::Avoid, 0 },
     { "avoid_and_restart", policy::AvoidAndRestart, 0 },
   };
@@ -318,16 +329,16 @@
   for (const auto& variant : variants) {
     std::vector<double> seconds;
     double used = 0;
-    double made = 0;
+    double generated = 0;
     double samples = 0;
     for (int seed = 1; seed <= kSteps; ++seed) {
-      world step;
+      step_simulation step;
       step.mVariant = variant;
       step.mRandom.seed(static_cast<std::uint64_t>(seed));
       const auto result = step.Run();
       seconds.push_back(result.mSeconds);
       used += result.mUsedTokens;
-      made += std::max(result.mMadeTokens, result.mUsedTokens);
+      generated += std::max(result.mGeneratedTokens, result.mUsedTokens);
       samples += result.mUsed;
     }
     double mean = 0;
@@ -339,7 +350,7 @@
                 kSteps,
                 mean,
                 Quantile(seconds, 0.95),
-                1 - used / made,
+                1 - used / generated,
                 used / samples);
   }
   return 0;
--- a/Bench/WeightRollOut.cpp
+++ b/Bench/WeightRollOut.cpp
@@ -1,6 +1,7 @@
-// How long a roll-out takes until every agent has its order, and until the
-// holder sees every server hold the version, for N stand-in agents in this
-// process. Each agent "loads" for a given time. Prints CSV.
+// Measures the time from a new target version until every agent has received
+// its load order, and until the roll-out duty sees the version on every server.
+// Runs stand-in agents in this process, each of which simulates a given load
+// time. Prints CSV.
 
 #include "Duties/Weights/RollOutDuty.h"
 #include "Libraries/Core/Log.h"
@@ -19,13 +20,13 @@
 constexpr const char* kPool = "modellflotta";
 constexpr int kRounds = 5;
 
-/** An agent whose server takes a while to load. */
+/** Stand-in for an agent whose server takes aLoadTime to load a version. */
 class loading_agent : public wire::agent_serviceNull
 {
 public:
-  loading_agent(std::string aName, milliseconds aLoad)
+  loading_agent(std::string aName, milliseconds aLoadTime)
     : mName(std::move(aName))
-    , mLoad(aLoad)
+    , mLoadTime(aLoadTime)
   {
   }
 
@@ -48,7 +49,7 @@
     std::lock_guard lock(mMutex);
     if (aOrder.version != mOrdered) {
       mOrdered = aOrder.version;
-      mDueAt = boot_clock::now() + mLoad;
+      mLoadedAt = boot_clock::now() + mLoadTime;
     }
   }
 
@@ -61,24 +62,24 @@
   std::int64_t Held()
   {
     std::lock_guard lock(mMutex);
-    return boot_clock::now() >= mDueAt ? mOrdered : mOrdered - 1;
+    return boot_clock::now() >= mLoadedAt ? mOrdered : mOrdered - 1;
   }
 
 private:
   const std::string mName;
-  const milliseconds mLoad;
+  const milliseconds mLoadTime;
   std::mutex mMutex;
   std::int64_t mOrdered = 1;
-  time_point mDueAt;
+  time_point mLoadedAt;
 };
 
 struct round_times
 {
   double mOrderedMs = 0;
-  double mSeenMs = 0;
+  double mObservedMs = 0;
 };
 
-struct site
+struct simulated_site
 {
   std::vector<std::shared_ptr<loading_agent>> mAgents;
   std::vector<std::unique_ptr<wire::wire_server>> mServers;
@@ -88,12 +89,12 @@
                             return mPlatform.Serve(aRequest);
                           } };
 
-  site(int aCount, milliseconds aLoad)
+  simulated_site(int aCount, milliseconds aLoadTime)
   {
     json::array instances;
     for (int i = 0; i < aCount; ++i) {
       const auto name = "engine-" + std::to_string(i);
-      mAgents.push_back(std::make_shared<loading_agent>(name, aLoad));
+      mAgents.push_back(std::make_shared<loading_agent>(name, aLoadTime));
       mServers.push_back(std::make_unique<wire::wire_server>(
         "127.0.0.1",
         0,
@@ -119,19 +120,19 @@
 };
 
 double
-Since(time_point aStart)
+MillisecondsSince(time_point aStart)
 {
   return std::chrono::duration<double, std::milli>(boot_clock::now() - aStart)
     .count();
 }
 
-/** Waits until all agents meet the condition; 60 s at most. */
+/** Waits up to 60 s until all agents meet the condition; false on timeout. */
 template<typename Condition>
 bool
-WaitForAll(const site& aSite, const Condition& aCondition)
+WaitForAll(const simulated_site& aSite, const Condition& aCondition)
 {
   const auto start = boot_clock::now();
-  while (Since(start) < 60000) {
+  while (MillisecondsSince(start) < 60000) {
     if (std::all_of(aSite.mAgents.begin(), aSite.mAgents.end(), aCondition)) {
       return true;
     }
@@ -141,9 +142,9 @@
 }
 
 void
-Measure(int aCount, std::size_t aSideBySide, milliseconds aLoad)
+Measure(int aCount, std::size_t aMaximumConcurrency, milliseconds aLoadTime)
 {
-  site site(aCount, aLoad);
+  simulated_site site(aCount, aLoadTime);
   metrics::registry metrics;
   membership::directory_options directoryOptions;
   directoryOptions.mPlatform.mEndpoint = { "127.0.0.1", site.mListener.Port() };
@@ -152,9 +153,9 @@
   membership::server_directory directory(directoryOptions);
   std::atomic<std::int64_t> version{ 1 };
   std::atomic<std::size_t> holding{ 0 };
-  std::atomic<std::int64_t> seenVersion{ 0 };
+  std::atomic<std::int64_t> observedVersion{ 0 };
   weights::roll_out_options options;
-  options.mLimits.mMaximumConcurrency = aSideBySide;
+  options.mLimits.mMaximumConcurrency = aMaximumConcurrency;
   weights::roll_out_duty duty(
     options,
     directory,
@@ -166,21 +167,21 @@
       return leases::held_lease{ aName, 1, boot_clock::now() + 1h };
     },
     [&](const weights::roll_out_progress& aProgress) {
-      seenVersion = aProgress.mTarget.mTarget.mVersion;
+      observedVersion = aProgress.mTarget.mTarget.mVersion;
       holding = aProgress.mHolding;
     },
     metrics);
   directory.Start();
   duty.Start();
-  const auto allSeen = [&](const auto&) {
-    return seenVersion == version &&
+  const auto allObserved = [&](const auto&) {
+    return observedVersion == version &&
            holding == static_cast<std::size_t>(aCount);
   };
-  if (!WaitForAll(site, allSeen)) {
+  if (!WaitForAll(site, allObserved)) {
     std::printf("%d,%zu,%lld,no start,,\n",
                 aCount,
-                aSideBySide,
-                static_cast<long long>(aLoad.count()));
+                aMaximumConcurrency,
+                static_cast<long long>(aLoadTime.count()));
     return;
   }
   std::vector<round_times> rounds;
@@ -190,10 +191,10 @@
     ++version;
     const bool isOrdered = WaitForAll(
       site, [&](const auto& aAgent) { return aAgent->Ordered() == version; });
-    times.mOrderedMs = Since(start);
-    const bool isSeen = WaitForAll(site, allSeen);
-    times.mSeenMs = Since(start);
-    if (isOrdered && isSeen) {
+    times.mOrderedMs = MillisecondsSince(start);
+    const bool isObserved = WaitForAll(site, allObserved);
+    times.mObservedMs = MillisecondsSince(start);
+    if (isOrdered && isObserved) {
       rounds.push_back(times);
     }
   }
@@ -201,13 +202,13 @@
     return aOne.mOrderedMs < aB.mOrderedMs;
   });
   if (!rounds.empty()) {
-    const auto& middle = rounds[rounds.size() / 2];
+    const auto& median = rounds[rounds.size() / 2];
     std::printf("%d,%zu,%lld,%.0f,%.0f,%zu\n",
                 aCount,
-                aSideBySide,
-                static_cast<long long>(aLoad.count()),
-                middle.mOrderedMs,
-                middle.mSeenMs,
+                aMaximumConcurrency,
+                static_cast<long long>(aLoadTime.count()),
+                median.mOrderedMs,
+                median.mObservedMs,
                 rounds.size());
   }
   std::fflush(stdout);
