--- a/Bench/BatchOrder.cpp
+++ b/Bench/BatchOrder.cpp
@@ -9,15 +9,15 @@
 #include <random>
 #include <set>
 
-/** Orders in which a step's items run and servers that they run on, on an
- * emulated pool of model engines that share their time between their runs. */
+/** Compares start orders and server placements of a step's items on an emulated
+ * pool of model engines, each of which shares its time between its runs. */
 namespace lavender::bench {
 namespace {
 
 using namespace std::chrono_literals;
 
-/** One model's servers and one step of its trainer. */
-struct shape
+/** Size of one model's pool and of one step of its trainer. */
+struct step_shape
 {
   const char* mName;
   int mServers;
@@ -27,24 +27,24 @@
   double mMeanEvents;
 };
 
-/** A small deployment's larger step, and a step of the size planned for. */
-constexpr shape kShapes[] = {
+/** Large steps of two small deployments, and a step of the planned size. */
+constexpr step_shape kShapes[] = {
   { "26 groups of 4, 5 servers of 12", 5, 12, 26, 4, 20 },
   { "17 groups of 8, 11 servers of 6", 11, 6, 17, 8, 14 },
   { "128 groups of 8, 70 servers of 6", 70, 6, 128, 8, 14 }
 };
 
-/** Spread of the lengths, and of a caller's guesses of them, as the standard
- * deviation of their logarithm. */
+/** Standard deviations of the logarithm of the sample lengths, and of the error
+ * of the caller's length estimates. */
 constexpr double kLengthSpread = 0.84;
-constexpr double kGuessSpread = 0.5;
-constexpr double kLongest = 140;
-/** Share of the groups that the trainer waits for. */
-constexpr double kWanted = 0.9;
+constexpr double kEstimateSpread = 0.5;
+constexpr double kMaximumEvents = 140;
+/** Share of the groups that must be complete before the trainer continues. */
+constexpr double kRequiredShare = 0.9;
 constexpr int kPromptTokens = 1000;
-constexpr double kTokensReadPerMillisecond = 491;
-/** Tokens of one event, and the time of one step of an engine, which makes one
- * token of each run. */
+constexpr double kPrefillTokensPerMillisecond = 491;
+/** Tokens of one event, and the duration of one engine step. Each engine step
+ * generates one token of each of the engine's runs. */
 constexpr int kTokensPerEvent = 51;
 constexpr double kStepMilliseconds = 0.569;
 constexpr double kStepMillisecondsPerRun = 0.0226;
@@ -55,109 +55,111 @@
 {
   int mGroup = 0;
   double mEvents = 0;
-  double mGuess = 0;
-  double mDone = 0;
+  double mEstimate = 0;
+  double mEventsDone = 0;
   double mPromptLeft = 0;
   int mServer = -1;
-  bool mIsEnded = false;
+  bool mHasEnded = false;
 };
 
-/** Puts the samples in the order in which they are to start. */
+/** Sorts the indices of the samples into their start order. */
 using ordering = std::function<void(std::vector<std::size_t>&,
                                     const std::vector<sample>&,
-                                    const shape&,
+                                    const step_shape&,
                                     std::mt19937_64&)>;
 
 std::vector<double>
-LongestGuessByGroup(const std::vector<sample>& aSamples, const shape& aShape)
+LongestEstimateByGroup(const std::vector<sample>& aSamples,
+                       const step_shape& aShape)
 {
   std::vector<double> longest(static_cast<std::size_t>(aShape.mGroups));
   for (const auto& sample : aSamples) {
-    auto& guess = longest[static_cast<std::size_t>(sample.mGroup)];
-    guess = std::max(guess, sample.mGuess);
+    auto& estimate = longest[static_cast<std::size_t>(sample.mGroup)];
+    estimate = std::max(estimate, sample.mEstimate);
   }
   return longest;
 }
 
 void
-AsSubmitted(std::vector<std::size_t>&,
-            const std::vector<sample>&,
-            const shape&,
-            std::mt19937_64&)
+KeepSubmissionOrder(std::vector<std::size_t>&,
+                    const std::vector<sample>&,
+                    const step_shape&,
+                    std::mt19937_64&)
 {
 }
 
 void
-AtRandom(std::vector<std::size_t>& aOrder,
-         const std::vector<sample>&,
-         const shape&,
-         std::mt19937_64& aRandom)
+ShuffleRandomly(std::vector<std::size_t>& aOrder,
+                const std::vector<sample>&,
+                const step_shape&,
+                std::mt19937_64& aRandom)
 {
   std::shuffle(aOrder.begin(), aOrder.end(), aRandom);
 }
 
-/** The shipped order. */
+/** The order that the production scheduler uses. */
 void
 LongestFirst(std::vector<std::size_t>& aOrder,
              const std::vector<sample>& aSamples,
-             const shape&,
+             const step_shape&,
              std::mt19937_64&)
 {
   std::stable_sort(
     aOrder.begin(), aOrder.end(), [&](std::size_t aLeft, std::size_t aRight) {
-      const auto rank = [&](std::size_t aPlace) {
+      const auto rank = [&](std::size_t aIndex) {
         return batches::item_priority{
-          0, std::llround(aSamples[aPlace].mGuess * kTokensPerEvent)
+          0, std::llround(aSamples[aIndex].mEstimate * kTokensPerEvent)
         };
       };
       return rank(aLeft) < rank(aRight);
     });
 }
 
-/** The groups that look shortest, one after the other. */
+/** Starts the groups one after the other, shortest estimate first. */
 void
 ShortestGroupFirst(std::vector<std::size_t>& aOrder,
                    const std::vector<sample>& aSamples,
-                   const shape& aShape,
+                   const step_shape& aShape,
                    std::mt19937_64&)
 {
-  const auto longest = LongestGuessByGroup(aSamples, aShape);
+  const auto longest = LongestEstimateByGroup(aSamples, aShape);
   std::stable_sort(
     aOrder.begin(), aOrder.end(), [&](std::size_t aLeft, std::size_t aRight) {
-      const auto group = [&](std::size_t aPlace) {
-        return longest[static_cast<std::size_t>(aSamples[aPlace].mGroup)];
+      const auto group = [&](std::size_t aIndex) {
+        return longest[static_cast<std::size_t>(aSamples[aIndex].mGroup)];
       };
       return group(aLeft) < group(aRight);
     });
 }
 
-/** The longest first, but the groups that the trainer can do without, which are
- * those that look longest, after all others. */
+/** Longest first, but the groups that the trainer doesn't require start last.
+ * These are the groups with the longest estimates. */
 void
 SpareGroupsLast(std::vector<std::size_t>& aOrder,
                 const std::vector<sample>& aSamples,
-                const shape& aShape,
+                const step_shape& aShape,
                 std::mt19937_64& aRandom)
 {
   LongestFirst(aOrder, aSamples, aShape, aRandom);
-  const auto longest = LongestGuessByGroup(aSamples, aShape);
+  const auto longest = LongestEstimateByGroup(aSamples, aShape);
   std::vector<std::size_t> groups(longest.size());
   std::iota(groups.begin(), groups.end(), 0);
   std::stable_sort(groups.begin(), groups.end(), [&](auto aLeft, auto aRight) {
     return longest[aLeft] < longest[aRight];
   });
-  const auto wanted =
-    static_cast<std::size_t>(std::ceil(kWanted * aShape.mGroups));
+  const auto required =
+    static_cast<std::size_t>(std::ceil(kRequiredShare * aShape.mGroups));
   const std::set<std::size_t> spare(
-    groups.begin() + static_cast<std::ptrdiff_t>(wanted), groups.end());
-  std::stable_partition(aOrder.begin(), aOrder.end(), [&](std::size_t aPlace) {
-    return spare.count(static_cast<std::size_t>(aSamples[aPlace].mGroup)) == 0;
+    groups.begin() + static_cast<std::ptrdiff_t>(required), groups.end());
+  std::stable_partition(aOrder.begin(), aOrder.end(), [&](std::size_t aIndex) {
+    return spare.count(static_cast<std::size_t>(aSamples[aIndex].mGroup)) == 0;
   });
 }
 
 enum class placement
 {
-  /** The shipped choice: least loaded, a group near its first server. */
+  /** The production choice: the least loaded server, with affinity of a group
+   * to its first server. */
   GroupOnOneServer,
   LeastLoaded,
   Random
@@ -165,15 +167,15 @@
 
 struct step_outcome
 {
-  double mWantedAfter = 0;
-  int mPromptTokensRead = 0;
+  double mElapsedMilliseconds = 0;
+  int mPromptTokens = 0;
 };
 
-/** Runs one step on the emulated servers until the wanted groups are whole. */
+/** Emulates one step until the required share of the groups is complete. */
 class emulated_step
 {
 public:
-  emulated_step(const shape& aShape,
+  emulated_step(const step_shape& aShape,
                 const ordering& aOrdering,
                 placement aPlacement,
                 std::uint64_t aSeed)
@@ -181,7 +183,7 @@
     , mPlacement(aPlacement)
     , mRandom(aSeed)
     , mLeftInGroup(static_cast<std::size_t>(aShape.mGroups), aShape.mGroupSize)
-    , mPrompts(static_cast<std::size_t>(aShape.mServers))
+    , mCachedPrompts(static_cast<std::size_t>(aShape.mServers))
   {
     MakeSamples();
     mWaiting.resize(mSamples.size());
@@ -198,8 +200,9 @@
 
   step_outcome Run()
   {
-    const int wanted = static_cast<int>(std::ceil(kWanted * mShape.mGroups));
-    while (mWholeGroups < wanted) {
+    const int required =
+      static_cast<int>(std::ceil(kRequiredShare * mShape.mGroups));
+    while (mCompleteGroups < required) {
       StartWaiting();
       Tick();
     }
@@ -212,13 +215,14 @@
     std::lognormal_distribution<double> length(
       std::log(mShape.mMeanEvents) - kLengthSpread * kLengthSpread / 2,
       kLengthSpread);
-    std::lognormal_distribution<double> error(0, kGuessSpread);
+    std::lognormal_distribution<double> error(0, kEstimateSpread);
     for (int group = 0; group < mShape.mGroups; ++group) {
       for (int i = 0; i < mShape.mGroupSize; ++i) {
         sample made;
         made.mGroup = group;
-        made.mEvents = std::clamp(std::round(length(mRandom)), 1.0, kLongest);
-        made.mGuess = made.mEvents * error(mRandom);
+        made.mEvents =
+          std::clamp(std::round(length(mRandom)), 1.0, kMaximumEvents);
+        made.mEstimate = made.mEvents * error(mRandom);
         mSamples.push_back(made);
       }
     }
@@ -242,11 +246,11 @@
       return free[std::uniform_int_distribution<std::size_t>(
         0, free.size() - 1)(mRandom)];
     }
-    static const batches::group_affinities kNoHomes;
+    static const batches::group_affinities kNoAffinities;
     return batches::ChooseEngine(
       mEngines,
       need,
-      mPlacement == placement::GroupOnOneServer ? mHomes : kNoHomes,
+      mPlacement == placement::GroupOnOneServer ? mAffinities : kNoAffinities,
       mNow);
   }
 
@@ -261,10 +265,11 @@
       ++mNext;
       started.mServer = static_cast<int>(*chosen);
       ++mEngines[*chosen].mOwnRuns;
-      mHomes[std::to_string(started.mGroup)] = { mEngines[*chosen].mId, mNow };
-      if (mPrompts[*chosen].insert(started.mGroup).second) {
+      mAffinities[std::to_string(started.mGroup)] = { mEngines[*chosen].mId,
+                                                      mNow };
+      if (mCachedPrompts[*chosen].insert(started.mGroup).second) {
         started.mPromptLeft = kPromptTokens;
-        mOutcome.mPromptTokensRead += kPromptTokens;
+        mOutcome.mPromptTokens += kPromptTokens;
       }
       mRunning.push_back(mWaiting[mNext - 1]);
     }
@@ -272,25 +277,26 @@
 
   void Tick()
   {
-    mOutcome.mWantedAfter += kTickMilliseconds;
+    mOutcome.mElapsedMilliseconds += kTickMilliseconds;
     std::vector<std::size_t> left;
     std::vector<int> ended(mEngines.size());
-    for (const auto place : mRunning) {
-      auto& run = mSamples[place];
+    for (const auto index : mRunning) {
+      auto& run = mSamples[index];
       const auto server = static_cast<std::size_t>(run.mServer);
       const double step =
         kStepMilliseconds + kStepMillisecondsPerRun * mEngines[server].mOwnRuns;
       if (run.mPromptLeft > 0) {
-        run.mPromptLeft -= kTickMilliseconds * kTokensReadPerMillisecond;
+        run.mPromptLeft -= kTickMilliseconds * kPrefillTokensPerMillisecond;
       } else {
-        run.mDone += kTickMilliseconds / (step * kTokensPerEvent);
+        run.mEventsDone += kTickMilliseconds / (step * kTokensPerEvent);
       }
-      if (run.mDone < run.mEvents) {
-        left.push_back(place);
+      if (run.mEventsDone < run.mEvents) {
+        left.push_back(index);
         continue;
       }
       ++ended[server];
-      mWholeGroups += --mLeftInGroup[static_cast<std::size_t>(run.mGroup)] == 0;
+      mCompleteGroups +=
+        --mLeftInGroup[static_cast<std::size_t>(run.mGroup)] == 0;
     }
     for (std::size_t i = 0; i < mEngines.size(); ++i) {
       mEngines[i].mOwnRuns -= ended[i];
@@ -298,7 +304,7 @@
     mRunning = std::move(left);
   }
 
-  const shape mShape;
+  const step_shape mShape;
   const placement mPlacement;
   const time_point mNow{ 1h };
   std::mt19937_64 mRandom;
@@ -308,10 +314,10 @@
   std::vector<std::size_t> mRunning;
   std::vector<batches::engine_view> mEngines;
   std::vector<int> mLeftInGroup;
-  /** Groups whose prompt each server has read. */
-  std::vector<std::set<int>> mPrompts;
-  batches::group_affinities mHomes;
-  int mWholeGroups = 0;
+  /** For each server, the groups whose prompt it has processed. */
+  std::vector<std::set<int>> mCachedPrompts;
+  batches::group_affinities mAffinities;
+  int mCompleteGroups = 0;
   step_outcome mOutcome;
 };
 
@@ -326,9 +332,11 @@
 Policies()
 {
   static const std::vector<policy> kPolicies = {
-    { "as submitted, random server", AsSubmitted, placement::Random },
-    { "random, least loaded", AtRandom, placement::LeastLoaded },
-    { "as submitted, least loaded", AsSubmitted, placement::LeastLoaded },
+    { "as submitted, random server", KeepSubmissionOrder, placement::Random },
+    { "random, least loaded", ShuffleRandomly, placement::LeastLoaded },
+    { "as submitted, least loaded",
+      KeepSubmissionOrder,
+      placement::LeastLoaded },
     { "longest first, least loaded", LongestFirst, placement::LeastLoaded },
     { "shortest group first, group on one server",
       ShortestGroupFirst,
@@ -362,15 +370,15 @@
                         policy.mPlacement,
                         aOptions.mSeed + static_cast<std::uint64_t>(seed))
             .Run();
-        sum += outcome.mWantedAfter;
-        worst = std::max(worst, outcome.mWantedAfter);
-        tokens += outcome.mPromptTokensRead;
+        sum += outcome.mElapsedMilliseconds;
+        worst = std::max(worst, outcome.mElapsedMilliseconds);
+        tokens += outcome.mPromptTokens;
       }
-      csv.Row({ shape.mName,
-                policy.mName,
-                Text(sum / kSeeds),
-                Text(worst),
-                Text(tokens / kSeeds) });
+      csv.WriteRow({ shape.mName,
+                     policy.mName,
+                     Format(sum / kSeeds),
+                     Format(worst),
+                     Format(tokens / kSeeds) });
     }
   }
 }
--- a/Bench/Cost.cpp
+++ b/Bench/Cost.cpp
@@ -16,19 +16,20 @@
 
 constexpr auto kTick = 10ms;
 constexpr auto kDay = 4h;
-constexpr auto kReportEvery = 500ms;
-constexpr auto kLookEvery = 1000ms;
+constexpr auto kReportInterval = 500ms;
+constexpr auto kScaleInterval = 1000ms;
 constexpr auto kPerToken = 10ms;
 constexpr int kSlots = 16;
 constexpr int kZones = 3;
 constexpr int kCustomers = 8;
 constexpr int kTokens = 20;
 constexpr int kTailTokens = 100;
-/** Requests a second that one server does: 16 slots, 24 tokens of 10 ms. */
+/** Requests per second that one server can serve: 16 slots, 24 tokens of 10 ms
+ * per request on average. */
 constexpr double kServerRate = kSlots / (24 * 0.01);
-/** Servers' worth of requests at night and at noon. */
-constexpr double kNight = 1.5;
-constexpr double kNoon = 8;
+/** Offered load at night and at noon, in multiples of kServerRate. */
+constexpr double kNightLoad = 1.5;
+constexpr double kNoonLoad = 8;
 const time_point kStart(1h);
 
 struct run
@@ -36,7 +37,7 @@
   std::string mId;
   int mCustomer = 0;
   int mTokens = 0;
-  time_point mCameAt;
+  time_point mArrivedAt;
   time_point mEndsAt;
 };
 
@@ -45,12 +46,12 @@
   int mZone = 0;
   time_point mOrderedAt;
   time_point mReadyAt;
-  bool mIsLeaving = false;
+  bool mIsStopping = false;
   std::vector<run> mRunning;
   std::int64_t mRunningCost = 0;
   admission::fair_queue mQueue;
-  /** Requests queued and running, smoothed over the looks. */
-  double mSmoothed = 0;
+  /** Exponential moving average of the requests queued and running. */
+  double mSmoothedRequests = 0;
 };
 
 struct outcome
@@ -61,18 +62,18 @@
   double mServerSeconds = 0;
   int mStarts = 0;
   int mStops = 0;
-  std::size_t mFewest = 1000;
-  std::size_t mMost = 0;
+  std::size_t mMinimumServers = 1000;
+  std::size_t mMaximumServers = 0;
 };
 
-/** A day of load on a pool whose servers come and go by the scale decision. */
-class day
+/** Simulates a day of load on a pool that is scaled by orders::DecideScale. */
+class day_simulation
 {
 public:
-  day(const orders::scale_policy& aPolicy,
-      double aSmoothing,
-      int aServers,
-      std::uint64_t aSeed)
+  day_simulation(const orders::scale_policy& aPolicy,
+                 double aSmoothing,
+                 int aServers,
+                 std::uint64_t aSeed)
     : mPolicy(aPolicy)
     , mSmoothing(aSmoothing)
     , mRandom(aSeed)
@@ -91,25 +92,25 @@
       mNow += kTick;
       Arrive();
       for (auto& [name, server] : mServers) {
-        Work(server);
+        AdvanceServer(server);
       }
-      if ((mNow - kStart) % kReportEvery == 0ns) {
+      if ((mNow - kStart) % kReportInterval == 0ns) {
         Report();
       }
-      if ((mNow - kStart) % kLookEvery == 0ns) {
-        Look();
+      if ((mNow - kStart) % kScaleInterval == 0ns) {
+        CheckScale();
       }
     }
     return std::move(mOutcome);
   }
 
 private:
-  void Start(int aZone, milliseconds aTime)
+  void Start(int aZone, milliseconds aStartupDuration)
   {
     auto& made = mServers["server-" + std::to_string(mNumber++)];
     made.mZone = aZone;
     made.mOrderedAt = mNow;
-    made.mReadyAt = mNow + aTime;
+    made.mReadyAt = mNow + aStartupDuration;
     made.mQueue.mLimits.mSlots = kSlots;
     ++mOutcome.mStarts;
   }
@@ -118,7 +119,7 @@
   {
     const double hours = seconds(mNow - kStart) / seconds(kDay);
     const double noon = 0.5 - 0.5 * std::cos(2 * 3.14159265 * hours);
-    return kServerRate * (kNight + (kNoon - kNight) * noon);
+    return kServerRate * (kNightLoad + (kNoonLoad - kNightLoad) * noon);
   }
 
   void Arrive()
@@ -128,11 +129,11 @@
     for (int left = count(mRandom); left > 0; --left) {
       run request;
       request.mId = std::to_string(mNextRequest++);
-      // One customer sends half of everything.
+      // One customer sends half of all requests.
       const int customer = draw(mRandom);
       request.mCustomer = customer < 50 ? 0 : 1 + customer % (kCustomers - 1);
       request.mTokens = draw(mRandom) < 5 ? kTailTokens : kTokens;
-      request.mCameAt = mNow;
+      request.mArrivedAt = mNow;
       Send(request);
     }
   }
@@ -165,7 +166,7 @@
     routing::RecordEnd(mTable, *chosen, mNow, routing::evidence::Neutral, mNow);
   }
 
-  void Work(server& aServer)
+  void AdvanceServer(server& aServer)
   {
     auto& running = aServer.mRunning;
     for (auto one = running.begin(); one != running.end();) {
@@ -178,7 +179,7 @@
       aServer.mRunningCost -= one->mTokens;
       ++mOutcome.mServed;
       mOutcome.mLatencies[static_cast<std::size_t>(one->mCustomer)].push_back(
-        mNow - one->mCameAt);
+        mNow - one->mArrivedAt);
       one = running.erase(one);
     }
     while (running.size() < kSlots) {
@@ -204,10 +205,10 @@
       report.mRequests =
         static_cast<int>(server.mRunning.size() + server.mQueue.mSize);
       report.mTokensPerSecond = admission::MeasuredThroughput(server.mQueue);
-      report.mAcceptsRequests = !server.mIsLeaving && mNow >= server.mReadyAt;
+      report.mAcceptsRequests = !server.mIsStopping && mNow >= server.mReadyAt;
       report.mGeneratedAt = mNow;
       routing::ApplyReport(mTable, report, mNow);
-      const bool isGone = server.mIsLeaving && server.mRunning.empty() &&
+      const bool isGone = server.mIsStopping && server.mRunning.empty() &&
                           server.mQueue.mSize == 0;
       if (isGone) {
         mOutcome.mServerSeconds += seconds(mNow - server.mOrderedAt).count();
@@ -217,7 +218,7 @@
     }
   }
 
-  void Look()
+  void CheckScale()
   {
     for (int zone = 0; zone < kZones; ++zone) {
       std::vector<orders::server_load> loads;
@@ -225,14 +226,15 @@
         if (server.mZone == zone && mNow >= server.mReadyAt) {
           const auto count =
             static_cast<double>(server.mQueue.mSize + server.mRunning.size());
-          server.mSmoothed += mSmoothing * (count - server.mSmoothed);
+          server.mSmoothedRequests +=
+            mSmoothing * (count - server.mSmoothedRequests);
           loads.push_back(
             { name,
               0,
-              static_cast<int>(std::lround(server.mSmoothed)),
+              static_cast<int>(std::lround(server.mSmoothedRequests)),
               kSlots,
               admission::QueueDelay(server.mQueue, server.mRunningCost),
-              server.mIsLeaving,
+              server.mIsStopping,
               true });
         }
       }
@@ -241,13 +243,15 @@
       if (decision.mAction == orders::scale_action::Start) {
         Start(zone, mPolicy.mStartupDuration);
       } else if (decision.mAction == orders::scale_action::Stop) {
-        mServers.at(decision.mServer).mIsLeaving = true;
+        mServers.at(decision.mServer).mIsStopping = true;
         ++mOutcome.mStops;
       }
     }
-    mOutcome.mFewest = std::min(mOutcome.mFewest, mServers.size());
-    mOutcome.mMost = std::max(mOutcome.mMost, mServers.size());
-    if (mNow + kLookEvery > kStart + kDay) {
+    mOutcome.mMinimumServers =
+      std::min(mOutcome.mMinimumServers, mServers.size());
+    mOutcome.mMaximumServers =
+      std::max(mOutcome.mMaximumServers, mServers.size());
+    if (mNow + kScaleInterval > kStart + kDay) {
       for (const auto& [name, server] : mServers) {
         mOutcome.mServerSeconds += seconds(mNow - server.mOrderedAt).count();
       }
@@ -255,7 +259,7 @@
   }
 
   const orders::scale_policy mPolicy;
-  /** Share of the newest look in a server's smoothed count; 1 for none. */
+  /** Weight of the newest count in mSmoothedRequests; 1 disables smoothing. */
   const double mSmoothing;
   std::mt19937_64 mRandom;
   time_point mNow = kStart;
@@ -276,7 +280,8 @@
         int aServers,
         std::uint64_t aSeed)
 {
-  const auto result = day(aPolicy, aSmoothing, aServers, aSeed).Run();
+  const auto result =
+    day_simulation(aPolicy, aSmoothing, aServers, aSeed).Run();
   std::vector<std::chrono::nanoseconds> all;
   std::chrono::nanoseconds worst{ 0 };
   for (const auto& latencies : result.mLatencies) {
@@ -285,15 +290,15 @@
   }
   const auto served = static_cast<double>(result.mServed);
   const auto refused = static_cast<double>(result.mRefused);
-  aFile.Row({ aName,
-              Text(result.mServerSeconds / served * 1000),
-              Text(Percentile(all, 0.99)),
-              Text(worst),
-              Text(refused / (served + refused)),
-              std::to_string(result.mStarts),
-              std::to_string(result.mStops),
-              std::to_string(result.mFewest),
-              std::to_string(result.mMost) });
+  aFile.WriteRow({ aName,
+                   Format(result.mServerSeconds / served * 1000),
+                   Format(Percentile(all, 0.99)),
+                   Format(worst),
+                   Format(refused / (served + refused)),
+                   std::to_string(result.mStarts),
+                   std::to_string(result.mStops),
+                   std::to_string(result.mMinimumServers),
+                   std::to_string(result.mMaximumServers) });
 }
 
 } // namespace
@@ -315,11 +320,11 @@
   policy.mMinimum = 1;
   policy.mMaximum = 4;
   for (const double smoothing : { 1.0, 0.05 }) {
-    for (const double lowUse : { 0.5, 0.7 }) {
-      policy.mLowUtilisation = lowUse;
+    for (const double lowUtilisation : { 0.5, 0.7 }) {
+      policy.mLowUtilisation = lowUtilisation;
       Measure(file,
-              "scaled; low use " + Text(lowUse) + "; newest look " +
-                Text(smoothing),
+              "scaled; low use " + Format(lowUtilisation) + "; newest look " +
+                Format(smoothing),
               policy,
               smoothing,
               3,
--- a/Bench/Decision.cpp
+++ b/Bench/Decision.cpp
@@ -35,7 +35,7 @@
   return table;
 }
 
-/** The decision that this replaces: every view is copied and looked at. */
+/** Baseline for comparison: copies every usable report before it chooses. */
 std::size_t
 ChooseByCopy(const std::vector<server_report>& aReports,
              std::mt19937_64& aRandom)
@@ -104,11 +104,11 @@
     });
     const auto copy = Time(servers > 100 ? 200 : 20000,
                            [&](int) { ChooseByCopy(reports, random); });
-    file.Row({ std::to_string(servers),
-               std::to_string(plain.count()),
-               std::to_string(affine.count()),
-               std::to_string(report.count()),
-               std::to_string(copy.count()) });
+    file.WriteRow({ std::to_string(servers),
+                    std::to_string(plain.count()),
+                    std::to_string(affine.count()),
+                    std::to_string(report.count()),
+                    std::to_string(copy.count()) });
   }
   std::vector<std::string> servers;
   std::vector<std::string> entries;
@@ -124,7 +124,7 @@
     FindSubset(
       servers, entries, entries[static_cast<std::size_t>(aNumber)], 30);
   });
-  subset.Row({ "1200", "360", "30", Text(time) });
+  subset.WriteRow({ "1200", "360", "30", Format(time) });
 }
 
 } // namespace lavender::bench
--- a/Bench/Experiments.h
+++ b/Bench/Experiments.h
@@ -9,61 +9,68 @@
 
 struct experiment_options
 {
-  /** Folder of the CSV files. */
+  /** Folder that the CSV files are written to. */
   std::string mFolder = ".";
   std::uint64_t mSeed = 1;
   /** Length of each run in an experiment. */
-  std::chrono::seconds mFor{ 10 };
-  /** Sizes that slopes are measured at. */
+  std::chrono::seconds mDuration{ 10 };
+  /** Numbers of agents that RunSlopes measures. */
   std::vector<int> mSizes{ 10, 40, 160 };
 };
 
-/** Through entry and agent against the same engines called directly. */
+/** Compares requests through entry and agent with direct requests to the same
+ * engines. */
 void
 RunThroughput(const experiment_options& aOptions);
 
-/** One customer at ten times its share, fair queue against first come. */
+/** Compares the fair queue with first-come order while one customer sends ten
+ * times its share. */
 void
 RunFairness(const experiment_options& aOptions);
 
-/** Twice the capacity, between two spells of ordinary load. */
+/** Offers twice the capacity between two phases of normal load. */
 void
 RunOverload(const experiment_options& aOptions);
 
-/** Routing policies on the real programs: all well, one server five times
- * slower, one that fails at once. */
+/** Compares routing policies on the real programs: with all servers healthy,
+ * with one that is five times slower, and with one that fails immediately. */
 void
 RunRouting(const experiment_options& aOptions);
 
-/** Routing decisions with reports that lag, on an event loop of servers. */
+/** Compares routing policies with delayed server reports, in a discrete-event
+ * simulation. */
 void
 RunLag(const experiment_options& aOptions);
 
-/** Cost of one routing decision at 9, 30 and 1,200 servers. */
+/** Measures the time of one routing decision at 9, 30 and 1,200 servers. */
 void
 RunDecision(const experiment_options& aOptions);
 
-/** Servers started and stopped by the scale decision against fixed fleets, on
- * a day of load in an event loop. */
+/** Compares automatic scaling with fixed numbers of servers in a simulated day
+ * of load. */
 void
 RunCost(const experiment_options& aOptions);
 
-/** What an entry and an agent cost at rest, by number of agents and of
- * entries. */
+/** Measures CPU time and memory of idle entries and agents by the number of
+ * agents and entries, the sizes of their messages, and the cost of
+ * configuration changes. */
 void
 RunSlopes(const experiment_options& aOptions);
 
-/** Resident memory of an entry's state, its configuration and its view of the
- * servers, at the two-year size; CSV on standard output. */
+/** Measures the resident memory of an entry's configuration and view of the
+ * servers at the size planned for in two years. Prints CSV to standard
+ * output. */
 void
 RunStateMemory(const experiment_options& aOptions);
 
-/** Calls to the Object API for leases, by entries and leases, and the bytes of
- * a usage window, by customers and agents. */
+/** Measures the Object API calls for leases by the number of entries and
+ * leases, and the size of a usage window by the number of customers and
+ * agents. */
 void
 RunLeases(const experiment_options& aOptions);
 
-/** Orders and places of a training step's items, on emulated engines. */
+/** Compares start orders and server placements of a training step's items on
+ * emulated engines. */
 void
 RunBatchOrder(const experiment_options& aOptions);
 
--- a/Bench/Fairness.cpp
+++ b/Bench/Fairness.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr std::size_t kThreads = 768;
-/** Requests of 24 tokens on average (20, one in twenty 100) of 10 ms, on 9
- * servers of 4 slots: about 150 a second. */
+/** Requests per second that 9 servers of 4 slots can serve at 10 ms per token
+ * and 24 tokens per request on average (20, one request in twenty 100). */
 constexpr double kCapacity = 150;
 constexpr int kCustomers = 8;
 
-struct account
+struct customer_result
 {
   std::vector<std::chrono::nanoseconds> mLatencies;
   std::size_t mSent = 0;
@@ -22,10 +22,10 @@
   std::size_t mWithoutRetryAfter = 0;
 };
 
-std::vector<account>
-AddUp(const std::vector<served>& aResults)
+std::vector<customer_result>
+SummariseByCustomer(const std::vector<request_result>& aResults)
 {
-  std::vector<account> accounts(kCustomers);
+  std::vector<customer_result> accounts(kCustomers);
   for (const auto& one : aResults) {
     auto& account = accounts[one.mCustomer];
     ++account.mSent;
@@ -63,27 +63,28 @@
     traffic.push_back(
       { "customer-" + std::to_string(i), share * (i == 0 ? 10 : 0.5), 20, 8 });
   }
-  const auto arrivals = MakeArrivals(traffic, aOptions.mFor, aOptions.mSeed);
+  const auto arrivals =
+    MakeArrivals(traffic, aOptions.mDuration, aOptions.mSeed);
   for (const char* policy : { "first-come", "fair" }) {
     site_options options;
     options.mQueuePolicy = policy;
     site site(options);
-    const auto accounts = AddUp(RunOpenLoop(
+    const auto accounts = SummariseByCustomer(RunOpenLoop(
       arrivals, kThreads, [&](std::size_t aIndex, const arrival& aArrival) {
         return site.Send(aIndex, aArrival);
       }));
     for (std::size_t i = 0; i < accounts.size(); ++i) {
       const auto& one = accounts[i];
-      file.Row({ policy,
-                 traffic[i].mName,
-                 i == 0 ? "10" : "0.5",
-                 std::to_string(one.mSent),
-                 std::to_string(one.mLatencies.size()),
-                 std::to_string(one.mRefused),
-                 std::to_string(one.mFailed),
-                 std::to_string(one.mWithoutRetryAfter),
-                 Text(Percentile(one.mLatencies, 0.5)),
-                 Text(Percentile(one.mLatencies, 0.99)) });
+      file.WriteRow({ policy,
+                      traffic[i].mName,
+                      i == 0 ? "10" : "0.5",
+                      std::to_string(one.mSent),
+                      std::to_string(one.mLatencies.size()),
+                      std::to_string(one.mRefused),
+                      std::to_string(one.mFailed),
+                      std::to_string(one.mWithoutRetryAfter),
+                      Format(Percentile(one.mLatencies, 0.5)),
+                      Format(Percentile(one.mLatencies, 0.99)) });
     }
   }
 }
--- a/Bench/Lag.cpp
+++ b/Bench/Lag.cpp
@@ -18,22 +18,24 @@
 constexpr int kEntries = 3;
 constexpr int kSlots = 4;
 constexpr auto kPerToken = 10ms;
-constexpr auto kFailsAfter = 2ms;
-constexpr auto kReportEvery = 100ms;
+constexpr auto kFailureLatency = 2ms;
+constexpr auto kReportInterval = 100ms;
 constexpr double kLoad = 0.7;
 constexpr double kMeanTokens = 24;
-constexpr int kSlow = 5;
+constexpr int kSlowFactor = 5;
 const time_point kStart(1h);
 
 enum class policy
 {
   Random,
   RoundRobin,
-  /** Two choices by the last report alone. */
+  /** The better of two random servers by the last report alone. */
   ReportOnly,
-  /** Two choices by the report and all own requests in flight. */
+  /** The better of two random servers by the last report and all of the entry's
+   * own requests in flight. */
   ReportAndInFlight,
-  Chosen
+  /** The production policy. */
+  TwoChoices
 };
 
 enum class fault
@@ -56,9 +58,9 @@
   std::chrono::nanoseconds mPerToken = kPerToken;
   bool mFails = false;
   int mRunning = 0;
-  std::deque<request> mLine;
-  /** Measures the drain rate as an agent does. */
-  admission::fair_queue mMeasure;
+  std::deque<request> mQueue;
+  /** Measures the throughput in the way an agent does. */
+  admission::fair_queue mThroughputMeter;
 };
 
 struct outcome
@@ -67,11 +69,12 @@
   int mErrors = 0;
 };
 
-/** Servers, entries with their tables, and events in order of time. */
-class event_loop
+/** Discrete-event simulation of servers and of entries with their routing
+ * tables. */
+class simulation
 {
 public:
-  event_loop(policy aPolicy,
+  simulation(policy aPolicy,
              fault aFault,
              std::chrono::milliseconds aLag,
              std::vector<arrival> aArrivals,
@@ -84,9 +87,9 @@
     , mTables(kEntries)
   {
     for (auto& server : mServers) {
-      server.mMeasure.mLimits.mSlots = kSlots;
+      server.mThroughputMeter.mLimits.mSlots = kSlots;
     }
-    mServers[0].mPerToken *= aFault == fault::OneSlow ? kSlow : 1;
+    mServers[0].mPerToken *= aFault == fault::OneSlow ? kSlowFactor : 1;
     mServers[0].mFails = aFault == fault::OneFails;
     for (auto& table : mTables) {
       table.mLimits.mHeartbeat = 30s;
@@ -100,14 +103,14 @@
   outcome Run()
   {
     for (int i = 0; i < kServers; ++i) {
-      Deliver(i, kStart);
+      DeliverReport(i, kStart);
     }
     const auto end = kStart + mArrivals.back().mAt;
-    for (auto at = kStart + 1ms; at < end; at += kReportEvery) {
-      At(at, [this, at] { Report(at); });
+    for (auto at = kStart + 1ms; at < end; at += kReportInterval) {
+      ScheduleAt(at, [this, at] { SendReports(at); });
     }
     for (std::size_t i = 0; i < mArrivals.size(); ++i) {
-      At(kStart + mArrivals[i].mAt, [this, i] { Arrive(i); });
+      ScheduleAt(kStart + mArrivals[i].mAt, [this, i] { HandleArrival(i); });
     }
     while (!mEvents.empty()) {
       const auto event = mEvents.top();
@@ -131,37 +134,38 @@
     }
   };
 
-  void At(time_point aAt, std::function<void()> aAction)
+  void ScheduleAt(time_point aAt, std::function<void()> aAction)
   {
     mEvents.push({ aAt, mNextEvent++, std::move(aAction) });
   }
 
-  server_report Describe(int aServer, time_point aMadeAt) const
+  server_report MakeReport(int aServer, time_point aGeneratedAt) const
   {
     const auto& server = mServers[static_cast<std::size_t>(aServer)];
     server_report report;
     report.mName = std::to_string(aServer);
     report.mSlots = kSlots;
-    report.mRequests = server.mRunning + static_cast<int>(server.mLine.size());
-    report.mTokensPerSecond = admission::MeasuredThroughput(server.mMeasure);
+    report.mRequests = server.mRunning + static_cast<int>(server.mQueue.size());
+    report.mTokensPerSecond =
+      admission::MeasuredThroughput(server.mThroughputMeter);
     report.mAcceptsRequests = true;
-    report.mGeneratedAt = aMadeAt;
+    report.mGeneratedAt = aGeneratedAt;
     return report;
   }
 
-  void Deliver(int aServer, time_point aMadeAt)
+  void DeliverReport(int aServer, time_point aGeneratedAt)
   {
-    const auto report = Describe(aServer, aMadeAt);
+    const auto report = MakeReport(aServer, aGeneratedAt);
     for (auto& table : mTables) {
-      ApplyReport(table, report, aMadeAt);
+      ApplyReport(table, report, aGeneratedAt);
     }
   }
 
-  void Report(time_point aMadeAt)
+  void SendReports(time_point aGeneratedAt)
   {
     for (int i = 0; i < kServers; ++i) {
-      const auto report = Describe(i, aMadeAt);
-      At(aMadeAt + mLag, [this, report] {
+      const auto report = MakeReport(i, aGeneratedAt);
+      ScheduleAt(aGeneratedAt + mLag, [this, report] {
         for (auto& table : mTables) {
           ApplyReport(table, report, mNow);
         }
@@ -169,7 +173,7 @@
     }
   }
 
-  std::string Pick(pool_table& aTable)
+  std::string PickServer(pool_table& aTable)
   {
     if (mPolicy != policy::ReportOnly && mPolicy != policy::ReportAndInFlight) {
       return *ChooseServer(aTable, {}, mRandom, mNow);
@@ -187,18 +191,18 @@
                                        : second.mReport.mName;
   }
 
-  void Arrive(std::size_t aArrival)
+  void HandleArrival(std::size_t aArrival)
   {
     request request;
     request.mArrival = aArrival;
     request.mEntry = aArrival % kEntries;
     request.mSentAt = mNow;
     auto& table = mTables[request.mEntry];
-    const auto name = Pick(table);
+    const auto name = PickServer(table);
     RecordSent(table, name, 0, mNow);
     const auto index = static_cast<std::size_t>(std::stoi(name));
     if (mServers[index].mFails) {
-      At(mNow + kFailsAfter, [this, request, name] {
+      ScheduleAt(mNow + kFailureLatency, [this, request, name] {
         ++mOutcome.mErrors;
         RecordEnd(mTables[request.mEntry],
                   name,
@@ -208,30 +212,33 @@
       });
       return;
     }
-    mServers[index].mLine.push_back(request);
+    mServers[index].mQueue.push_back(request);
     StartNext(index);
   }
 
   void StartNext(std::size_t aServer)
   {
     auto& server = mServers[aServer];
-    if (server.mRunning >= kSlots || server.mLine.empty()) {
+    if (server.mRunning >= kSlots || server.mQueue.empty()) {
       return;
     }
-    auto request = server.mLine.front();
-    server.mLine.pop_front();
+    auto request = server.mQueue.front();
+    server.mQueue.pop_front();
     request.mStartedAt = mNow;
     ++server.mRunning;
     const auto tokens = mArrivals[request.mArrival].mTokens;
-    At(mNow + server.mPerToken * tokens,
-       [this, request, aServer, tokens] { End(request, aServer, tokens); });
+    ScheduleAt(mNow + server.mPerToken * tokens,
+               [this, request, aServer, tokens] {
+                 HandleEnd(request, aServer, tokens);
+               });
   }
 
-  void End(const request& aRequest, std::size_t aServer, int aTokens)
+  void HandleEnd(const request& aRequest, std::size_t aServer, int aTokens)
   {
     auto& server = mServers[aServer];
     --server.mRunning;
-    admission::RecordRun(server.mMeasure, aTokens, mNow - aRequest.mStartedAt);
+    admission::RecordRun(
+      server.mThroughputMeter, aTokens, mNow - aRequest.mStartedAt);
     mOutcome.mLatencies.push_back(mNow - aRequest.mSentAt);
     RecordEnd(mTables[aRequest.mEntry],
               std::to_string(aServer),
@@ -276,28 +283,30 @@
     { policy::RoundRobin, "round-robin" },
     { policy::ReportOnly, "report only" },
     { policy::ReportAndInFlight, "report and all in flight" },
-    { policy::Chosen, "two-choices" }
+    { policy::TwoChoices, "two-choices" }
   };
   for (const auto& [fault, scenario] : faults) {
-    const double whole = fault == fault::None      ? kServers
-                         : fault == fault::OneSlow ? kServers - 1 + 1.0 / kSlow
-                                                   : kServers - 1;
+    const double healthyServers = fault == fault::None ? kServers
+                                  : fault == fault::OneSlow
+                                    ? kServers - 1 + 1.0 / kSlowFactor
+                                    : kServers - 1;
     const double perSecond =
-      kLoad * whole * kSlots /
+      kLoad * healthyServers * kSlots /
       (kMeanTokens * std::chrono::duration<double>(kPerToken).count());
     const auto arrivals =
       MakeArrivals({ { "all", perSecond, 20, 1 } }, 10min, aOptions.mSeed);
     for (const auto lag : { 100ms, 1000ms, 5000ms }) {
       for (const auto& [policy, name] : policies) {
-        event_loop loop(policy, fault, lag, arrivals, aOptions.mSeed);
-        const auto result = loop.Run();
-        file.Row({ scenario,
-                   std::to_string(lag.count()),
-                   name,
-                   std::to_string(result.mLatencies.size()),
-                   Text(result.mErrors / static_cast<double>(arrivals.size())),
-                   Text(Percentile(result.mLatencies, 0.5)),
-                   Text(Percentile(result.mLatencies, 0.99)) });
+        simulation simulation(policy, fault, lag, arrivals, aOptions.mSeed);
+        const auto result = simulation.Run();
+        file.WriteRow(
+          { scenario,
+            std::to_string(lag.count()),
+            name,
+            std::to_string(result.mLatencies.size()),
+            Format(result.mErrors / static_cast<double>(arrivals.size())),
+            Format(Percentile(result.mLatencies, 0.5)),
+            Format(Percentile(result.mLatencies, 0.99)) });
       }
     }
   }
--- a/Bench/Leases.cpp
+++ b/Bench/Leases.cpp
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-/** Calls that the Object API counted so far. */
+/** Total calls that the Object API has counted. */
 struct call_count
 {
   double mReads = 0;
@@ -32,7 +32,8 @@
            static_cast<double>(json::IntegerAt(*body, "PUT", 0)) };
 }
 
-/** That many entries that all want that many leases, in this process. */
+/** Measures Object API calls while aEntries lease managers in this process all
+ * compete for aLeases leases. */
 void
 MeasureLeases(csv_file& aFile,
               int aEntries,
@@ -50,7 +51,7 @@
   for (int i = 0; i < aEntries; ++i) {
     names.push_back("entry-" + std::to_string(i));
   }
-  std::vector<std::unique_ptr<leases::lease_manager>> keepers;
+  std::vector<std::unique_ptr<leases::lease_manager>> managers;
   for (const auto& name : names) {
     leases::lease_manager_options options;
     options.mPlatform.mEndpoint = { "127.0.0.1", server.Port() };
@@ -58,33 +59,34 @@
     options.mName = name;
     options.mIncarnation = MakeRandomName();
     options.mEntries = [names] { return names; };
-    keepers.push_back(std::make_unique<leases::lease_manager>(options));
+    managers.push_back(std::make_unique<leases::lease_manager>(options));
     for (int lease = 0; lease < aLeases; ++lease) {
-      keepers.back()->StartAcquiring("lease-" + std::to_string(lease));
+      managers.back()->StartAcquiring("lease-" + std::to_string(lease));
     }
   }
-  // Until the preferred ones hold and the rest has settled into its pace.
+  // Wait until the preferred entries hold the leases and the others poll at
+  // their steady rate.
   std::this_thread::sleep_for(6s);
   const auto before = Count(platform);
   std::this_thread::sleep_for(aFor);
   const auto after = Count(platform);
-  int most = 0;
-  for (const auto& keeper : keepers) {
+  int maximumHeld = 0;
+  for (const auto& manager : managers) {
     int held = 0;
     for (int lease = 0; lease < aLeases; ++lease) {
-      held += keeper->Held("lease-" + std::to_string(lease)).has_value();
+      held += manager->Held("lease-" + std::to_string(lease)).has_value();
     }
-    most = std::max(most, held);
+    maximumHeld = std::max(maximumHeld, held);
   }
   const auto seconds = static_cast<double>(aFor.count());
-  aFile.Row({ std::to_string(aEntries),
-              std::to_string(aLeases),
-              Text((after.mReads - before.mReads) / seconds / aLeases),
-              Text((after.mWrites - before.mWrites) / seconds / aLeases),
-              std::to_string(most) });
+  aFile.WriteRow({ std::to_string(aEntries),
+                   std::to_string(aLeases),
+                   Format((after.mReads - before.mReads) / seconds / aLeases),
+                   Format((after.mWrites - before.mWrites) / seconds / aLeases),
+                   std::to_string(maximumHeld) });
 }
 
-/** Bytes that the Object API holds for one window. */
+/** Writes the stored size in bytes of one usage window. */
 void
 MeasureWindow(csv_file& aFile, int aCustomers, int aAgents)
 {
@@ -100,9 +102,9 @@
   for (int i = 0; i < aAgents; ++i) {
     report.mMarks.mAgents[MakeRandomName()] = report.mWindow;
   }
-  aFile.Row({ std::to_string(aCustomers),
-              std::to_string(aAgents),
-              std::to_string(json::Write(usage::ToJson(report)).size()) });
+  aFile.WriteRow({ std::to_string(aCustomers),
+                   std::to_string(aAgents),
+                   std::to_string(json::Write(usage::ToJson(report)).size()) });
 }
 
 } // namespace
@@ -118,7 +120,7 @@
                    "most_held_by_one" });
   for (const auto& [entries, leases] :
        { std::pair{ 2, 6 }, { 8, 6 }, { 40, 6 }, { 8, 34 } }) {
-    MeasureLeases(calls, entries, leases, aOptions.mFor);
+    MeasureLeases(calls, entries, leases, aOptions.mDuration);
   }
   csv_file windows(aOptions.mFolder + "/usage-windows.csv",
                    { "customers", "agents", "bytes" });
--- a/Bench/Load.cpp
+++ b/Bench/Load.cpp
@@ -41,7 +41,7 @@
 
 std::vector<arrival>
 MakeArrivals(const std::vector<customer_traffic>& aTraffic,
-             std::chrono::milliseconds aFor,
+             std::chrono::milliseconds aDuration,
              std::uint64_t aSeed)
 {
   std::mt19937_64 random(aSeed);
@@ -52,7 +52,7 @@
     std::exponential_distribution<double> gap(traffic.mPerSecond);
     std::uniform_int_distribution<int> prefix(0, traffic.mPrefixes - 1);
     std::chrono::duration<double> at(gap(random));
-    while (at < aFor) {
+    while (at < aDuration) {
       const bool isTail = uniform(random) < kTailShare;
       const int tokens = traffic.mTokens * (isTail ? kTailFactor : 1);
       const int document = static_cast<int>(i) * 1000 + prefix(random);
@@ -72,12 +72,12 @@
   return arrivals;
 }
 
-std::vector<served>
+std::vector<request_result>
 RunOpenLoop(const std::vector<arrival>& aArrivals,
             std::size_t aThreads,
-            const sender& aSend)
+            const send_function& aSend)
 {
-  std::vector<served> results(aArrivals.size());
+  std::vector<request_result> results(aArrivals.size());
   std::atomic<std::size_t> next{ 0 };
   const auto start = clock::now();
   RunThreads(aThreads, [&] {
@@ -101,19 +101,19 @@
   return results;
 }
 
-std::vector<served>
+std::vector<request_result>
 RunClosedLoop(std::size_t aClients,
-              std::chrono::milliseconds aFor,
+              std::chrono::milliseconds aDuration,
               const arrival& aRequest,
-              const sender& aSend)
+              const send_function& aSend)
 {
-  std::vector<served> results;
+  std::vector<request_result> results;
   std::mutex mutex;
   std::atomic<std::size_t> next{ 0 };
   const auto start = clock::now();
   RunThreads(aClients, [&] {
-    std::vector<served> own;
-    while (clock::now() - start < aFor) {
+    std::vector<request_result> own;
+    while (clock::now() - start < aDuration) {
       const auto sentAt = clock::now();
       auto result = aSend(next++, aRequest);
       result.mLatency = clock::now() - sentAt;
--- a/Bench/Load.h
+++ b/Bench/Load.h
@@ -8,14 +8,14 @@
 
 namespace lavender::bench {
 
-/** What one customer sends in an open loop: arrivals don't wait for answers. */
+/** One customer's open-loop traffic: arrivals don't wait for responses. */
 struct customer_traffic
 {
   std::string mName;
   double mPerSecond = 1;
-  /** Tokens of an answer; one in twenty has five times as many. */
+  /** Tokens of a response; one response in twenty has five times as many. */
   int mTokens = 20;
-  /** Different prompt beginnings, for prefix caches. */
+  /** Number of distinct prompt prefixes, which exercise the prefix caches. */
   int mPrefixes = 8;
 };
 
@@ -27,46 +27,48 @@
   std::string mPrompt;
 };
 
-/** How one request ended. */
-struct served
+/** Outcome of one request. */
+struct request_result
 {
   std::chrono::nanoseconds mAt{ 0 };
   std::chrono::nanoseconds mLatency{ 0 };
-  /** How late the generator itself was. */
+  /** Delay of the load generator between the planned and the actual send. */
   std::chrono::nanoseconds mLateness{ 0 };
   std::size_t mCustomer = 0;
   int mTokens = 0;
-  /** 0 without an answer. */
+  /** HTTP status; 0 if no response arrived. */
   int mStatus = 0;
   std::string mReason;
   std::int64_t mRetryAfter = 0;
 };
 
-/** Arrivals of all customers in order of time; the same for the same seed. */
+/** Returns the arrivals of all customers in order of time. The same seed gives
+ * the same arrivals. */
 std::vector<arrival>
 MakeArrivals(const std::vector<customer_traffic>& aTraffic,
-             std::chrono::milliseconds aFor,
+             std::chrono::milliseconds aDuration,
              std::uint64_t aSeed);
 
-/** A prompt with that many words after its prefix. */
+/** Makes a prompt of a prefix and aWords words. */
 std::string
 MakePrompt(int aPrefix, int aWords);
 
-using sender = std::function<served(std::size_t aIndex, const arrival&)>;
+using send_function =
+  std::function<request_result(std::size_t aIndex, const arrival&)>;
 
-/** Sends each arrival at its time, however the earlier ones fare.
- * @param aThreads requests that can be under way at once */
-std::vector<served>
+/** Sends each arrival at its time without waiting for earlier responses.
+ * @param aThreads maximum number of requests in flight */
+std::vector<request_result>
 RunOpenLoop(const std::vector<arrival>& aArrivals,
             std::size_t aThreads,
-            const sender& aSend);
+            const send_function& aSend);
 
-/** That many clients, each of which sends its next request when it has the
- * answer to the last. */
-std::vector<served>
+/** Runs aClients clients, each of which sends its next request once it has the
+ * response to its previous one. */
+std::vector<request_result>
 RunClosedLoop(std::size_t aClients,
-              std::chrono::milliseconds aFor,
+              std::chrono::milliseconds aDuration,
               const arrival& aRequest,
-              const sender& aSend);
+              const send_function& aSend);
 
 } // namespace lavender::bench
--- a/Bench/Overload.cpp
+++ b/Bench/Overload.cpp
@@ -12,8 +12,8 @@
 
 constexpr std::size_t kThreads = 1024;
 constexpr int kCustomers = 8;
-constexpr auto kCalm = 8s;
-constexpr double kCalmShare = 0.7;
+constexpr auto kNormalTime = 8s;
+constexpr double kNormalLoad = 0.7;
 constexpr double kOverload = 2;
 
 std::vector<arrival>
@@ -40,7 +40,8 @@
   double mTokens = 0;
 };
 
-/** What is served in a second with all slots kept busy, of the same mix. */
+/** Measures the requests and tokens served per second with all slots busy, on
+ * the same mix of requests. */
 capacity
 MeasureCapacity(site& aSite, std::uint64_t aSeed)
 {
@@ -64,7 +65,7 @@
   return { sum.mRequests / seconds, sum.mTokens / seconds };
 }
 
-struct second_account
+struct second_result
 {
   int mSent = 0;
   int mGood = 0;
@@ -76,14 +77,15 @@
   std::vector<std::chrono::nanoseconds> mRefusals;
 };
 
-/** Requests by the second in which they came, answers by that in which they
- * were given. */
-std::vector<second_account>
-AddUp(const std::vector<served>& aResults, std::chrono::seconds aFor)
+/** Counts requests by the second in which they were sent, and responses by the
+ * second in which they arrived. */
+std::vector<second_result>
+SummariseBySecond(const std::vector<request_result>& aResults,
+                  std::chrono::seconds aFor)
 {
-  std::vector<second_account> seconds(static_cast<std::size_t>(aFor.count()) +
-                                      1);
-  const auto at = [&](std::chrono::nanoseconds aTime) -> second_account& {
+  std::vector<second_result> seconds(static_cast<std::size_t>(aFor.count()) +
+                                     1);
+  const auto at = [&](std::chrono::nanoseconds aTime) -> second_result& {
     const auto index =
       std::chrono::duration_cast<std::chrono::seconds>(aTime).count();
     return seconds[std::min(static_cast<std::size_t>(index),
@@ -124,14 +126,17 @@
   site site({});
   const auto capacity = MeasureCapacity(site, aOptions.mSeed);
   std::vector<arrival> arrivals;
-  const std::chrono::milliseconds over = aOptions.mFor;
+  const std::chrono::milliseconds over = aOptions.mDuration;
   for (const auto& phase :
-       { MakePhase(capacity.mRequests * kCalmShare, 0ms, kCalm, aOptions.mSeed),
-         MakePhase(
-           capacity.mRequests * kOverload, kCalm, over, aOptions.mSeed + 1),
-         MakePhase(capacity.mRequests * kCalmShare,
-                   kCalm + over,
-                   kCalm,
+       { MakePhase(
+           capacity.mRequests * kNormalLoad, 0ms, kNormalTime, aOptions.mSeed),
+         MakePhase(capacity.mRequests * kOverload,
+                   kNormalTime,
+                   over,
+                   aOptions.mSeed + 1),
+         MakePhase(capacity.mRequests * kNormalLoad,
+                   kNormalTime + over,
+                   kNormalTime,
                    aOptions.mSeed + 2) }) {
     arrivals.insert(arrivals.end(), phase.begin(), phase.end());
   }
@@ -139,24 +144,25 @@
     arrivals, kThreads, [&](std::size_t aIndex, const arrival& aArrival) {
       return site.Send(aIndex, aArrival);
     });
-  const auto total = aOptions.mFor + 2 * kCalm;
-  const auto seconds = AddUp(results, total);
+  const auto total = aOptions.mDuration + 2 * kNormalTime;
+  const auto seconds = SummariseBySecond(results, total);
   for (std::size_t i = 0; i < seconds.size(); ++i) {
     const auto& one = seconds[i];
-    file.Row({ std::to_string(i),
-               std::to_string(one.mSent),
-               std::to_string(one.mGood),
-               std::to_string(one.mRefused),
-               std::to_string(one.mFailed),
-               std::to_string(one.mWithoutRetryAfter),
-               Text(Percentile(one.mLatencies, 0.99)),
-               Text(Percentile(one.mRefusals, 0.99)) });
+    file.WriteRow({ std::to_string(i),
+                    std::to_string(one.mSent),
+                    std::to_string(one.mGood),
+                    std::to_string(one.mRefused),
+                    std::to_string(one.mFailed),
+                    std::to_string(one.mWithoutRetryAfter),
+                    Format(Percentile(one.mLatencies, 0.99)),
+                    Format(Percentile(one.mRefusals, 0.99)) });
   }
   int good = 0;
   int goodTokens = 0;
   std::vector<std::chrono::nanoseconds> refusals;
   std::vector<std::chrono::nanoseconds> lateness;
-  for (auto i = kCalm.count() + 1; i < kCalm.count() + aOptions.mFor.count();
+  for (auto i = kNormalTime.count() + 1;
+       i < kNormalTime.count() + aOptions.mDuration.count();
        ++i) {
     const auto& one = seconds[static_cast<std::size_t>(i)];
     good += one.mGood;
@@ -166,7 +172,7 @@
   for (const auto& one : results) {
     lateness.push_back(one.mLateness);
   }
-  const auto measured = static_cast<double>(aOptions.mFor.count() - 1);
+  const auto measured = static_cast<double>(aOptions.mDuration.count() - 1);
   csv_file summary(aOptions.mFolder + "/overload-summary.csv",
                    { "capacity_per_second",
                      "goodput_per_second",
@@ -175,13 +181,13 @@
                      "refusal_p50_ms",
                      "refusal_p99_ms",
                      "generator_late_p99_ms" });
-  summary.Row({ Text(capacity.mRequests),
-                Text(good / measured),
-                Text(good / measured / capacity.mRequests),
-                Text(goodTokens / measured / capacity.mTokens),
-                Text(Percentile(refusals, 0.5)),
-                Text(Percentile(refusals, 0.99)),
-                Text(Percentile(lateness, 0.99)) });
+  summary.WriteRow({ Format(capacity.mRequests),
+                     Format(good / measured),
+                     Format(good / measured / capacity.mRequests),
+                     Format(goodTokens / measured / capacity.mTokens),
+                     Format(Percentile(refusals, 0.5)),
+                     Format(Percentile(refusals, 0.99)),
+                     Format(Percentile(lateness, 0.99)) });
 }
 
 } // namespace lavender::bench
--- a/Bench/ProcessCost.cpp
+++ b/Bench/ProcessCost.cpp
@@ -15,8 +15,8 @@
   std::ifstream stat(folder + "/stat");
   std::string line;
   std::getline(stat, line);
-  // The name in parentheses may hold spaces; utime and stime are the 12th and
-  // 13th field after it, the thread count the 18th.
+  // The process name in parentheses may contain spaces. After it, utime and
+  // stime are the 12th and 13th fields, and the thread count is the 18th.
   std::istringstream fields(line.substr(line.rfind(')') + 1));
   std::string field;
   std::int64_t ticks = 0;
@@ -27,7 +27,7 @@
       cost.mThreads = std::stoi(field);
     }
   }
-  cost.mProcessor =
+  cost.mCpuTime =
     std::chrono::nanoseconds(ticks * (1000000000 / sysconf(_SC_CLK_TCK)));
   std::ifstream status(folder + "/status");
   while (std::getline(status, line)) {
--- a/Bench/ProcessCost.h
+++ b/Bench/ProcessCost.h
@@ -6,15 +6,15 @@
 
 namespace lavender::bench {
 
-/** What the kernel counted for one process. */
+/** Resource usage of one process as counted by the kernel. */
 struct process_cost
 {
-  std::chrono::nanoseconds mProcessor{ 0 };
+  std::chrono::nanoseconds mCpuTime{ 0 };
   std::int64_t mResidentKilobytes = 0;
   int mThreads = 0;
 };
 
-/** Zeros when the process is gone. */
+/** Reads a process's usage from /proc; zeros if the process has ended. */
 process_cost
 ReadCost(pid_t aProcess);
 
--- a/Bench/Results.cpp
+++ b/Bench/Results.cpp
@@ -23,11 +23,11 @@
                    const std::vector<std::string>& aHeader)
   : mStream(aPath)
 {
-  Row(aHeader);
+  WriteRow(aHeader);
 }
 
 void
-csv_file::Row(const std::vector<std::string>& aFields)
+csv_file::WriteRow(const std::vector<std::string>& aFields)
 {
   const auto line = Join(aFields);
   mStream << line << std::endl;
@@ -35,7 +35,7 @@
 }
 
 std::string
-Text(double aNumber)
+Format(double aNumber)
 {
   char buffer[32];
   std::snprintf(buffer, sizeof(buffer), "%.4g", aNumber);
@@ -43,7 +43,7 @@
 }
 
 std::string
-Text(std::chrono::nanoseconds aDuration)
+Format(std::chrono::nanoseconds aDuration)
 {
   const std::chrono::duration<double, std::milli> milliseconds = aDuration;
   char buffer[32];
--- a/Bench/Results.h
+++ b/Bench/Results.h
@@ -5,28 +5,30 @@
 #include <string>
 #include <vector>
 
-/** Load and experiments on the real programs before stand-ins. */
+/** Load generators and experiments, which run the real programs against
+ * stand-ins of the platform and the engines. */
 namespace lavender::bench {
 
-/** A CSV file with a header line. */
+/** Writes rows to a CSV file with a header line and to standard output. */
 class csv_file
 {
 public:
   csv_file(const std::string& aPath, const std::vector<std::string>& aHeader);
-  void Row(const std::vector<std::string>& aFields);
+  void WriteRow(const std::vector<std::string>& aFields);
 
 private:
   std::ofstream mStream;
 };
 
 std::string
-Text(double aNumber);
+Format(double aNumber);
 
-/** In milliseconds with two decimals. */
+/** Formats a duration in milliseconds with two decimals. */
 std::string
-Text(std::chrono::nanoseconds aDuration);
+Format(std::chrono::nanoseconds aDuration);
 
-/** The value below which that share of the durations lies; zero for none. */
+/** Returns the duration below which the share aShare (0 to 1) of the durations
+ * lies; zero if there are no durations. */
 std::chrono::nanoseconds
 Percentile(std::vector<std::chrono::nanoseconds> aDurations, double aShare);
 
--- a/Bench/Routing.cpp
+++ b/Bench/Routing.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr std::size_t kThreads = 512;
-/** Of the capacity with all servers well. */
+/** Offered load as a share of the capacity with all servers healthy. */
 constexpr double kLoad = 0.5;
 constexpr double kCapacity = 150;
-constexpr int kSlow = 5;
+constexpr int kSlowFactor = 5;
 constexpr int kPerToken = 10000;
 constexpr int kPrefill = 100;
 
@@ -39,10 +39,11 @@
     traffic.push_back(
       { "customer-" + std::to_string(i), kCapacity * kLoad / 8, 20, 20 });
   }
-  const auto arrivals = MakeArrivals(traffic, aOptions.mFor, aOptions.mSeed);
+  const auto arrivals =
+    MakeArrivals(traffic, aOptions.mDuration, aOptions.mSeed);
   const scenario scenarios[] = {
     { "all well", "per_token_us", kPerToken },
-    { "one five times slower", "per_token_us", kPerToken * kSlow },
+    { "one five times slower", "per_token_us", kPerToken * kSlowFactor },
     { "one fails at once", "fail_fast", true }
   };
   for (const auto& scenario : scenarios) {
@@ -62,14 +63,14 @@
           latencies.push_back(one.mLatency);
         }
       }
-      file.Row({ scenario.mName,
-                 policy,
-                 std::to_string(results.size()),
-                 std::to_string(latencies.size()),
-                 std::to_string(results.size() - latencies.size()),
-                 Text(Percentile(latencies, 0.5)),
-                 Text(Percentile(latencies, 0.99)),
-                 Text(site.PrefixHitShare()) });
+      file.WriteRow({ scenario.mName,
+                      policy,
+                      std::to_string(results.size()),
+                      std::to_string(latencies.size()),
+                      std::to_string(results.size() - latencies.size()),
+                      Format(Percentile(latencies, 0.5)),
+                      Format(Percentile(latencies, 0.99)),
+                      Format(site.PrefixHitShare()) });
     }
   }
 }
--- a/Bench/Site.cpp
+++ b/Bench/Site.cpp
@@ -11,13 +11,13 @@
 constexpr const char* kPool = "model-pool";
 constexpr const char* kModel = "reports";
 const char* const kZones[] = { "bogota", "medellin", "cali" };
-/** Two polls of each entry, so that all agents' reports are known. */
-constexpr auto kSettle = 1500ms;
+/** Covers two polls by each entry, so that each has all agents' reports. */
+constexpr auto kSettleTime = 1500ms;
 
-served
-ToServed(const test::answer& aAnswer)
+request_result
+ToRequestResult(const test::answer& aAnswer)
 {
-  served result;
+  request_result result;
   result.mStatus = aAnswer.mStatus;
   if (const auto* error = aAnswer.mBody.Find("error")) {
     result.mReason = json::StringAt(*error, "reason", "");
@@ -63,10 +63,12 @@
   }
   for (const auto& key : mKeys) {
     if (!mFleet.WaitUntilServing(key, kModel)) {
-      throw std::runtime_error("the site didn't serve");
+      throw std::runtime_error(
+        "the deployment under test didn't start to serve the model \"reports\" "
+        "for every customer");
     }
   }
-  std::this_thread::sleep_for(kSettle);
+  std::this_thread::sleep_for(kSettleTime);
 }
 
 std::string
@@ -75,23 +77,24 @@
   return "server-" + std::to_string(aServer);
 }
 
-served
+request_result
 site::Send(std::size_t aIndex, const arrival& aArrival)
 {
-  return ToServed(test::Complete(mEntryPorts[aIndex % mEntryPorts.size()],
-                                 mKeys[aArrival.mCustomer],
-                                 kModel,
-                                 aArrival.mPrompt,
-                                 aArrival.mTokens));
+  return ToRequestResult(
+    test::Complete(mEntryPorts[aIndex % mEntryPorts.size()],
+                   mKeys[aArrival.mCustomer],
+                   kModel,
+                   aArrival.mPrompt,
+                   aArrival.mTokens));
 }
 
-served
+request_result
 site::SendDirect(std::size_t aIndex, const arrival& aArrival)
 {
   json::value body;
   body.Set("prompt", aArrival.mPrompt);
   body.Set("max_tokens", aArrival.mTokens);
-  return ToServed(test::Send(
+  return ToRequestResult(test::Send(
     mEnginePorts[aIndex % mEnginePorts.size()], "POST", "/generate", body));
 }
 
--- a/Bench/Site.h
+++ b/Bench/Site.h
@@ -21,23 +21,24 @@
   int mCustomers = 8;
 };
 
-/** The real programs on loopback: entries, agents, one engine stand-in for
- * each agent, the platform stand-in; eight customers of equal weight. */
+/** A deployment of the real programs on loopback: entries, agents, one engine
+ * stand-in for each agent and the platform stand-in, with customers of equal
+ * weight. */
 class site
 {
 public:
   explicit site(const site_options& aOptions);
 
   test::fleet& Fleet() { return mFleet; }
-  /** One completion at one of the entries, in turn. */
-  served Send(std::size_t aIndex, const arrival& aArrival);
-  /** The same prompt straight to one of the engines, in turn. */
-  served SendDirect(std::size_t aIndex, const arrival& aArrival);
-  /** Sets a fault of one engine. */
+  /** Requests one completion from an entry, chosen round-robin by aIndex. */
+  request_result Send(std::size_t aIndex, const arrival& aArrival);
+  /** Sends the prompt directly to an engine, chosen round-robin by aIndex. */
+  request_result SendDirect(std::size_t aIndex, const arrival& aArrival);
+  /** Injects a fault into one engine. */
   void SetFault(int aServer, const std::string& aFault, json::value aSetting);
-  /** Share of prompts whose prefix their engine had cached. */
+  /** Returns the share of prompts whose prefix the engine had cached. */
   double PrefixHitShare();
-  /** Customers' names, in the order of customer_traffic. */
+  /** Returns the customers' names in the order of customer_traffic. */
   const std::vector<std::string>& Customers() const { return mCustomers; }
 
 private:
--- a/Bench/Slopes.cpp
+++ b/Bench/Slopes.cpp
@@ -19,7 +19,7 @@
 constexpr int kCustomers = 8;
 constexpr int kChanges = 20;
 
-/** Bytes of a message as it is written into a frame. */
+/** Returns the size in bytes of a serialised message. */
 template<typename Message>
 std::uint32_t
 SizeOf(const Message& aMessage)
@@ -29,7 +29,7 @@
   return aMessage.write(&protocol);
 }
 
-/** Agents that share one engine stand-in, and entries. */
+/** Entries, and agents that share one engine stand-in. */
 struct light_fleet
 {
   test::fleet mFleet;
@@ -63,7 +63,8 @@
       mKey = mFleet.AddCustomer("customer-" + std::to_string(i));
     }
     if (!mFleet.WaitUntilServing(mKey, "reports")) {
-      throw std::runtime_error("the fleet didn't serve");
+      throw std::runtime_error(
+        "the fleet didn't start to serve the model \"reports\"");
     }
     std::this_thread::sleep_for(3s);
   }
@@ -88,8 +89,8 @@
   }
 };
 
-/** Sum over processes of the processor time since the first reading. */
-struct meter
+/** Measures CPU time and memory of a set of processes. */
+struct usage_meter
 {
   std::vector<pid_t> mIds;
   std::chrono::nanoseconds mBefore{ 0 };
@@ -98,12 +99,12 @@
   {
     std::chrono::nanoseconds sum{ 0 };
     for (const auto id : mIds) {
-      sum += ReadCost(id).mProcessor;
+      sum += ReadCost(id).mCpuTime;
     }
     return sum;
   }
   void Start() { mBefore = Now(); }
-  /** Share of one core for each process. */
+  /** Returns the mean share of one core that a process used since Start. */
   double Share(seconds aFor) const
   {
     return seconds(Now() - mBefore) / aFor / static_cast<double>(mIds.size());
@@ -119,14 +120,14 @@
 };
 
 void
-MeasureAtRest(csv_file& aFile,
-              int aAgents,
-              int aEntries,
-              std::chrono::seconds aFor)
+MeasureIdle(csv_file& aFile,
+            int aAgents,
+            int aEntries,
+            std::chrono::seconds aFor)
 {
   light_fleet fleet(aAgents, aEntries);
-  meter agents;
-  meter entries;
+  usage_meter agents;
+  usage_meter entries;
   for (std::size_t i = 0; i < fleet.mAgents.size(); ++i) {
     agents.mIds.push_back(fleet.AgentId(i));
   }
@@ -140,19 +141,19 @@
   const double agentShare = agents.Share(aFor);
   const double entryShare = entries.Share(aFor);
   const auto called = fleet.PlatformCalls() - calls;
-  aFile.Row({ std::to_string(aAgents),
-              std::to_string(aEntries),
-              Text(entryShare * 100),
-              Text(entries.MeanKilobytes() / 1024),
-              std::to_string(ReadCost(entries.mIds[0]).mThreads),
-              Text(agentShare * 100),
-              Text(agents.MeanKilobytes() / 1024),
-              std::to_string(ReadCost(agents.mIds[0]).mThreads),
-              Text(static_cast<double>(called) / aEntries /
-                   static_cast<double>(aFor.count())) });
+  aFile.WriteRow({ std::to_string(aAgents),
+                   std::to_string(aEntries),
+                   Format(entryShare * 100),
+                   Format(entries.MeanKilobytes() / 1024),
+                   std::to_string(ReadCost(entries.mIds[0]).mThreads),
+                   Format(agentShare * 100),
+                   Format(agents.MeanKilobytes() / 1024),
+                   std::to_string(ReadCost(agents.mIds[0]).mThreads),
+                   Format(static_cast<double>(called) / aEntries /
+                          static_cast<double>(aFor.count())) });
 }
 
-/** Bytes of what agents and entries tell each other, read off a live agent. */
+/** Writes the sizes of the messages between entries and a running agent. */
 void
 MeasureMessages(const experiment_options& aOptions)
 {
@@ -178,12 +179,12 @@
     2s, digest.echo, [&](auto& aClient, auto& aReply) {
       aClient.Report(aReply, digest);
     });
-  file.Row({ "poll", std::to_string(SizeOf(digest)) });
-  file.Row({ "report with 64 cached prefixes",
-             std::to_string(SizeOf(report.mReply)) });
+  file.WriteRow({ "poll", std::to_string(SizeOf(digest)) });
+  file.WriteRow({ "report with 64 cached prefixes",
+                  std::to_string(SizeOf(report.mReply)) });
   auto bare = report.mReply;
   bare.load.cached_prefixes.clear();
-  file.Row({ "report without", std::to_string(SizeOf(bare)) });
+  file.WriteRow({ "report without", std::to_string(SizeOf(bare)) });
   wire::usage_query query;
   query.echo = "usage";
   query.through_window = INT64_MAX;
@@ -191,20 +192,22 @@
     2s, query.echo, [&](auto& aClient, auto& aReply) {
       aClient.CollectUsage(aReply, query);
     });
-  file.Row({ "usage of one entry and customer in a window",
-             std::to_string(SizeOf(usage.mReply)) });
+  file.WriteRow({ "usage of one entry and customer in a window",
+                  std::to_string(SizeOf(usage.mReply)) });
   wire::dispatch_order order;
   order.request_id = std::string(32, 'e') + "-1.1";
   order.agent_incarnation = std::string(32, 'a');
   order.entry_incarnation = std::string(32, 'e');
-  file.Row({ "dispatch besides its payload", std::to_string(SizeOf(order)) });
+  file.WriteRow(
+    { "dispatch besides its payload", std::to_string(SizeOf(order)) });
   wire::dispatch_reply reply;
   reply.echo = order.request_id;
   reply.agent_incarnation = order.agent_incarnation;
-  file.Row({ "reply besides its answer", std::to_string(SizeOf(reply)) });
+  file.WriteRow({ "reply besides its answer", std::to_string(SizeOf(reply)) });
 }
 
-/** Time and processor time of configuration changes for all entries. */
+/** Measures the CPU time and platform calls of entries per configuration
+ * change. */
 void
 MeasureChanges(const experiment_options& aOptions, int aEntries)
 {
@@ -212,17 +215,17 @@
     aOptions.mFolder + "/changes-" + std::to_string(aEntries) + ".csv",
     { "entries", "changes", "entry_ms_per_change", "calls_per_change" });
   light_fleet fleet(1, aEntries);
-  meter entries;
+  usage_meter entries;
   for (std::size_t i = 0; i < fleet.mEntries.size(); ++i) {
     entries.mIds.push_back(fleet.EntryId(i));
   }
-  constexpr auto kRest = 4s;
+  constexpr auto kIdleTime = 4s;
   entries.Start();
   auto calls = fleet.PlatformCalls();
-  std::this_thread::sleep_for(kRest);
-  const double restShare = entries.Share(kRest);
-  const double restCalls =
-    static_cast<double>(fleet.PlatformCalls() - calls) / kRest.count();
+  std::this_thread::sleep_for(kIdleTime);
+  const double idleShare = entries.Share(kIdleTime);
+  const double idleCalls =
+    static_cast<double>(fleet.PlatformCalls() - calls) / kIdleTime.count();
   entries.Start();
   calls = fleet.PlatformCalls();
   const auto start = std::chrono::steady_clock::now();
@@ -233,13 +236,13 @@
     std::this_thread::sleep_for(150ms);
   }
   const seconds took = std::chrono::steady_clock::now() - start;
-  const double busy = entries.Share(took) - restShare;
+  const double busy = entries.Share(took) - idleShare;
   const double called = static_cast<double>(fleet.PlatformCalls() - calls) -
-                        restCalls * took.count();
-  file.Row({ std::to_string(aEntries),
-             std::to_string(kChanges),
-             Text(busy * took.count() * 1000 / kChanges),
-             Text(called / kChanges) });
+                        idleCalls * took.count();
+  file.WriteRow({ std::to_string(aEntries),
+                  std::to_string(kChanges),
+                  Format(busy * took.count() * 1000 / kChanges),
+                  Format(called / kChanges) });
 }
 
 } // namespace
@@ -258,10 +261,10 @@
                   "agent_threads",
                   "platform_calls_per_entry_second" });
   for (const int agents : aOptions.mSizes) {
-    MeasureAtRest(file, agents, 1, aOptions.mFor);
+    MeasureIdle(file, agents, 1, aOptions.mDuration);
   }
   for (const int entries : { 1, 3, 9, 27 }) {
-    MeasureAtRest(file, 3, entries, aOptions.mFor);
+    MeasureIdle(file, 3, entries, aOptions.mDuration);
   }
   MeasureMessages(aOptions);
   for (const int entries : { 1, 4, 16 }) {
--- a/Bench/StateMemory.cpp
+++ b/Bench/StateMemory.cpp
@@ -40,7 +40,7 @@
   return { aKind, aName, aRevision, std::move(stored) };
 }
 
-/** A watch's answer that brings the whole configuration. */
+/** Makes a watch response that contains the complete configuration. */
 platform::watch_batch
 MakeConfiguration(int aCustomers, int aKeys)
 {
@@ -68,7 +68,7 @@
 }
 
 void
-TakeServers(membership::directory_state& aState, int aServers)
+AddServers(membership::directory_state& aState, int aServers)
 {
   std::vector<platform::instance> list;
   for (int i = 0; i < aServers; ++i) {
@@ -112,7 +112,8 @@
   membership::directory_state directory;
   constexpr int kPart = 500;
   {
-    // In parts, as the watch brings it, so that no whole tree is ever held.
+    // Applied in parts, as the watch delivers it, so that the state never
+    // receives the whole tree in one batch.
     const auto all = MakeConfiguration(aCustomers, aKeys);
     platform::watch_batch part;
     for (const auto& event : all.mEvents) {
@@ -127,7 +128,7 @@
       ApplyWatchBatch(state, part, time_point{ std::chrono::seconds(1) });
     }
   }
-  TakeServers(directory, aServers);
+  AddServers(directory, aServers);
   malloc_trim(0);
   std::cout << aServers << "," << aCustomers << "," << aKeys << ","
             << ResidentMegabytes() - before << "," << ResidentMegabytes()
@@ -140,7 +141,8 @@
 RunStateMemory(const experiment_options&)
 {
   std::cout << "servers,customers,keys,state_mb,process_mb" << std::endl;
-  // The largest first: later ones reuse memory that it gave back.
+  // The largest size must come first: later measurements would reuse memory
+  // that earlier ones freed.
   Measure(1200, 1000, 10000);
 }
 
--- a/Bench/Throughput.cpp
+++ b/Bench/Throughput.cpp
@@ -31,12 +31,12 @@
     }
   }
   const double seconds = std::chrono::duration<double>(aFor).count();
-  aFile.Row({ aService,
-              aWay,
-              Text(static_cast<double>(latencies.size()) / seconds),
-              Text(Percentile(latencies, 0.5)),
-              Text(Percentile(latencies, 0.99)),
-              std::to_string(failed) });
+  aFile.WriteRow({ aService,
+                   aWay,
+                   Format(static_cast<double>(latencies.size()) / seconds),
+                   Format(Percentile(latencies, 0.5)),
+                   Format(Percentile(latencies, 0.99)),
+                   std::to_string(failed) });
 }
 
 } // namespace
@@ -51,7 +51,7 @@
   options.mSlots = 16;
   options.mPerTokenMicroseconds = 0;
   site site(options);
-  // Alternating, so that what else the machine does falls on both.
+  // The two paths alternate, so that other load on the machine affects both.
   for (const auto& [service, perToken] :
        { std::pair("1 token at once", 0),
          std::pair("20 tokens in 20 ms", 1000),
@@ -64,7 +64,7 @@
     request.mPrompt = MakePrompt(0, request.mTokens);
     for (int round = 0; round < 2; ++round) {
       for (const char* way : { "direct", "through" }) {
-        Measure(file, site, service, way, request, aOptions.mFor / 2);
+        Measure(file, site, service, way, request, aOptions.mDuration / 2);
       }
     }
   }
--- a/Bench/main.cpp
+++ b/Bench/main.cpp
@@ -73,7 +73,7 @@
   experiment_options options;
   options.mFolder = folder.getValue();
   options.mSeed = seed.getValue();
-  options.mFor = std::chrono::seconds(seconds.getValue());
+  options.mDuration = std::chrono::seconds(seconds.getValue());
   if (!sizes.getValue().empty()) {
     options.mSizes = sizes.getValue();
   }
