--- a/Bench/Cost.cpp
+++ b/Bench/Cost.cpp
@@ -107,7 +107,7 @@
 private:
   void Start(int aZone, milliseconds aStartupDuration)
   {
-    auto& made = mServers["server-" + std::to_string(mNumber++)];
+    auto& made = mServers["server-" + std::to_string(mNextServer++)];
     made.mZone = aZone;
     made.mOrderedAt = mNow;
     made.mReadyAt = mNow + aStartupDuration;
@@ -268,7 +268,7 @@
   routing::pool_table mTable;
   std::map<std::string, run> mWaiting;
   std::uint64_t mNextRequest = 0;
-  int mNumber = 0;
+  int mNextServer = 0;
   outcome mOutcome;
 };
 
--- a/Bench/Lag.cpp
+++ b/Bench/Lag.cpp
@@ -125,12 +125,12 @@
   struct event
   {
     time_point mAt;
-    std::uint64_t mNumber = 0;
+    std::uint64_t mSequence = 0;
     std::function<void()> mAction;
 
     bool operator<(const event& aOther) const
     {
-      return std::tie(aOther.mAt, aOther.mNumber) < std::tie(mAt, mNumber);
+      return std::tie(aOther.mAt, aOther.mSequence) < std::tie(mAt, mSequence);
     }
   };
 
--- a/Bench/Leases.cpp
+++ b/Bench/Leases.cpp
@@ -38,7 +38,7 @@
 MeasureLeases(csv_file& aFile,
               int aEntries,
               int aLeases,
-              std::chrono::seconds aFor)
+              std::chrono::seconds aDuration)
 {
   standin::platform platform;
   http::server_options listen;
@@ -68,7 +68,7 @@
   // their steady rate.
   std::this_thread::sleep_for(6s);
   const auto before = Count(platform);
-  std::this_thread::sleep_for(aFor);
+  std::this_thread::sleep_for(aDuration);
   const auto after = Count(platform);
   int maximumHeld = 0;
   for (const auto& manager : managers) {
@@ -78,7 +78,7 @@
     }
     maximumHeld = std::max(maximumHeld, held);
   }
-  const auto seconds = static_cast<double>(aFor.count());
+  const auto seconds = static_cast<double>(aDuration.count());
   aFile.WriteRow({ std::to_string(aEntries),
                    std::to_string(aLeases),
                    Format((after.mReads - before.mReads) / seconds / aLeases),
--- a/Bench/Overload.cpp
+++ b/Bench/Overload.cpp
@@ -19,7 +19,7 @@
 std::vector<arrival>
 MakePhase(double aPerSecond,
           std::chrono::milliseconds aFrom,
-          std::chrono::milliseconds aFor,
+          std::chrono::milliseconds aDuration,
           std::uint64_t aSeed)
 {
   std::vector<customer_traffic> traffic;
@@ -27,7 +27,7 @@
     traffic.push_back(
       { "customer-" + std::to_string(i), aPerSecond / kCustomers, 20, 8 });
   }
-  auto arrivals = MakeArrivals(traffic, aFor, aSeed);
+  auto arrivals = MakeArrivals(traffic, aDuration, aSeed);
   for (auto& one : arrivals) {
     one.mAt += aFrom;
   }
@@ -81,10 +81,10 @@
  * second in which they arrived. */
 std::vector<second_result>
 SummariseBySecond(const std::vector<request_result>& aResults,
-                  std::chrono::seconds aFor)
+                  std::chrono::seconds aDuration)
 {
-  std::vector<second_result> seconds(static_cast<std::size_t>(aFor.count()) +
-                                     1);
+  std::vector<second_result> seconds(
+    static_cast<std::size_t>(aDuration.count()) + 1);
   const auto at = [&](std::chrono::nanoseconds aTime) -> second_result& {
     const auto index =
       std::chrono::duration_cast<std::chrono::seconds>(aTime).count();
--- a/Bench/Site.cpp
+++ b/Bench/Site.cpp
@@ -64,8 +64,7 @@
   for (const auto& key : mKeys) {
     if (!mFleet.WaitUntilServing(key, kModel)) {
       throw std::runtime_error(
-        "the deployment under test didn't start to serve the model \"reports\" "
-        "for every customer");
+        "model \"reports\" isn't served to all customers");
     }
   }
   std::this_thread::sleep_for(kSettleTime);
--- a/Bench/Slopes.cpp
+++ b/Bench/Slopes.cpp
@@ -105,9 +105,10 @@
   }
   void Start() { mBefore = Now(); }
   /** Returns the mean share of one core that a process used since Start. */
-  double Share(seconds aFor) const
+  double Share(seconds aDuration) const
   {
-    return seconds(Now() - mBefore) / aFor / static_cast<double>(mIds.size());
+    return seconds(Now() - mBefore) / aDuration /
+           static_cast<double>(mIds.size());
   }
   double MeanKilobytes() const
   {
@@ -123,7 +124,7 @@
 MeasureIdle(csv_file& aFile,
             int aAgents,
             int aEntries,
-            std::chrono::seconds aFor)
+            std::chrono::seconds aDuration)
 {
   light_fleet fleet(aAgents, aEntries);
   usage_meter agents;
@@ -137,9 +138,9 @@
   const auto calls = fleet.PlatformCalls();
   agents.Start();
   entries.Start();
-  std::this_thread::sleep_for(aFor);
-  const double agentShare = agents.Share(aFor);
-  const double entryShare = entries.Share(aFor);
+  std::this_thread::sleep_for(aDuration);
+  const double agentShare = agents.Share(aDuration);
+  const double entryShare = entries.Share(aDuration);
   const auto called = fleet.PlatformCalls() - calls;
   aFile.WriteRow({ std::to_string(aAgents),
                    std::to_string(aEntries),
@@ -150,7 +151,7 @@
                    Format(agents.MeanKilobytes() / 1024),
                    std::to_string(ReadCost(agents.mIds[0]).mThreads),
                    Format(static_cast<double>(called) / aEntries /
-                          static_cast<double>(aFor.count())) });
+                          static_cast<double>(aDuration.count())) });
 }
 
 /** Writes the sizes of the messages between entries and a running agent. */
--- a/Bench/Throughput.cpp
+++ b/Bench/Throughput.cpp
@@ -13,14 +13,17 @@
         const std::string& aService,
         const std::string& aWay,
         const arrival& aRequest,
-        std::chrono::milliseconds aFor)
+        std::chrono::milliseconds aDuration)
 {
   const bool isDirect = aWay == "direct";
-  const auto results = RunClosedLoop(
-    kClients, aFor, aRequest, [&](std::size_t aIndex, const arrival& aArrival) {
-      return isDirect ? aSite.SendDirect(aIndex, aArrival)
-                      : aSite.Send(aIndex, aArrival);
-    });
+  const auto results =
+    RunClosedLoop(kClients,
+                  aDuration,
+                  aRequest,
+                  [&](std::size_t aIndex, const arrival& aArrival) {
+                    return isDirect ? aSite.SendDirect(aIndex, aArrival)
+                                    : aSite.Send(aIndex, aArrival);
+                  });
   std::vector<std::chrono::nanoseconds> latencies;
   std::size_t failed = 0;
   for (const auto& one : results) {
@@ -30,7 +33,7 @@
       ++failed;
     }
   }
-  const double seconds = std::chrono::duration<double>(aFor).count();
+  const double seconds = std::chrono::duration<double>(aDuration).count();
   aFile.WriteRow({ aService,
                    aWay,
                    Format(static_cast<double>(latencies.size()) / seconds),
--- a/Bench/main.cpp
+++ b/Bench/main.cpp
@@ -37,14 +37,14 @@
 main(int aCount, char** aArguments)
 {
   TCLAP::CmdLine line(
-    "Runs one experiment and writes its figures as CSV.", ' ', "0.1.0");
+    "Runs one experiment and writes its results as CSV.", ' ', "0.1.0");
   std::vector<std::string> names;
   for (const auto& [name, run] : Experiments()) {
     names.push_back(name);
   }
   TCLAP::ValuesConstraint<std::string> constraint(names);
   TCLAP::UnlabeledValueArg<std::string> name(
-    "experiment", "Which one.", true, "", &constraint, line);
+    "experiment", "Experiment to run.", true, "", &constraint, line);
   TCLAP::ValueArg<std::string> folder("o",
                                       "out",
                                       "Folder for the CSV files; default .",
