--- a/Bench/Throughput.cpp
+++ b/Bench/Throughput.cpp
@@ -13,14 +13,17 @@
         const std::string& aService,
         const std::string& aWay,
         const arrival& aRequest,
-        std::chrono::milliseconds aFor)
+        std::chrono::milliseconds aDuration)
 {
   const bool isDirect = aWay == "direct";
-  const auto results = RunClosedLoop(
-    kClients, aFor, aRequest, [&](std::size_t aIndex, const arrival& aArrival) {
-      return isDirect ? aSite.SendDirect(aIndex, aArrival)
-                      : aSite.Send(aIndex, aArrival);
-    });
+  const auto results =
+    RunClosedLoop(kClients,
+                  aDuration,
+                  aRequest,
+                  [&](std::size_t aIndex, const arrival& aArrival) {
+                    return isDirect ? aSite.SendDirect(aIndex, aArrival)
+                                    : aSite.Send(aIndex, aArrival);
+                  });
   std::vector<std::chrono::nanoseconds> latencies;
   std::size_t failed = 0;
   for (const auto& one : results) {
@@ -30,13 +33,13 @@
       ++failed;
     }
   }
-  const double seconds = std::chrono::duration<double>(aFor).count();
-  aFile.Row({ aService,
-              aWay,
-              Text(static_cast<double>(latencies.size()) / seconds),
-              Text(Percentile(latencies, 0.5)),
-              Text(Percentile(latencies, 0.99)),
-              std::to_string(failed) });
+  const double seconds = std::chrono::duration<double>(aDuration).count();
+  aFile.WriteRow({ aService,
+                   aWay,
+                   Format(static_cast<double>(latencies.size()) / seconds),
+                   Format(Percentile(latencies, 0.5)),
+                   Format(Percentile(latencies, 0.99)),
+                   std::to_string(failed) });
 }
 
 } // namespace
@@ -51,7 +54,7 @@
   options.mSlots = 16;
   options.mPerTokenMicroseconds = 0;
   site site(options);
-  // Alternating, so that what else the machine does falls on both.
+  // The two paths alternate, so that other load on the machine affects both.
   for (const auto& [service, perToken] :
        { std::pair("1 token at once", 0),
          std::pair("20 tokens in 20 ms", 1000),
@@ -64,7 +67,7 @@
     request.mPrompt = MakePrompt(0, request.mTokens);
     for (int round = 0; round < 2; ++round) {
       for (const char* way : { "direct", "through" }) {
-        Measure(file, site, service, way, request, aOptions.mFor / 2);
+        Measure(file, site, service, way, request, aOptions.mDuration / 2);
       }
     }
   }
