--- a/Tests/Site/Support/BatchEntry.cpp
+++ b/Tests/Site/Support/BatchEntry.cpp
@@ -78,7 +78,7 @@
 
 batch_entry::~batch_entry()
 {
-  mHeads->Stop();
+  mMetadataMirror->Stop();
 }
 
 batch_entry::batch_entry(batch_site& aSite, const std::string& aName)
@@ -134,14 +134,16 @@
   aSite.mPeers[aName] = { "127.0.0.1", mListener.Port() };
   objects::mirror_options options;
   options.mKind = batches::kBatchMetadataKind;
-  objects::mirror_events heard;
-  heard.mOnListed = [this](const auto& aHeads) {
-    mService.TakeListing(aHeads);
+  objects::mirror_events mirrorEvents;
+  mirrorEvents.mOnListed = [this](const auto& aMetadata) {
+    mService.TakeListing(aMetadata);
   };
-  heard.mOnEvent = [this](const auto& aEvent) { mService.TakeEvent(aEvent); };
-  mHeads = std::make_shared<objects::mirror>(
-    edge::LoopScheduler(aSite.mLoop.mLoop), mStore, options, heard);
-  mHeads->Start();
+  mirrorEvents.mOnEvent = [this](const auto& aEvent) {
+    mService.TakeEvent(aEvent);
+  };
+  mMetadataMirror = std::make_shared<objects::mirror>(
+    edge::LoopScheduler(aSite.mLoop.mLoop), mStore, options, mirrorEvents);
+  mMetadataMirror->Start();
 }
 
 void
@@ -176,28 +178,28 @@
 batch_entry::Serve(const edge::exchange_ptr& aExchange)
 {
   if (!mIsReachable) {
-    mHeld.push_back(aExchange);
+    mUnanswered.push_back(aExchange);
     return;
   }
   const auto& target = aExchange->mRequest.mTarget;
   if (mAnswersSlowly && target.rfind(batches::kPeerPath, 0) == 0) {
-    AnswerSlowly(aExchange);
+    ServePageSlowly(aExchange);
   } else if (target.rfind(batches::kPeerPath, 0) == 0) {
     mService.ServePeer(aExchange);
-  } else if (const auto passed =
+  } else if (const auto forwarded =
                batches::DecodePeerSubmission(aExchange->mRequest)) {
-    // Nobody reads the answer to an exchange of its own.
-    const auto answered =
+    // An exchange without a connection discards its response.
+    const auto respondedTo =
       mLosesAnswers
         ? std::make_shared<edge::exchange>(nullptr, aExchange->mRequest)
         : aExchange;
     if (mLosesAnswers) {
-      mHeld.push_back(aExchange);
+      mUnanswered.push_back(aExchange);
     }
     mService.SubmitLocally(
-      answered,
-      passed->mOrigin,
-      *platform::DecodeSubmission(passed->mBatchId, passed->mBody));
+      respondedTo,
+      forwarded->mOrigin,
+      *platform::DecodeSubmission(forwarded->mBatchId, forwarded->mBody));
   } else if (platform::IsBatchPath(target)) {
     mService.Serve(aExchange, *platform::DecodeBatchCall(aExchange->mRequest));
   } else {
@@ -210,20 +212,20 @@
 }
 
 void
-batch_entry::AnswerSlowly(const edge::exchange_ptr& aExchange)
+batch_entry::ServePageSlowly(const edge::exchange_ptr& aExchange)
 {
-  constexpr int kPieces = 5;
-  constexpr milliseconds kPause{ 300 };
+  constexpr int kChunks = 5;
+  constexpr milliseconds kChunkInterval{ 300 };
   const auto call = batches::DecodePeerCall(aExchange->mRequest);
   const auto page =
     std::make_shared<std::string>(json::Write(Read(call->mBatchId, 0)));
   aExchange->Begin(200, {});
-  for (int i = 0; i < kPieces; ++i) {
-    edge::RunAfter(mSite.mLoop.mLoop, kPause * (i + 1), [=] {
-      const auto size = page->size() / kPieces + 1;
+  for (int i = 0; i < kChunks; ++i) {
+    edge::RunAfter(mSite.mLoop.mLoop, kChunkInterval * (i + 1), [=] {
+      const auto size = page->size() / kChunks + 1;
       const auto start = size * static_cast<std::size_t>(i);
       aExchange->Write(std::string_view(*page).substr(start, size));
-      if (i + 1 == kPieces) {
+      if (i + 1 == kChunks) {
         aExchange->Finish();
       }
     });
--- a/Tests/Site/Support/BatchEntry.h
+++ b/Tests/Site/Support/BatchEntry.h
@@ -11,7 +11,7 @@
 
 namespace lavender::tests {
 
-/** What entries of one test share. */
+/** The state that all entries of one test share. */
 struct batch_site
 {
   test_loop mLoop;
@@ -23,25 +23,26 @@
   site::server_directory mDirectory;
   forwarding::pool_router mRouter{ mDirectory, "zone" };
   metrics::registry mMetrics;
-  /** Peers that can be reached, by name. */
+  /** Addresses of the reachable entries, by name. */
   std::map<std::string, edge::endpoint> mPeers;
-  /** How much of the batches each entry shall own; 1 when not named. */
+  /** Relative share of the batches that each entry owns; 1 for an entry
+   * that is not listed. */
   std::map<std::string, double> mWeights;
-  /** Items that are submitted name a reward call, "rID" for item ID. */
+  /** Whether each submitted item has a reward call, whose id is "r" followed
+   * by the id of the item. */
   bool mItemsHaveRewards = false;
 
   batch_site();
   void Add(const model_server& aServer);
-  /** A server of the plain service that reward calls go to. */
+  /** Adds a server for reward calls. */
   void Add(const plain_server& aServer,
            const std::string& aId,
            const std::string& aPool = "rewards");
-  /** The route of reward calls leads to that pool from now on; to none where
-   * it is empty. */
+  /** Routes reward calls to a pool. An empty name removes their route. */
   void RouteRewardsTo(const std::string& aPool);
-  /** Changes the route of all batches. */
+  /** Changes the route of the items of all batches. */
   void Change(const std::function<void(site::route&)>& aChange);
-  /** Age at which items may be given up. */
+  /** Sets the maximum queue time of the route of the items. */
   void SetMaximumQueueing(milliseconds aTime);
 };
 
@@ -54,13 +55,13 @@
 
   unsigned short Port() const { return mListener.Port(); }
   call_result Submit(const std::string& aBatchId, int aItems);
-  /** All results that are listed from that position on. */
+  /** Returns the page of results that follow a position. */
   json::value Read(const std::string& aBatchId, std::size_t aAfter);
-  /** Starts a read whose answer nobody waits for. */
+  /** Starts a read and ignores its response. */
   void StartReading(const std::string& aBatchId);
   std::vector<std::string> ListedIds(const std::string& aBatchId);
   unsigned End(const std::string& aBatchId);
-  /** From now on nobody listens at this entry's address. */
+  /** Stops accepting connections at this entry's address. */
   void StopListening() { mListener.StopAccepting(); }
 
   batch_site& mSite;
@@ -68,22 +69,24 @@
   rewards::reward_client mRewards;
   batches::batch_runner mRunner;
   batches::batch_service mService;
-  std::shared_ptr<objects::mirror> mHeads;
-  /** False stands for an entry that is cut off from callers and peers. */
+  std::shared_ptr<objects::mirror> mMetadataMirror;
+  /** Requests of callers and peers get no response while this is false. */
   bool mIsReachable = true;
-  /** False stands for an entry whose writes don't reach the store. */
+  /** Writes to the store are refused while this is false. */
   bool mCanReachStore = true;
-  /** True stands for answers to other entries that are lost on their way. */
+  /** While this is true, responses to submissions that another entry forwarded
+   * are dropped. */
   bool mLosesAnswers = false;
-  /** True stands for a narrow link: pages for other entries take 1.5 s. */
+  /** While this is true, a page of results for another entry takes 1.5 s, as
+   * on a link with little bandwidth. */
   bool mAnswersSlowly = false;
 
 private:
   void RefuseWritesWhileCutOff();
   void Serve(const edge::exchange_ptr& aExchange);
-  void AnswerSlowly(const edge::exchange_ptr& aExchange);
+  void ServePageSlowly(const edge::exchange_ptr& aExchange);
 
-  std::vector<edge::exchange_ptr> mHeld;
+  std::vector<edge::exchange_ptr> mUnanswered;
   edge::listener mListener;
 };
 
