--- a/Tests/Site/Support/Loop.h
+++ b/Tests/Site/Support/Loop.h
@@ -9,13 +9,13 @@
 
 namespace lavender::tests {
 
-/** An event loop that a test drives until what it waits for has happened. */
+/** An event loop that a test runs until a condition holds. */
 struct test_loop
 {
   boost::asio::io_context mLoop{ 1 };
 
-  /** @return whether the condition came to hold; the limit only ends a test
-   * that would hang */
+  /** @return whether the condition became true within the limit, which keeps
+   * a failing test from hanging */
   bool RunUntil(const std::function<bool()>& aCondition,
                 milliseconds aLimit = std::chrono::seconds(20));
 };
@@ -27,7 +27,8 @@
   edge::response mAnswer;
 };
 
-/** Runs one call to its end. */
+/** Sends one request and runs the loop until the response is complete or the
+ * call has failed. */
 call_result
 Call(test_loop& aLoop,
      edge::client_pool& aClients,
