--- a/Tests/Site/Support/ModelServer.cpp
+++ b/Tests/Site/Support/ModelServer.cpp
@@ -9,7 +9,7 @@
   edge::exchange_ptr mExchange;
   std::string mItem;
   int mNext = 1;
-  /** Version that the caller was told last. */
+  /** Version that was last reported to the caller. */
   std::int64_t mVersion = 0;
   std::shared_ptr<boost::asio::steady_timer> mTimer;
   bool mIsOpen = true;
@@ -121,8 +121,8 @@
   started->mNext = static_cast<int>(after) + 1;
   started->mVersion = mVersion;
   ++mOpenRuns;
-  // Weak, as the run holds the exchange: a run that is open when a test ends
-  // would keep both for ever.
+  // The run owns the exchange. A strong reference here would be a cycle that
+  // leaks both if a test ends during a run.
   aExchange->OnCallerLeft([this, weak = std::weak_ptr<run>(started)] {
     const auto left = weak.lock();
     if (left && left->mIsOpen) {
@@ -140,12 +140,12 @@
   if (!aRun->mIsOpen) {
     return;
   }
-  const bool breaks =
+  const bool resetsConnection =
     mBreakAfter > 0 && aRun->mNext > mBreakAfter && mRuns[aRun->mItem] == 1;
-  if (breaks || aRun->mNext > mEvents) {
+  if (resetsConnection || aRun->mNext > mEvents) {
     aRun->mIsOpen = false;
     --mOpenRuns;
-    if (breaks) {
+    if (resetsConnection) {
       aRun->mExchange->Write("id: 99\ndata: half an ev");
       aRun->mExchange->Abort();
     } else {
--- a/Tests/Site/Support/ModelServer.h
+++ b/Tests/Site/Support/ModelServer.h
@@ -10,8 +10,8 @@
 
 namespace lavender::tests {
 
-/** Stand-in of a model server of the users' platform: answers an item with a
- * stream of events, each some time after the one before. */
+/** A stand-in for a model server. It answers an item with a stream of events
+ * at a fixed interval. */
 class model_server
 {
 public:
@@ -21,23 +21,26 @@
   unsigned short Port() const { return mListener.Port(); }
   const std::string& Id() const { return mId; }
 
-  /** Events of each run. */
+  /** Number of events in the stream of an item. */
   int mEvents = 4;
   milliseconds mEventPause{ 2 };
-  /** The connection is reset after this many events, once per item. */
+  /** The first run of each item resets its connection after this many events;
+   * 0 for never. */
   int mBreakAfter = 0;
-  /** Answers with this status instead of running. */
+  /** Items are run if this is 200, and refused with this status otherwise. */
   unsigned mStatus = 200;
   std::int64_t mVersion = 1;
-  /** A version order takes this long; new runs are turned away meanwhile. */
+  /** Duration of a load order. New runs are refused as not executed during the
+   * load. */
   milliseconds mLoadTime{ 60 };
-  /** Epoch and holder of each order, as it came. */
+  /** Fencing token and holder of each load order, in order of arrival. */
   std::vector<std::pair<std::int64_t, std::string>> mOrders;
   std::map<std::string, int> mRuns;
-  /** Event after which each run of an item was asked to go on; 0 for none. */
+  /** Last-Event-Id with which each run of an item was requested; 0 if it had
+   * none. */
   std::map<std::string, std::vector<std::int64_t>> mAfterEvents;
   int mOpenRuns = 0;
-  /** Turns new runs away as not executed. */
+  /** Whether new runs are refused as not executed. */
   bool mIsFull = false;
   int mTurnedAway = 0;
 
