--- a/Tests/Site/Support/PlainServer.h
+++ b/Tests/Site/Support/PlainServer.h
@@ -5,7 +5,8 @@
 
 namespace lavender::tests {
 
-/** A server of a plain service whose behaviour the test sets. */
+/** A backend server that answers each request through a function that the test
+ * can replace. */
 struct plain_server
 {
   explicit plain_server(test_loop& aLoop)
@@ -31,7 +32,7 @@
     return answer;
   }
 
-  /** The server says that it had no place and didn't run the request. */
+  /** Returns a 503 response which states that the request was not executed. */
   static edge::response TurnAway(const edge::exchange_ptr& aExchange)
   {
     auto busy = Answer(aExchange, 503);
