--- a/Tests/Site/Support/SimulatedClock.cpp
+++ b/Tests/Site/Support/SimulatedClock.cpp
@@ -2,14 +2,14 @@
 
 namespace lavender::tests {
 
-struct simulated_clock::planned
+struct simulated_clock::scheduled_callback
 {
   std::function<void()> mAction;
 };
 
 simulated_clock::~simulated_clock()
 {
-  for (const auto& [at, weak] : mPlanned) {
+  for (const auto& [at, weak] : mScheduled) {
     if (const auto action = weak.lock()) {
       action->mAction = nullptr;
     }
@@ -19,27 +19,27 @@
 scheduler
 simulated_clock::Scheduler()
 {
-  scheduler uses;
-  uses.mNow = [this] { return mNow; };
-  uses.mAfter = [this](milliseconds aPause, std::function<void()> aAction) {
-    auto action = std::make_shared<planned>();
+  scheduler result;
+  result.mNow = [this] { return mNow; };
+  result.mAfter = [this](milliseconds aDelay, std::function<void()> aAction) {
+    auto action = std::make_shared<scheduled_callback>();
     action->mAction = std::move(aAction);
-    mPlanned.emplace(mNow + aPause, action);
+    mScheduled.emplace(mNow + aDelay, action);
     return planned_action(std::move(action));
   };
-  return uses;
+  return result;
 }
 
 bool
 simulated_clock::RunNext(time_point aUntil)
 {
-  const auto next = mPlanned.begin();
-  if (next == mPlanned.end() || next->first > aUntil) {
+  const auto next = mScheduled.begin();
+  if (next == mScheduled.end() || next->first > aUntil) {
     return false;
   }
   mNow = next->first;
   const auto action = next->second.lock();
-  mPlanned.erase(next);
+  mScheduled.erase(next);
   if (action) {
     action->mAction();
   }
--- a/Tests/Site/Support/SimulatedClock.h
+++ b/Tests/Site/Support/SimulatedClock.h
@@ -6,33 +6,36 @@
 
 namespace lavender::tests {
 
-/** Time that moves only when the test says so, and the actions planned on it:
- * minutes pass in milliseconds, and a run with one seed is always the same. */
+/** A clock and timer queue that advance only when the test runs them. Simulated
+ * minutes take milliseconds, and runs with the same seed are identical. */
 class simulated_clock
 {
 public:
   simulated_clock() = default;
-  /** What is still planned goes, also actions that hold themselves. */
+  /** Clears all pending actions, as an action that owns its own handle would
+   * leak otherwise. */
   ~simulated_clock();
   simulated_clock(const simulated_clock&) = delete;
   simulated_clock& operator=(const simulated_clock&) = delete;
 
   time_point Now() const { return mNow; }
-  /** @return uses of this clock, which must outlive it */
+  /** @return a scheduler on this clock; the clock must outlive it */
   scheduler Scheduler();
   void RunFor(milliseconds aTime);
-  /** @return whether the condition came to hold within that time */
+  /** @return whether the condition became true within the limit */
   bool RunUntil(const std::function<bool()>& aCondition, milliseconds aLimit);
 
 private:
-  struct planned;
+  struct scheduled_callback;
 
-  /** @return false when nothing is planned up to then */
+  /** Runs the next action.
+   * @return false if no action is due by that time */
   bool RunNext(time_point aUntil);
 
   time_point mNow{ std::chrono::hours(1) };
-  /** In the order of their times, those of one time in that of planning. */
-  std::multimap<time_point, std::weak_ptr<planned>> mPlanned;
+  /** Pending actions by due time; those due at the same time are in the order
+   * in which they were scheduled. */
+  std::multimap<time_point, std::weak_ptr<scheduled_callback>> mScheduled;
 };
 
 } // namespace lavender::tests
