--- a/Tests/Site/Support/SimulatedFeed.cpp
+++ b/Tests/Site/Support/SimulatedFeed.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr milliseconds kWayBetweenEntries = 1ms;
+constexpr milliseconds kEntryLatency = 1ms;
 constexpr milliseconds kStoreTimeout = 1500ms;
-/** A client waits for a watch's answer this much longer than its wait. */
+/** A watch times out this long after the wait that it requested. */
 constexpr milliseconds kWatchSlack = 2000ms;
 constexpr milliseconds kLongWatch = 2000ms;
 constexpr char kObjectName[] = "x";
@@ -19,47 +19,49 @@
 simulated_entry::simulated_entry(simulated_site& aSite, std::string aName)
   : mName(std::move(aName))
   , mSite(aSite)
-  , mBehind(standin::MakeMemoryStore(aSite.mClock.Scheduler(), aSite.mState))
+  , mBackingStore(
+      standin::MakeMemoryStore(aSite.mClock.Scheduler(), aSite.mState))
   , mStore(MakeStore())
 {
-  feed::feed_dependencies parts{ OwnScheduler(), mStore,    mStore, {},
-                                 mName,          "entries", {},     {} };
-  parts.mCall = [this](const auto& aAddress,
-                       const auto& aRequest,
-                       const auto& aOptions,
-                       milliseconds aDeadline,
-                       auto aDone) {
+  feed::feed_dependencies dependencies{
+    MakeScheduler(), mStore, mStore, {}, mName, "entries", {}, {}
+  };
+  dependencies.mCall = [this](const auto& aAddress,
+                              const auto& aRequest,
+                              const auto& aOptions,
+                              milliseconds aDeadline,
+                              auto aDone) {
     mSite.CallEntry(
       *this, aAddress, aRequest, aOptions, aDeadline, std::move(aDone));
   };
-  parts.mCandidates = [this] {
+  dependencies.mCandidates = [this] {
     std::vector<feed::feed_candidate> candidates;
     for (const auto& [name, address] : mSite.mPeers) {
       candidates.push_back({ name, address });
     }
     return candidates;
   };
-  parts.mOnReachabilityChange = [this](bool aIsReachable) {
+  dependencies.mOnReachabilityChange = [this](bool aIsReachable) {
     if (aIsReachable) {
       mValueAtContact = Value(kBusyKind);
     }
   };
-  auto busy = KindOf(kBusyKind);
-  auto quiet = KindOf(kQuietKind);
+  auto busy = MakeWatchedKind(kBusyKind);
+  auto quiet = MakeWatchedKind(kQuietKind);
   quiet.mProof = feed::freshness_rule::WatchConnected;
   quiet.mOptions.mWatchWait = kLongWatch;
   std::vector<feed::watched_kind> kinds{ busy, quiet };
-  mFeed =
-    std::make_unique<feed::store_feed>(std::move(parts), std::move(kinds));
+  mFeed = std::make_unique<feed::store_feed>(std::move(dependencies),
+                                             std::move(kinds));
 }
 
 feed::watched_kind
-simulated_entry::KindOf(const std::string& aKind)
+simulated_entry::MakeWatchedKind(const std::string& aKind)
 {
   feed::watched_kind kind;
   kind.mKind = aKind;
   kind.mOnListed = [this, aKind](const auto& aObjects) {
-    Hear(aKind, aObjects);
+    ApplyObjects(aKind, aObjects);
   };
   kind.mOnEvent = [this, aKind](const auto& aEvent) {
     auto objects = mObjects[aKind];
@@ -68,7 +70,7 @@
     } else {
       objects[aEvent.mObject.mName] = aEvent.mObject;
     }
-    Hear(aKind, objects);
+    ApplyObjects(aKind, objects);
   };
   return kind;
 }
@@ -95,8 +97,8 @@
 }
 
 void
-simulated_entry::Hear(const std::string& aKind,
-                      const feed::object_map& aObjects)
+simulated_entry::ApplyObjects(const std::string& aKind,
+                              const feed::object_map& aObjects)
 {
   const auto before = Value(aKind);
   mObjects[aKind] = aObjects;
@@ -140,27 +142,27 @@
 }
 
 scheduler
-simulated_entry::OwnScheduler()
+simulated_entry::MakeScheduler()
 {
-  auto uses = mSite.mClock.Scheduler();
-  uses.mAfter = [this, planOn = uses.mAfter](milliseconds aPause,
-                                             std::function<void()> aAction) {
-    const auto plan = std::make_shared<planned_action>();
-    const auto unlessTakenBack = [weak = std::weak_ptr(plan),
+  auto timers = mSite.mClock.Scheduler();
+  timers.mAfter = [this, scheduleOn = timers.mAfter](
+                    milliseconds aDelay, std::function<void()> aAction) {
+    const auto handle = std::make_shared<planned_action>();
+    const auto unlessCancelled = [weak = std::weak_ptr(handle),
                                   action = std::move(aAction)] {
       if (!weak.expired()) {
         action();
       }
     };
-    *plan =
-      planOn(aPause, [this, alive = std::weak_ptr(mIsAlive), unlessTakenBack] {
+    *handle = scheduleOn(
+      aDelay, [this, alive = std::weak_ptr(mIsAlive), unlessCancelled] {
         if (!alive.expired()) {
-          Deliver(unlessTakenBack);
+          Deliver(unlessCancelled);
         }
       });
-    return planned_action(plan);
+    return planned_action(handle);
   };
-  return uses;
+  return timers;
 }
 
 template<typename Reply, typename Begin>
@@ -190,12 +192,12 @@
   };
   call->mEnd = [end] { end({}); };
   mCalls.push_back(call);
-  const auto uses = mSite.mClock.Scheduler();
-  RunAfter(uses, aTimeout, [call] { call->mEnd(); });
+  const auto timers = mSite.mClock.Scheduler();
+  RunAfter(timers, aTimeout, [call] { call->mEnd(); });
   if (mWay == store_way::TurnedAway) {
     Reply refused;
     refused.mOutcome = store_outcome::Refused;
-    RunAfter(uses, 1ms, [end, refused, call] { end(refused); });
+    RunAfter(timers, 1ms, [end, refused, call] { end(refused); });
   } else if (mWay == store_way::Open) {
     aBegin([this, alive = std::weak_ptr(mIsAlive), call, end](Reply aReply) {
       if (!alive.expired() && !call->mIsLost && mWay != store_way::Cut) {
@@ -214,8 +216,8 @@
                       objects::freshness aFreshness,
                       objects::object_done aDone) {
     Call<objects::object_reply>(
-      false, kStoreTimeout, std::move(aDone), [&](auto aTake) {
-        mBehind.mGet(aKind, aName, aFreshness, std::move(aTake));
+      false, kStoreTimeout, std::move(aDone), [&](auto aHandleReply) {
+        mBackingStore.mGet(aKind, aName, aFreshness, std::move(aHandleReply));
       });
   };
   store.mList = [this](const auto& aKind,
@@ -223,8 +225,8 @@
                        objects::freshness aFreshness,
                        objects::list_done aDone) {
     Call<objects::list_reply>(
-      false, kStoreTimeout, std::move(aDone), [&](auto aTake) {
-        mBehind.mList(aKind, aAfter, aFreshness, std::move(aTake));
+      false, kStoreTimeout, std::move(aDone), [&](auto aHandleReply) {
+        mBackingStore.mList(aKind, aAfter, aFreshness, std::move(aHandleReply));
       });
   };
   store.mWatch = [this](const auto& aKind,
@@ -232,8 +234,8 @@
                         milliseconds aWait,
                         objects::watch_done aDone) {
     Call<objects::watch_reply>(
-      true, aWait + kWatchSlack, std::move(aDone), [&](auto aTake) {
-        mBehind.mWatch(aKind, aSince, aWait, std::move(aTake));
+      true, aWait + kWatchSlack, std::move(aDone), [&](auto aHandleReply) {
+        mBackingStore.mWatch(aKind, aSince, aWait, std::move(aHandleReply));
       });
   };
   return store;
@@ -284,7 +286,7 @@
                           edge::whole_answer aDone)
 {
   ++mCallsBetweenEntries;
-  const auto uses = mClock.Scheduler();
+  const auto timers = mClock.Scheduler();
   const auto hasEnded = std::make_shared<bool>(false);
   const auto caller = aCaller.mName;
   const auto end = [this,
@@ -302,21 +304,21 @@
       }
     });
   };
-  RunAfter(uses, aDeadline, [end] { end(edge::call_end::TimedOut, {}); });
+  RunAfter(timers, aDeadline, [end] { end(edge::call_end::TimedOut, {}); });
   const auto target =
     std::find_if(mEntries.begin(), mEntries.end(), [&](const auto& aEntry) {
       return mPeers.at(aEntry.first) == aAddress;
     });
   if (target == mEntries.end() || target->second->mIsAlone ||
       aCaller.mIsAlone) {
-    RunAfter(uses, aOptions.mConnectTimeout, [end] {
+    RunAfter(timers, aOptions.mConnectTimeout, [end] {
       end(edge::call_end::NotSent, {});
     });
     return;
   }
   const auto answer =
-    [this, uses, end, caller, name = target->first](edge::response aAnswer) {
-      RunAfter(uses, kWayBetweenEntries, [this, end, caller, name, aAnswer] {
+    [this, timers, end, caller, name = target->first](edge::response aAnswer) {
+      RunAfter(timers, kEntryLatency, [this, end, caller, name, aAnswer] {
         const auto isCut = [&](const std::string& aName) {
           return mEntries.count(aName) > 0 && At(aName).mIsAlone;
         };
@@ -325,17 +327,19 @@
         }
       });
     };
-  const feed::feed_requester asker{ answer, [hasEnded] { return *hasEnded; } };
+  const feed::feed_requester requester{ answer,
+                                        [hasEnded] { return *hasEnded; } };
   auto& entry = *target->second;
-  RunAfter(uses,
-           kWayBetweenEntries,
-           [&entry, alive = std::weak_ptr(entry.mIsAlive), aRequest, asker] {
-             if (!alive.expired()) {
-               entry.Deliver([&entry, aRequest, asker] {
-                 entry.mFeed->Serve(aRequest, asker);
-               });
-             }
-           });
+  RunAfter(
+    timers,
+    kEntryLatency,
+    [&entry, alive = std::weak_ptr(entry.mIsAlive), aRequest, requester] {
+      if (!alive.expired()) {
+        entry.Deliver([&entry, aRequest, requester] {
+          entry.mFeed->Serve(aRequest, requester);
+        });
+      }
+    });
 }
 
 } // namespace lavender::tests
--- a/Tests/Site/Support/SimulatedFeed.h
+++ b/Tests/Site/Support/SimulatedFeed.h
@@ -6,21 +6,21 @@
 
 #include <list>
 
-/** Entries that follow the store through one another, with all that can happen
- * between them, on simulated time. */
+/** A simulation of entries that receive the changes of the store directly or
+ * through each other, with network faults and paused processes. */
 namespace lavender::tests {
 
-/** What the way between an entry and the store does to calls. */
+/** State of the connection between an entry and the store. */
 enum class store_way
 {
   Open,
-  /** The store refuses this entry. */
+  /** The store refuses all calls of the entry. */
   TurnedAway,
-  /** Nothing comes through; calls end when their time is up. */
+  /** Requests and responses are lost, and calls end by their timeout. */
   Cut
 };
 
-/** One process of an entry. */
+/** One process of an entry. A new process replaces it after a restart. */
 class simulated_entry
 {
 public:
@@ -28,13 +28,13 @@
   ~simulated_entry();
 
   void Start();
-  /** The value of the one object of a kind, -1 for none. */
+  /** Returns the value of the only object of a kind, or -1 if there is none. */
   std::int64_t Value(const std::string& aKind) const;
-  /** Runs an action of this process now, or when it goes on. */
+  /** Runs an action now, or after Thaw() if the process is frozen. */
   void Deliver(std::function<void()> aAction);
-  /** Calls that the store has taken from this entry end without an answer. */
+  /** Ends all calls in flight to the store without a response. */
   void BreakCalls();
-  /** Watches that are waiting get no answer though the store gives one. */
+  /** Drops the responses to all watches in flight. */
   void SilenceWatches();
   void Freeze() { mIsFrozen = true; }
   void Thaw();
@@ -42,15 +42,15 @@
   const std::string mName;
   store_way mWay = store_way::Open;
   bool mIsFrozen = false;
-  /** Unreachable for other entries. */
+  /** Whether calls from and to other entries fail. */
   bool mIsAlone = false;
-  /** The greatest value known when contact with the store was last regained. */
+  /** Value that was known when the store last became reachable. */
   std::optional<std::int64_t> mValueAtContact;
-  /** The value went back within this process's life. */
+  /** Whether a value has ever decreased in this process. */
   bool mHasGoneBack = false;
   std::unique_ptr<feed::store_feed> mFeed;
 
-  /** Tells actions of this process from those of one that has ended. */
+  /** Expires with the process, so that its pending actions are skipped. */
   std::shared_ptr<bool> mIsAlive = std::make_shared<bool>(true);
 
 private:
@@ -62,26 +62,27 @@
     std::function<void()> mEnd;
   };
 
-  feed::watched_kind KindOf(const std::string& aKind);
-  scheduler OwnScheduler();
+  feed::watched_kind MakeWatchedKind(const std::string& aKind);
+  scheduler MakeScheduler();
   objects::object_store MakeStore();
-  /** Passes an answer on unless the call was lost, or ends it unanswered. */
+  /** Runs a call to the store and passes on its reply. The call ends with an
+   * empty reply after the timeout or if the reply is lost. */
   template<typename Reply, typename Begin>
   void Call(bool aIsWatch,
             milliseconds aTimeout,
             std::function<void(Reply)> aDone,
             const Begin& aBegin);
-  void Hear(const std::string& aKind, const feed::object_map& aObjects);
+  void ApplyObjects(const std::string& aKind, const feed::object_map& aObjects);
 
   simulated_site& mSite;
   std::map<std::string, feed::object_map> mObjects;
   std::vector<std::function<void()>> mDeferred;
   std::list<std::shared_ptr<store_call>> mCalls;
-  objects::object_store mBehind;
+  objects::object_store mBackingStore;
   objects::object_store mStore;
 };
 
-/** The kind whose changes are counted, and one that hardly changes. */
+/** A kind whose value the tests change, and one that never changes. */
 constexpr char kBusyKind[] = "things";
 constexpr char kQuietKind[] = "rarities";
 
@@ -89,18 +90,20 @@
 {
   simulated_clock mClock;
   standin::memory_store_state mState;
-  /** Known addresses; a port stands for a name. */
+  /** Addresses of the entries by name; each entry has a port of its own. */
   std::map<std::string, edge::endpoint> mPeers;
   std::map<std::string, std::unique_ptr<simulated_entry>> mEntries;
   int mCallsBetweenEntries = 0;
 
   simulated_site();
-  /** A new process, in place of the one before if there is one. */
+  /** Creates a new process for an entry and destroys its previous one, if any.
+   */
   simulated_entry& Add(const std::string& aName);
   void Kill(const std::string& aName) { mEntries.erase(aName); }
   simulated_entry& At(const std::string& aName) { return *mEntries.at(aName); }
   void Put(std::int64_t aValue);
-  /** Every watch that waits is cut, as when the store drops its history. */
+  /** Ends all calls in flight to the store, watches among them, as happens
+   * when the store drops its history. */
   void CutWatches();
   void CallEntry(simulated_entry& aCaller,
                  const edge::endpoint& aAddress,
