--- a/Tests/Site/TestClientPool.cpp
+++ b/Tests/Site/TestClientPool.cpp
@@ -7,9 +7,9 @@
 
 BOOST_AUTO_TEST_SUITE(TestClientPool)
 
-// An entry ends by itself, or sends a request on a connection that is no more:
-// the only idle connection to a server has expired, and closing it took the
-// list away that was being searched.
+// Guards against a crash, or a request on a closed connection, when the only
+// idle connection to a server has expired: closing the connection removed the
+// list that was being searched.
 BOOST_AUTO_TEST_CASE(AnExpiredIdleConnectionIsReplaced)
 {
   test_loop loop;
@@ -34,9 +34,9 @@
   BOOST_TEST(clients->Counts().mReused == 0u);
 }
 
-// Each of a caller's requests opens a connection to its server, though the last
-// one's is idle: a request that has ended lets go of all it holds, its handle
-// among it, and cancelling that closed the connection that had just been kept.
+// Guards against connections that are never reused: a request that has ended
+// cancels its call handle, and that cancel closed the connection, which had
+// just become idle.
 BOOST_AUTO_TEST_CASE(ACancelAfterTheEndLeavesTheConnectionOpen)
 {
   test_loop loop;
@@ -66,8 +66,8 @@
   BOOST_TEST(clients->Counts().mReused == 2u);
 }
 
-// A request that is under way breaks for no reason: an earlier one, which used
-// the same connection and has ended, is cancelled late.
+// Guards against a request in flight that is broken by the late cancel of an
+// earlier request, which has ended and used the same connection.
 BOOST_AUTO_TEST_CASE(ALateCancelSparesTheNextCallOnTheConnection)
 {
   test_loop loop;
