--- a/Tests/Site/TestDecisions.cpp
+++ b/Tests/Site/TestDecisions.cpp
@@ -131,7 +131,8 @@
 }
 
 /** An item is never sent to a server that is full, blocked, in another pool or
- * too old, and to a slow one only if no other server has room. */
+ * has too old a version. Slow servers are chosen after fast ones, and the
+ * server to avoid is chosen last. */
 BOOST_AUTO_TEST_CASE(ItemsGoOnlyWhereTheyMayRun)
 {
   BOOST_TEST(rc::check("schedule", [] {
@@ -149,19 +150,20 @@
       engine.mBlockedUntil = now + milliseconds(*rc::gen::inRange(-5, 5));
       engines.push_back(engine);
     }
-    batches::item_requirements need;
-    need.mPools = { "p" };
-    need.mModel = "m";
-    need.mMinimumVersion = *rc::gen::inRange(1, 4);
-    need.mGroup = "g";
-    need.mAvoidedServer = "s0";
+    batches::item_requirements requirements;
+    requirements.mPools = { "p" };
+    requirements.mModel = "m";
+    requirements.mMinimumVersion = *rc::gen::inRange(1, 4);
+    requirements.mGroup = "g";
+    requirements.mAvoidedServer = "s0";
     const batches::group_affinities affinities = { { "g", { "s1", now } } };
     const auto mayRun = [&](const batches::engine_view& aEngine) {
       return aEngine.mPool == "p" && aEngine.mOwnRuns < aEngine.mSlots &&
-             aEngine.mVersions.at("m") >= need.mMinimumVersion &&
+             aEngine.mVersions.at("m") >= requirements.mMinimumVersion &&
              aEngine.mBlockedUntil <= now;
     };
-    const auto chosen = batches::ChooseEngine(engines, need, affinities, now);
+    const auto chosen =
+      batches::ChooseEngine(engines, requirements, affinities, now);
     RC_ASSERT(chosen.has_value() ==
               std::any_of(engines.begin(), engines.end(), mayRun));
     if (!chosen) {
@@ -179,7 +181,7 @@
 
 // Guards against memory that grows with every group that an entry ever ran,
 // which ended the process within weeks. Groups that haven't been used for a
-// minute are forgotten.
+// minute are removed.
 BOOST_AUTO_TEST_CASE(GroupsOfLongAgoAreForgotten)
 {
   const auto now = boot_clock::now();
@@ -317,9 +319,9 @@
     RC_ASSERT(time < billing::EndOf(window, 5000ms));
     RC_ASSERT(time >= billing::EndOf(window - 1, 5000ms));
   }));
-  for (std::size_t place = 0; place < 4; ++place) {
-    BOOST_TEST((billing::ReportDelay(place) < 10s));
-    BOOST_TEST((billing::ReportDelay(place + 1) > billing::ReportDelay(place)));
+  for (std::size_t index = 0; index < 4; ++index) {
+    BOOST_TEST((billing::ReportDelay(index) < 10s));
+    BOOST_TEST((billing::ReportDelay(index + 1) > billing::ReportDelay(index)));
   }
 }
 
