--- a/StandIns/Common/Program.cpp
+++ b/StandIns/Common/Program.cpp
@@ -50,10 +50,10 @@
 http::response
 JsonResponse(int aStatus, const json::value& aBody)
 {
-  http::response answer;
-  answer.mStatus = aStatus;
-  answer.mBody = json::Write(aBody);
-  return answer;
+  http::response response;
+  response.mStatus = aStatus;
+  response.mBody = json::Write(aBody);
+  return response;
 }
 
 } // namespace lavender::standin
--- a/StandIns/Common/Program.h
+++ b/StandIns/Common/Program.h
@@ -5,11 +5,11 @@
 
 #include <string>
 
-/** What the stand-ins share. Nothing shipped links to these packages. */
+/** Code shared by the stand-ins. No production program links to it. */
 namespace lavender::standin {
 
-/** Serves with the handler until SIGTERM. Prints "ready http=PORT" when it
- * listens.
+/** Serves HTTP requests with the handler until SIGTERM. Prints
+ * "ready http=PORT" once it listens.
  * @return exit status */
 int
 RunProgram(const std::string& aName,
--- a/StandIns/Demo/main.cpp
+++ b/StandIns/Demo/main.cpp
@@ -5,9 +5,9 @@
 #include <iostream>
 #include <sstream>
 
-/** Brings up one example site on stand-ins and runs its main job: prompts,
- * bookings that may not run twice, a training step, a usage report and a
- * graceful shutdown. Ends with status 1 when anything is lost. */
+/** Starts an example site with simulated servers and platform, and runs
+ * prompts, bookings that must not run twice, a training step, a usage report
+ * and a graceful shutdown. Exits with status 1 if a check fails. */
 
 using namespace lavender;
 using namespace lavender::test;
@@ -21,15 +21,15 @@
   json::value mDescription;
   fleet mFleet;
   std::map<std::string, std::string> mKeys;
-  int mLost = 0;
+  int mFailedChecks = 0;
 };
 
 void
-Check(demo_site& aSite, bool aIsGood, const std::string& aWhat)
+Check(demo_site& aSite, bool aHolds, const std::string& aWhat)
 {
-  if (!aIsGood) {
+  if (!aHolds) {
     std::cout << "  LOST: " << aWhat << std::endl;
-    ++aSite.mLost;
+    ++aSite.mFailedChecks;
   }
 }
 
@@ -101,19 +101,20 @@
   }
 }
 
-/** Asks until the processes have found each other. */
+/** Repeats the request until it succeeds, because the processes need time to
+ * discover each other. */
 answer
 SendUntilServed(std::uint16_t aPort,
                 const std::string& aPath,
                 const json::value& aBody,
                 const http::header_list& aHeaders)
 {
-  answer got;
+  answer response;
   WaitFor([&] {
-    got = Send(aPort, "POST", aPath, aBody, aHeaders);
-    return got.mStatus == 200;
+    response = Send(aPort, "POST", aPath, aBody, aHeaders);
+    return response.mStatus == 200;
   });
-  return got;
+  return response;
 }
 
 void
@@ -127,12 +128,12 @@
     for (const char* field : { "model", "prompt", "max_tokens" }) {
       body.Set(field, MemberOf(prompt, field));
     }
-    const auto got = SendUntilServed(EntryAt(aSite, index++).Callers(),
-                                     "/v1/completions",
-                                     body,
-                                     KeyHeader(aSite, customer));
-    Check(aSite, got.mStatus == 200, "prompt of " + customer);
-    for (const auto& choice : MemberOf(got.mBody, "choices").Elements()) {
+    const auto response = SendUntilServed(EntryAt(aSite, index++).Callers(),
+                                          "/v1/completions",
+                                          body,
+                                          KeyHeader(aSite, customer));
+    Check(aSite, response.mStatus == 200, "prompt of " + customer);
+    for (const auto& choice : MemberOf(response.mBody, "choices").Elements()) {
       std::cout << "  " << customer << ": "
                 << json::StringAt(choice, "text", "") << std::endl;
     }
@@ -153,12 +154,12 @@
     const auto& body = MemberOf(booking, "body");
     const auto first =
       SendUntilServed(EntryAt(aSite, 0).Callers(), path, body, headers);
-    const auto again =
+    const auto repeated =
       SendUntilServed(EntryAt(aSite, 1).Callers(), path, body, headers);
     const auto number = json::IntegerAt(first.mBody, "booking", 0);
     Check(aSite, number > 0, "booking of " + customer);
     Check(aSite,
-          json::IntegerAt(again.mBody, "booking", -1) == number,
+          json::IntegerAt(repeated.mBody, "booking", -1) == number,
           "the booking ran twice");
     std::cout << "  " << customer << ": booking " << number
               << ", asked twice at two entries, ran once" << std::endl;
@@ -184,9 +185,9 @@
   const auto step = "/v1/training-runs/" + run + "/steps/" +
                     std::to_string(json::IntegerAt(training, "step", 1));
   const auto headers = KeyHeader(aSite, customer);
-  const auto got = SendUntilServed(
+  const auto response = SendUntilServed(
     EntryAt(aSite, 0).Callers(), step + "/batch", body, headers);
-  const auto& samples = MemberOf(got.mBody, "samples").Elements();
+  const auto& samples = MemberOf(response.mBody, "samples").Elements();
   const auto expected = MemberOf(training, "prompts").Elements().size() *
                         static_cast<std::size_t>(
                           json::IntegerAt(training, "samples_per_prompt", 1));
@@ -276,9 +277,9 @@
   ShowUsage(site);
   std::cout << "graceful shutdown" << std::endl;
   ShutDown(site);
-  std::cout << (site.mLost == 0 ? "nothing lost" : "SOMETHING WAS LOST")
+  std::cout << (site.mFailedChecks == 0 ? "nothing lost" : "SOMETHING WAS LOST")
             << std::endl;
-  return site.mLost;
+  return site.mFailedChecks;
 }
 
 } // namespace
@@ -286,9 +287,9 @@
 int
 main(int aCount, char** aArguments)
 {
-  int lost = 0;
+  int failedChecks = 0;
   for (int i = 1; i < aCount; ++i) {
-    lost += RunSite(aArguments[i]);
+    failedChecks += RunSite(aArguments[i]);
   }
-  return lost == 0 ? 0 : 1;
+  return failedChecks == 0 ? 0 : 1;
 }
--- a/StandIns/Engine/Engine.cpp
+++ b/StandIns/Engine/Engine.cpp
@@ -23,20 +23,20 @@
   return JsonResponse(aStatus, body);
 }
 
-/** The prompt's first words, at most that many. */
+/** Returns the first words of the prompt, at most aMaximum. */
 std::vector<std::string>
-FirstWords(const std::string& aPrompt, std::size_t aMost)
+FirstWords(const std::string& aPrompt, std::size_t aMaximum)
 {
   std::istringstream input(aPrompt);
   std::vector<std::string> words;
   std::string word;
-  while (words.size() < aMost && input >> word) {
+  while (words.size() < aMaximum && input >> word) {
     words.push_back(word);
   }
   return words;
 }
 
-/** Adds a token to the last part, or begins one. */
+/** Counts a token in the last part, or in a new part if the version differs. */
 void
 AddToken(json::array& aParts, std::int64_t aVersion)
 {
@@ -51,14 +51,14 @@
   last.Set("tokens", json::IntegerAt(last, "tokens", 0) + 1);
 }
 
-version_account
-ParseAccount(const std::string& aName)
+version_report
+ParseVersionReport(const std::string& aName)
 {
   if (aName == "none") {
-    return version_account::None;
+    return version_report::None;
   }
-  return aName == "ordered" ? version_account::Ordered
-                            : version_account::Truthful;
+  return aName == "ordered" ? version_report::Ordered
+                            : version_report::Truthful;
 }
 
 std::int64_t
@@ -104,37 +104,38 @@
 }
 
 std::int64_t
-engine::AccountedVersion(version_account aAccount) const
+engine::ReportedVersion(version_report aReport) const
 {
-  return aAccount == version_account::Ordered ? mOrderedVersion : mVersion;
+  return aReport == version_report::Ordered ? mOrderedVersion : mVersion;
 }
 
-/** What a crash and restart look like from outside: answers under way are
- * cut, and the base version is loaded. */
+/** Simulates a crash and restart: responses in flight are truncated, and the
+ * base version is loaded. */
 http::response
 engine::Crash()
 {
   std::lock_guard lock(mMutex);
-  ++mLife;
+  ++mIncarnation;
   mModel = "base";
   mVersion = 1;
   mOrderedVersion = 1;
-  mDueVersion = 0;
+  mPendingVersion = 0;
   mHighestFencing = 0;
   return JsonResponse(200, json::object{});
 }
 
 void
-engine::ApplyDueSwap()
+engine::ApplyPendingSwap()
 {
-  if (mDueVersion != 0 && std::chrono::steady_clock::now() >= mDueAt) {
-    mVersion = mDueVersion;
-    mDueVersion = 0;
+  if (mPendingVersion != 0 &&
+      std::chrono::steady_clock::now() >= mPendingSwapAt) {
+    mVersion = mPendingVersion;
+    mPendingVersion = 0;
   }
 }
 
-/** Time that reading the prompt takes; the prefix is cached from then on, and
- * the one that wasn't used for longest goes. */
+/** Returns the prefill time of the prompt and caches its prefix. Evicts the
+ * least recently used prefix if the cache is full. */
 std::chrono::milliseconds
 engine::ReadPrefix(const std::string& aPrompt)
 {
@@ -151,7 +152,7 @@
   }
   mPrefixHits += isHit ? 1 : 0;
   mPrefixMisses += isHit ? 0 : 1;
-  return isHit ? std::chrono::milliseconds(0) : mFaults.mPrefill;
+  return isHit ? std::chrono::milliseconds(0) : mFaults.mPrefillTime;
 }
 
 http::response
@@ -167,7 +168,7 @@
     prompt, static_cast<std::size_t>(json::IntegerAt(*body, "max_tokens", 16)));
   json::value run;
   run.Set("request", id);
-  // Names the attempt; cancels name it too.
+  // Identifies the attempt; cancel requests refer to it.
   const auto attempt = http::HeaderOr(aRequest.mHeaders, "X-Request-Id", id);
   run.Set("attempt", attempt);
   engine_faults faults;
@@ -184,55 +185,56 @@
   }
   std::this_thread::sleep_for(prefill);
   std::string text;
-  json::array truth;
-  json::array account;
+  json::array actualVersions;
+  json::array report;
   bool isCancelled = false;
-  int life = -1;
+  int incarnation = -1;
   for (const auto& word : words) {
-    std::this_thread::sleep_for(faults.mPerToken);
+    std::this_thread::sleep_for(faults.mTimePerToken);
     text += (text.empty() ? "" : " ") + word;
     std::lock_guard lock(mMutex);
-    ApplyDueSwap();
-    life = life < 0 ? mLife : life;
-    if (life != mLife) {
+    ApplyPendingSwap();
+    incarnation = incarnation < 0 ? mIncarnation : incarnation;
+    if (incarnation != mIncarnation) {
       --mRunning;
-      http::response cut;
-      cut.mBody = "{\"text\":\"" + text;
-      return cut;
+      http::response truncated;
+      truncated.mBody = "{\"text\":\"" + text;
+      return truncated;
     }
     if (mCancelled.count(attempt) > 0) {
       isCancelled = true;
       break;
     }
-    AddToken(truth, mVersion);
-    AddToken(account, AccountedVersion(faults.mAccount));
+    AddToken(actualVersions, mVersion);
+    AddToken(report, ReportedVersion(faults.mVersionReport));
   }
   {
     std::lock_guard lock(mMutex);
     --mRunning;
-    json::value ended;
-    ended.Set("request", id);
-    ended.Set("attempt", http::HeaderOr(aRequest.mHeaders, "X-Request-Id", ""));
-    ended.Set("model", mModel);
-    ended.Set("truth", truth);
-    mTruths.push_back(std::move(ended));
-    if (mFaults.mCutAnswers > 0) {
-      --mFaults.mCutAnswers;
-      http::response cut;
-      cut.mBody = "{\"text\":\"" + text.substr(0, text.size() / 2);
-      return cut;
+    json::value finishedRun;
+    finishedRun.Set("request", id);
+    finishedRun.Set("attempt",
+                    http::HeaderOr(aRequest.mHeaders, "X-Request-Id", ""));
+    finishedRun.Set("model", mModel);
+    finishedRun.Set("truth", actualVersions);
+    mActualVersions.push_back(std::move(finishedRun));
+    if (mFaults.mTruncatedResponses > 0) {
+      --mFaults.mTruncatedResponses;
+      http::response truncated;
+      truncated.mBody = "{\"text\":\"" + text.substr(0, text.size() / 2);
+      return truncated;
     }
   }
-  json::value answer;
-  answer.Set("text", text);
-  answer.Set("prompt_tokens", CountWords(prompt));
-  answer.Set("completion_tokens", static_cast<std::int64_t>(words.size()));
-  if (faults.mAccount != version_account::None) {
-    answer.Set("versions", std::move(account));
+  json::value response;
+  response.Set("text", text);
+  response.Set("prompt_tokens", CountWords(prompt));
+  response.Set("completion_tokens", static_cast<std::int64_t>(words.size()));
+  if (faults.mVersionReport != version_report::None) {
+    response.Set("versions", std::move(report));
   }
-  answer.Set("prompt_digest", DigestOf(prompt));
-  answer.Set("cancelled", isCancelled);
-  return JsonResponse(200, answer);
+  response.Set("prompt_digest", DigestOf(prompt));
+  response.Set("cancelled", isCancelled);
+  return JsonResponse(200, response);
 }
 
 http::response
@@ -261,22 +263,22 @@
     mVersion = 0;
     return Failure(500, "swap_broken");
   }
-  mDueVersion = mOrderedVersion;
-  mDueAt = std::chrono::steady_clock::now() + mFaults.mSwapLateness;
-  ApplyDueSwap();
-  json::value answer;
-  answer.Set("model", mModel);
-  answer.Set("version", mVersion);
-  return JsonResponse(200, answer);
+  mPendingVersion = mOrderedVersion;
+  mPendingSwapAt = std::chrono::steady_clock::now() + mFaults.mSwapDelay;
+  ApplyPendingSwap();
+  json::value response;
+  response.Set("model", mModel);
+  response.Set("version", mVersion);
+  return JsonResponse(200, response);
 }
 
 json::value
-engine::DescribeLoad()
+engine::LoadToJson()
 {
   std::lock_guard lock(mMutex);
   const auto now = std::chrono::steady_clock::now();
   mLoadHistory.push_back({ now, mRunning });
-  // Keep the newest state that is already old enough to be shown.
+  // Keep the newest state that is at least as old as the configured lag.
   while (mLoadHistory.size() > 1 &&
          mLoadHistory[1].mAt <= now - mFaults.mLoadLag) {
     mLoadHistory.pop_front();
@@ -287,11 +289,12 @@
   body.Set("tokens_per_second",
            kSlots * 1e6 /
              static_cast<double>(
-               std::max<std::int64_t>(mFaults.mPerToken.count(), 1)));
+               std::max<std::int64_t>(mFaults.mTimePerToken.count(), 1)));
   json::array prefixes;
   std::int64_t event = 0;
   for (const auto prefix : mCachedPrefixes) {
-    if (mFaults.mCacheEventGap == 0 || ++event % mFaults.mCacheEventGap != 0) {
+    if (mFaults.mLostCacheEventInterval == 0 ||
+        ++event % mFaults.mLostCacheEventInterval != 0) {
       prefixes.emplace_back(prefix);
     }
   }
@@ -319,7 +322,7 @@
       return JsonResponse(200, json::object{});
     });
   mRouter.Add("GET", "/load", [this](const auto&, const auto&) {
-    return JsonResponse(200, DescribeLoad());
+    return JsonResponse(200, LoadToJson());
   });
   mRouter.Add(
     "POST", "/weights", [this](const http::request& aRequest, const auto&) {
@@ -327,7 +330,7 @@
     });
   mRouter.Add("GET", "/weights", [this](const auto&, const auto&) {
     std::lock_guard lock(mMutex);
-    ApplyDueSwap();
+    ApplyPendingSwap();
     json::value body;
     body.Set("model", mModel);
     body.Set("version", mVersion);
@@ -343,26 +346,26 @@
     return Failure(400, body.mLastReason);
   }
   std::lock_guard lock(mMutex);
-  mFaults.mPerToken = std::chrono::microseconds(
-    json::IntegerAt(*body, "per_token_us", mFaults.mPerToken.count()));
+  mFaults.mTimePerToken = std::chrono::microseconds(
+    json::IntegerAt(*body, "per_token_us", mFaults.mTimePerToken.count()));
   mFaults.mFailsFast = json::BooleanAt(*body, "fail_fast", mFaults.mFailsFast);
   mFaults.mFailedSwaps = static_cast<int>(
     json::IntegerAt(*body, "fail_swaps", mFaults.mFailedSwaps));
   mFaults.mBrokenSwaps = static_cast<int>(
     json::IntegerAt(*body, "break_swaps", mFaults.mBrokenSwaps));
-  if (const auto* account = body->Find("account")) {
-    mFaults.mAccount = ParseAccount(account->StringOr(""));
+  if (const auto* report = body->Find("account")) {
+    mFaults.mVersionReport = ParseVersionReport(report->StringOr(""));
   }
-  mFaults.mSwapLateness = std::chrono::milliseconds(
-    json::IntegerAt(*body, "swap_late_ms", mFaults.mSwapLateness.count()));
-  mFaults.mCutAnswers = static_cast<int>(
-    json::IntegerAt(*body, "cut_answers", mFaults.mCutAnswers));
+  mFaults.mSwapDelay = std::chrono::milliseconds(
+    json::IntegerAt(*body, "swap_late_ms", mFaults.mSwapDelay.count()));
+  mFaults.mTruncatedResponses = static_cast<int>(
+    json::IntegerAt(*body, "cut_answers", mFaults.mTruncatedResponses));
   mFaults.mLoadLag = std::chrono::milliseconds(
     json::IntegerAt(*body, "load_lag_ms", mFaults.mLoadLag.count()));
-  mFaults.mPrefill = std::chrono::milliseconds(
-    json::IntegerAt(*body, "prefill_ms", mFaults.mPrefill.count()));
-  mFaults.mCacheEventGap =
-    json::IntegerAt(*body, "cache_event_gap", mFaults.mCacheEventGap);
+  mFaults.mPrefillTime = std::chrono::milliseconds(
+    json::IntegerAt(*body, "prefill_ms", mFaults.mPrefillTime.count()));
+  mFaults.mLostCacheEventInterval =
+    json::IntegerAt(*body, "cache_event_gap", mFaults.mLostCacheEventInterval);
   mFaults.mIgnoresFencing =
     json::BooleanAt(*body, "ignore_fencing", mFaults.mIgnoresFencing);
   return JsonResponse(200, json::object{});
@@ -384,15 +387,15 @@
     json::value body;
     body.Set("runs", mRuns);
     body.Set("orders", mOrders);
-    body.Set("truths", mTruths);
+    body.Set("truths", mActualVersions);
     return JsonResponse(200, body);
   });
   mRouter.Add("GET", "/control/received", [this](const auto&, const auto&) {
     std::lock_guard lock(mMutex);
-    http::response answer;
-    answer.mContentType = "application/octet-stream";
-    answer.mBody = mReceived;
-    return answer;
+    http::response response;
+    response.mContentType = "application/octet-stream";
+    response.mBody = mReceived;
+    return response;
   });
 }
 
--- a/StandIns/Engine/Engine.h
+++ b/StandIns/Engine/Engine.h
@@ -13,44 +13,48 @@
 
 namespace lavender::standin {
 
-/** What an engine's answer says of the versions that produced it. */
-enum class version_account
+/** Which versions a response reports for its tokens. */
+enum class version_report
 {
   Truthful,
-  /** Nothing at all. */
+  /** The response reports no versions. */
   None,
-  /** The version last ordered, whatever the engine holds. */
+  /** The last ordered version, even if another one is loaded. */
   Ordered
 };
 
 /** Faults that a test or experiment switches on with POST /control/faults. */
 struct engine_faults
 {
-  /** Generation takes this long per token; also the speed of the engine. */
-  std::chrono::microseconds mPerToken{ 1000 };
+  /** Generation time per token. The reported tokens per second follow from it.
+   */
+  std::chrono::microseconds mTimePerToken{ 1000 };
   /** Every generation fails at once with 500. */
   bool mFailsFast = false;
-  /** That many weight swaps fail and leave the old version. */
+  /** Number of following weight swaps that fail and leave the old version
+   * loaded. */
   int mFailedSwaps = 0;
-  /** That many weight swaps fail half-way and leave no version loaded. */
+  /** Number of following weight swaps that fail midway and leave no version
+   * loaded. */
   int mBrokenSwaps = 0;
-  version_account mAccount = version_account::Truthful;
-  /** A swap answers at once and takes effect this much later. */
-  std::chrono::milliseconds mSwapLateness{ 0 };
-  /** That many answers are cut short. */
-  int mCutAnswers = 0;
-  /** The load report shows what was true this long ago. */
+  version_report mVersionReport = version_report::Truthful;
+  /** Delay between the response to a swap and its effect. */
+  std::chrono::milliseconds mSwapDelay{ 0 };
+  /** Number of following responses that are truncated. */
+  int mTruncatedResponses = 0;
+  /** Age of the state that the load report shows. */
   std::chrono::milliseconds mLoadLag{ 0 };
-  /** Reading a prompt whose prefix isn't cached takes this long. */
-  std::chrono::milliseconds mPrefill{ 0 };
-  /** Every that many cache events one is lost; 0 for none. */
-  std::int64_t mCacheEventGap = 0;
-  /** Orders with old fencing numbers are carried out. */
+  /** Prefill time of a prompt whose prefix isn't cached. */
+  std::chrono::milliseconds mPrefillTime{ 0 };
+  /** One in this many cached prefixes is missing from the load report; 0 for
+   * none. */
+  std::int64_t mLostCacheEventInterval = 0;
+  /** Orders with outdated fencing numbers are accepted. */
   bool mIgnoresFencing = false;
 };
 
-/** A small model engine: it "summarises" by keeping the prompt's first words,
- * holds one weight version and logs every run. */
+/** Simulates a model engine that holds one weight version. Its completion is
+ * the first words of the prompt. Records every run. */
 class engine
 {
 public:
@@ -69,22 +73,23 @@
   http::response Generate(const http::request& aRequest);
   http::response SwapWeights(const http::request& aRequest);
   http::response SetFaults(const http::request& aRequest);
-  json::value DescribeLoad();
+  json::value LoadToJson();
   http::response Crash();
   std::chrono::milliseconds ReadPrefix(const std::string& aPrompt);
-  void ApplyDueSwap();
-  std::int64_t AccountedVersion(version_account aAccount) const;
+  void ApplyPendingSwap();
+  std::int64_t ReportedVersion(version_report aReport) const;
 
   http::router mRouter;
   std::mutex mMutex;
   engine_faults mFaults;
   std::string mModel = "base";
   std::int64_t mVersion = 1;
-  std::int64_t mDueVersion = 0;
+  std::int64_t mPendingVersion = 0;
   std::int64_t mOrderedVersion = 1;
-  /** Grows with each simulated crash; runs from before are cut. */
-  int mLife = 0;
-  std::chrono::steady_clock::time_point mDueAt;
+  /** Incremented by each simulated crash. Responses of runs that began before
+   * the crash are truncated. */
+  int mIncarnation = 0;
+  std::chrono::steady_clock::time_point mPendingSwapAt;
   std::int64_t mHighestFencing = 0;
   int mRunning = 0;
   std::deque<load_state> mLoadHistory;
@@ -94,14 +99,14 @@
   std::set<std::string> mCancelled;
   json::array mRuns;
   json::array mOrders;
-  /** For each run that ended: which version truly produced its tokens. */
-  json::array mTruths;
-  /** Every byte received, so that a test can search it for keys. */
+  /** For each finished run: the versions that produced its tokens. */
+  json::array mActualVersions;
+  /** Received bytes up to a limit, so that a test can search them for keys. */
   std::string mReceived;
 };
 
-/** First 64 bits of a digest of the text; answers carry it so that a test can
- * see whose they are. */
+/** Returns the first 60 bits of a digest of the text. Responses contain the
+ * digest of their prompt, so that a test can match them. */
 std::int64_t
 DigestOf(const std::string& aText);
 
--- a/StandIns/ObjectStore/MemoryStore.cpp
+++ b/StandIns/ObjectStore/MemoryStore.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-enum class write_kind
+enum class write_operation
 {
   Create,
   Replace,
@@ -19,7 +19,7 @@
 
 struct write_call
 {
-  write_kind mWhat = write_kind::Create;
+  write_operation mOperation = write_operation::Create;
   std::string mKind;
   std::string mName;
   objects::revision_number mExpected = 0;
@@ -38,7 +38,7 @@
 {
   auto& kind = aState.mKinds[aCall.mKind];
   const auto found = kind.find(aCall.mName);
-  if (aCall.mWhat == write_kind::Create) {
+  if (aCall.mOperation == write_operation::Create) {
     if (found != kind.end()) {
       return { store_outcome::Conflict, found->second };
     }
@@ -57,13 +57,14 @@
     return { store_outcome::Conflict, object };
   }
   object.mRevision = ++aState.mRevision;
-  if (aCall.mWhat == write_kind::Delete) {
-    const auto gone = object;
+  if (aCall.mOperation == write_operation::Delete) {
+    const auto deleted = object;
     kind.erase(found);
-    aState.mHistory[aCall.mKind].push_back({ gone, true });
-    return { store_outcome::Done, gone };
+    aState.mHistory[aCall.mKind].push_back({ deleted, true });
+    return { store_outcome::Done, deleted };
   }
-  (aCall.mWhat == write_kind::Replace ? object.mSpec : object.mStatus) =
+  (aCall.mOperation == write_operation::Replace ? object.mSpec
+                                                : object.mStatus) =
     ParsedOrNull(aCall.mJson);
   aState.mHistory[aCall.mKind].push_back({ object, false });
   return { store_outcome::Done, object };
@@ -76,36 +77,36 @@
       objects::object_done aDone)
 {
   ++aState.mCalls;
-  const auto answer = [aScheduler, done = std::move(aDone)](
-                        milliseconds aPause, objects::object_reply aReply) {
+  const auto respond = [aScheduler, done = std::move(aDone)](
+                         milliseconds aDelay, objects::object_reply aReply) {
     RunAfter(
-      aScheduler, aPause, [done, reply = std::move(aReply)] { done(reply); });
+      aScheduler, aDelay, [done, reply = std::move(aReply)] { done(reply); });
   };
   const objects::object_reply unknown{ store_outcome::Unknown, {} };
   switch (aState.mFault) {
     case store_fault::None:
-      answer(aState.mLatency, Apply(aState, aCall));
+      respond(aState.mLatency, Apply(aState, aCall));
       return;
     case store_fault::Refuse:
-      answer(aState.mLatency, { store_outcome::Refused, {} });
+      respond(aState.mLatency, { store_outcome::Refused, {} });
       return;
     case store_fault::Silent:
-      answer(aState.mSilence, unknown);
+      respond(aState.mTimeoutDelay, unknown);
       return;
     case store_fault::LoseAnswers:
       Apply(aState, aCall);
-      answer(aState.mSilence, unknown);
+      respond(aState.mTimeoutDelay, unknown);
       return;
     case store_fault::Late:
-      RunAfter(aScheduler, aState.mLateness, [&aState, aCall] {
+      RunAfter(aScheduler, aState.mLateWriteDelay, [&aState, aCall] {
         Apply(aState, aCall);
       });
-      answer(aState.mSilence, unknown);
+      respond(aState.mTimeoutDelay, unknown);
       return;
   }
 }
 
-/** The outcome of a read that can't be served now, if it can't. */
+/** Returns the outcome of a read that fails because of the current fault. */
 std::optional<store_outcome>
 ReadFault(const memory_store_state& aState)
 {
@@ -124,13 +125,14 @@
       memory_store_state& aState,
       const std::string& aKind,
       objects::revision_number aSince,
-      milliseconds aLeft,
+      milliseconds aRemaining,
       const objects::watch_done& aDone)
 {
   objects::watch_reply reply;
   if (const auto fault = ReadFault(aState)) {
     reply.mOutcome = *fault;
-    RunAfter(aScheduler, aState.mSilence, [aDone, reply] { aDone(reply); });
+    RunAfter(
+      aScheduler, aState.mTimeoutDelay, [aDone, reply] { aDone(reply); });
     return;
   }
   reply.mOutcome = aSince < aState.mForgottenBefore ? store_outcome::HistoryGone
@@ -141,16 +143,16 @@
     }
   }
   reply.mStoreRevision = aState.mRevision;
-  const bool hasNews = !reply.mEvents.empty() || aLeft <= 0ms ||
-                       reply.mOutcome != store_outcome::Done;
-  if (hasNews && !aState.mAreWatchesDeaf) {
+  const bool shouldRespond = !reply.mEvents.empty() || aRemaining <= 0ms ||
+                             reply.mOutcome != store_outcome::Done;
+  if (shouldRespond && !aState.mAreWatchesDeaf) {
     RunAfter(aScheduler, aState.mLatency, [aDone, reply] { aDone(reply); });
     return;
   }
-  // Looking every few ms is simpler than keeping waiters.
-  const auto pause = aState.mLookEach;
-  RunAfter(aScheduler, pause, [=, &aState] {
-    Watch(aScheduler, aState, aKind, aSince, aLeft - pause, aDone);
+  // Polling is simpler than a list of waiting watches.
+  const auto delay = aState.mLookEach;
+  RunAfter(aScheduler, delay, [=, &aState] {
+    Watch(aScheduler, aState, aKind, aSince, aRemaining - delay, aDone);
   });
 }
 
@@ -167,15 +169,15 @@
     ++aState.mCalls;
     aState.mStaleReads += aFreshness == objects::freshness::MayBeStale;
     objects::object_reply reply{ store_outcome::NotFound, {} };
-    auto pause = aState.mLatency;
+    auto delay = aState.mLatency;
     if (const auto fault = ReadFault(aState)) {
       reply.mOutcome = *fault;
-      pause = aState.mSilence;
+      delay = aState.mTimeoutDelay;
     } else if (const auto found = aState.mKinds[aKind].find(aName);
                found != aState.mKinds[aKind].end()) {
       reply = { store_outcome::Done, found->second };
     }
-    RunAfter(aScheduler, pause, [aDone, reply] { aDone(reply); });
+    RunAfter(aScheduler, delay, [aDone, reply] { aDone(reply); });
   };
   store.mList = [aScheduler, &aState](
                   const auto& aKind, const auto& aAfter, auto, auto aDone) {
@@ -200,7 +202,7 @@
      &aState](const auto& aKind, const auto& aName, auto aJson, auto aDone) {
       Write(aScheduler,
             aState,
-            { write_kind::Create, aKind, aName, 0, aJson },
+            { write_operation::Create, aKind, aName, 0, aJson },
             std::move(aDone));
     };
   store.mReplace = [aScheduler, &aState](const auto& aKind,
@@ -210,7 +212,7 @@
                                          auto aDone) {
     Write(aScheduler,
           aState,
-          { write_kind::Replace, aKind, aName, aExpected, aJson },
+          { write_operation::Replace, aKind, aName, aExpected, aJson },
           std::move(aDone));
   };
   store.mReplaceStatus = [aScheduler, &aState](const auto& aKind,
@@ -220,14 +222,14 @@
                                                auto aDone) {
     Write(aScheduler,
           aState,
-          { write_kind::ReplaceStatus, aKind, aName, aExpected, aJson },
+          { write_operation::ReplaceStatus, aKind, aName, aExpected, aJson },
           std::move(aDone));
   };
   store.mDelete = [aScheduler,
                    &aState](const auto& aKind, const auto& aName, auto aDone) {
     Write(aScheduler,
           aState,
-          { write_kind::Delete, aKind, aName, 0, "" },
+          { write_operation::Delete, aKind, aName, 0, "" },
           std::move(aDone));
   };
   return store;
@@ -241,7 +243,7 @@
 {
   const bool exists = aState.mKinds[aKind].count(aName) > 0;
   Apply(aState,
-        { exists ? write_kind::Replace : write_kind::Create,
+        { exists ? write_operation::Replace : write_operation::Create,
           aKind,
           aName,
           0,
--- a/StandIns/ObjectStore/MemoryStore.h
+++ b/StandIns/ObjectStore/MemoryStore.h
@@ -8,22 +8,23 @@
 #include <memory>
 #include <string>
 
-/** Stand-in of the platform's store of objects, in memory on the test's loop,
- * with the faults of the real one as switches. */
+/** Simulates the platform's object store in memory on the test's event loop,
+ * with faults that a test can set. */
 namespace lavender::standin {
 
-/** What the store does with the calls that come while it is set. */
+/** How the store handles calls while the fault is set. */
 enum class store_fault
 {
   None,
-  /** Answers that it did nothing. */
+  /** Responds that the call had no effect. */
   Refuse,
-  /** Does nothing and never answers; the caller sees an unknown outcome. */
+  /** Has no effect and sends no response; the caller gets an unknown outcome.
+   */
   Silent,
-  /** Carries writes out and loses the answers. */
+  /** Applies writes and loses the responses. */
   LoseAnswers,
-  /** Loses the answer of a write and carries it out later, if its condition
-   * still holds then. */
+  /** Loses the response to a write and applies the write later, if its
+   * condition still holds then. */
   Late
 };
 
@@ -32,21 +33,22 @@
   std::map<std::string, std::map<std::string, objects::stored_object>> mKinds;
   /** Changes so far, by kind, for watches. */
   std::map<std::string, std::deque<objects::object_event>> mHistory;
-  /** Watches from before this revision learn that history is gone. */
+  /** Watches from earlier revisions fail with HistoryGone. */
   objects::revision_number mForgottenBefore = 0;
   objects::revision_number mRevision = 100;
   store_fault mFault = store_fault::None;
-  /** Answers take this long. */
+  /** Delay of a response. */
   milliseconds mLatency{ 1 };
-  /** A silent call's caller learns of it after this. */
-  milliseconds mSilence{ 30 };
-  milliseconds mLateness{ 60 };
-  /** How often a watch that waits looks for a change. */
+  /** Delay until the caller of an unanswered call gets an unknown outcome. */
+  milliseconds mTimeoutDelay{ 30 };
+  milliseconds mLateWriteDelay{ 60 };
+  /** Interval at which a waiting watch checks for changes. */
   milliseconds mLookEach{ 2 };
-  /** Watches that wait hear of no change, nor end. */
+  /** Watches get no events and don't end. */
   bool mAreWatchesDeaf = false;
   int mCalls = 0;
-  /** Of these, reads that may be stale: the platform charges a tenth. */
+  /** Reads among mCalls that may be stale; the platform charges a tenth for
+   * them. */
   int mStaleReads = 0;
 };
 
@@ -55,7 +57,7 @@
 objects::object_store
 MakeMemoryStore(const scheduler& aScheduler, memory_store_state& aState);
 
-/** Writes as an operator would, past all faults. */
+/** Writes an object directly, unaffected by the current fault. */
 void
 PutDirectly(memory_store_state& aState,
             const std::string& aKind,
--- a/StandIns/ObjectStore/StoreListener.cpp
+++ b/StandIns/ObjectStore/StoreListener.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** A request's path and query, apart. */
+/** The parsed path and query of a request. */
 struct store_call
 {
   std::string mKind;
@@ -20,12 +20,12 @@
 };
 
 store_call
-ReadCall(const std::string& aTarget)
+ParseCall(const std::string& aTarget)
 {
   store_call call;
-  const auto question = aTarget.find('?');
+  const auto queryStart = aTarget.find('?');
   std::vector<std::string> parts;
-  const auto path = aTarget.substr(0, question);
+  const auto path = aTarget.substr(0, queryStart);
   for (std::size_t start = 0; start < path.size();) {
     const auto end = path.find('/', start + 1);
     parts.push_back(path.substr(start + 1, end - start - 1));
@@ -34,7 +34,7 @@
   call.mKind = parts.size() > 1 ? parts[1] : "";
   call.mName = parts.size() > 2 ? parts[2] : "";
   call.mIsStatus = parts.size() > 3 && parts[3] == "status";
-  for (auto start = question; start != std::string::npos;) {
+  for (auto start = queryStart; start != std::string::npos;) {
     const auto end = aTarget.find('&', start + 1);
     const auto part = aTarget.substr(start + 1, end - start - 1);
     const auto equals = part.find('=');
@@ -46,7 +46,9 @@
 }
 
 std::int64_t
-NumberIn(const store_call& aCall, const char* aName, std::int64_t aFallback)
+IntegerInQuery(const store_call& aCall,
+               const char* aName,
+               std::int64_t aFallback)
 {
   const auto found = aCall.mQuery.find(aName);
   return found == aCall.mQuery.end()
@@ -69,9 +71,9 @@
   };
 }
 
-/** Silence: the exchange is forgotten, and its connection with it. */
+/** Returns false if the connection is to be aborted without a response. */
 bool
-IsAnswered(store_outcome aOutcome)
+HasResponse(store_outcome aOutcome)
 {
   return aOutcome != store_outcome::Unknown;
 }
@@ -94,45 +96,45 @@
 }
 
 void
-Answer(const edge::exchange_ptr& aExchange,
-       store_outcome aOutcome,
-       const json::value& aBody)
+Respond(const edge::exchange_ptr& aExchange,
+        store_outcome aOutcome,
+        const json::value& aBody)
 {
-  if (!IsAnswered(aOutcome)) {
+  if (!HasResponse(aOutcome)) {
     aExchange->Abort();
     return;
   }
-  edge::response answer{ StatusOf(aOutcome), {}, json::Write(aBody) };
-  answer.mHeaders.Add("Content-Type", "application/json");
-  aExchange->Answer(std::move(answer));
+  edge::response response{ StatusOf(aOutcome), {}, json::Write(aBody) };
+  response.mHeaders.Add("Content-Type", "application/json");
+  aExchange->Answer(std::move(response));
 }
 
 objects::object_done
-AnswerObject(const edge::exchange_ptr& aExchange)
+RespondWithObject(const edge::exchange_ptr& aExchange)
 {
   return [aExchange](const objects::object_reply& aReply) {
-    Answer(aExchange, aReply.mOutcome, Encode(aReply.mObject));
+    Respond(aExchange, aReply.mOutcome, Encode(aReply.mObject));
   };
 }
 
 objects::list_done
-AnswerList(const edge::exchange_ptr& aExchange)
+RespondWithList(const edge::exchange_ptr& aExchange)
 {
   return [aExchange](const objects::list_reply& aReply) {
     json::array items;
     for (const auto& object : aReply.mObjects) {
       items.push_back(Encode(object));
     }
-    Answer(aExchange,
-           aReply.mOutcome,
-           json::object{ { "items", std::move(items) },
-                         { "hasMore", aReply.mHasMore },
-                         { "storeRevision", aReply.mStoreRevision } });
+    Respond(aExchange,
+            aReply.mOutcome,
+            json::object{ { "items", std::move(items) },
+                          { "hasMore", aReply.mHasMore },
+                          { "storeRevision", aReply.mStoreRevision } });
   };
 }
 
 objects::watch_done
-AnswerWatch(const edge::exchange_ptr& aExchange)
+RespondWithEvents(const edge::exchange_ptr& aExchange)
 {
   return [aExchange](const objects::watch_reply& aReply) {
     json::array events;
@@ -140,10 +142,10 @@
       events.push_back(json::object{ { "object", Encode(event.mObject) },
                                      { "deleted", event.mIsDeleted } });
     }
-    Answer(aExchange,
-           aReply.mOutcome,
-           json::object{ { "events", std::move(events) },
-                         { "storeRevision", aReply.mStoreRevision } });
+    Respond(aExchange,
+            aReply.mOutcome,
+            json::object{ { "events", std::move(events) },
+                          { "storeRevision", aReply.mStoreRevision } });
   };
 }
 
@@ -176,29 +178,29 @@
 store_listener::Serve(const edge::exchange_ptr& aExchange)
 {
   const auto& request = aExchange->mRequest;
-  const auto call = ReadCall(request.mTarget);
+  const auto call = ParseCall(request.mTarget);
   if (request.mMethod == "GET") {
     if (!call.mName.empty()) {
       mStore.mGet(call.mKind,
                   call.mName,
                   objects::freshness::Linearizable,
-                  AnswerObject(aExchange));
+                  RespondWithObject(aExchange));
     } else if (call.mQuery.count("watch") > 0) {
       mStore.mWatch(call.mKind,
-                    NumberIn(call, "watch", 0),
-                    milliseconds(NumberIn(call, "waitMs", 0)),
-                    AnswerWatch(aExchange));
+                    IntegerInQuery(call, "watch", 0),
+                    milliseconds(IntegerInQuery(call, "waitMs", 0)),
+                    RespondWithEvents(aExchange));
     } else {
       const auto after = call.mQuery.find("after");
       mStore.mList(call.mKind,
                    after == call.mQuery.end() ? "" : after->second,
                    objects::freshness::Linearizable,
-                   AnswerList(aExchange));
+                   RespondWithList(aExchange));
     }
     return;
   }
   if (request.mMethod == "DELETE") {
-    mStore.mDelete(call.mKind, call.mName, AnswerObject(aExchange));
+    mStore.mDelete(call.mKind, call.mName, RespondWithObject(aExchange));
     return;
   }
   const auto body = json::Parse(request.mBody);
@@ -212,19 +214,19 @@
     mStore.mCreate(call.mKind,
                    json::StringAt(*metadata, "name", ""),
                    Member(*body, "spec"),
-                   AnswerObject(aExchange));
+                   RespondWithObject(aExchange));
   } else if (call.mIsStatus) {
     mStore.mReplaceStatus(call.mKind,
                           call.mName,
                           expected,
                           Member(*body, "status"),
-                          AnswerObject(aExchange));
+                          RespondWithObject(aExchange));
   } else {
     mStore.mReplace(call.mKind,
                     call.mName,
                     expected,
                     Member(*body, "spec"),
-                    AnswerObject(aExchange));
+                    RespondWithObject(aExchange));
   }
 }
 
--- a/StandIns/ObjectStore/StoreListener.h
+++ b/StandIns/ObjectStore/StoreListener.h
@@ -5,8 +5,7 @@
 
 namespace lavender::standin {
 
-/** The stand-in store behind the platform's published paths, for programs that
- * reach it over HTTP. */
+/** Serves the simulated object store over HTTP, on the platform's paths. */
 class store_listener
 {
 public:
--- a/StandIns/PlainService/PlainService.cpp
+++ b/StandIns/PlainService/PlainService.cpp
@@ -27,13 +27,13 @@
       byBody.Set(sent, count);
     }
     body.Set("runs_by_body", std::move(byBody));
-    body.Set("ended", mEnded);
+    body.Set("ended", mCompletedRuns);
     return JsonResponse(200, body);
   }
   if (aRequest.mPath == "/control/received") {
-    http::response answer;
-    answer.mBody = mReceived;
-    return answer;
+    http::response response;
+    response.mBody = mReceived;
+    return response;
   }
   if (aRequest.mPath == "/load") {
     json::value body;
@@ -48,7 +48,7 @@
 http::response
 plain_service::RunCall(const http::request& aRequest)
 {
-  std::chrono::milliseconds slowness{ 0 };
+  std::chrono::milliseconds delay{ 0 };
   std::int64_t booking = 0;
   bool isFailing = false;
   {
@@ -60,13 +60,13 @@
     ++mRunsById[http::HeaderOr(aRequest.mHeaders, "X-Request-Id", "")];
     ++mRunsByBody[aRequest.mBody];
     booking = ++mBookings;
-    slowness = mSlowness;
+    delay = mResponseDelay;
     isFailing = mFails;
   }
-  std::this_thread::sleep_for(slowness);
+  std::this_thread::sleep_for(delay);
   {
     std::lock_guard lock(mMutex);
-    ++mEnded;
+    ++mCompletedRuns;
   }
   json::value body;
   body.Set("booking", booking);
@@ -83,8 +83,8 @@
     return JsonResponse(400, json::value(body.mLastReason));
   }
   std::lock_guard lock(mMutex);
-  mSlowness = std::chrono::milliseconds(
-    json::IntegerAt(*body, "slow_ms", mSlowness.count()));
+  mResponseDelay = std::chrono::milliseconds(
+    json::IntegerAt(*body, "slow_ms", mResponseDelay.count()));
   mFails = json::BooleanAt(*body, "fail", mFails);
   return JsonResponse(200, json::object{});
 }
--- a/StandIns/PlainService/PlainService.h
+++ b/StandIns/PlainService/PlainService.h
@@ -10,8 +10,8 @@
 
 namespace lavender::standin {
 
-/** A service whose calls may not be repeated, such as a booking: it counts
- * how often each request id ran. */
+/** Simulates a service whose calls must not run twice, such as a booking
+ * service. Counts the runs of each request id. */
 class plain_service
 {
 public:
@@ -22,12 +22,13 @@
   http::response SetFaults(const http::request& aRequest);
 
   std::mutex mMutex;
-  std::chrono::milliseconds mSlowness{ 0 };
+  std::chrono::milliseconds mResponseDelay{ 0 };
   bool mFails = false;
   std::int64_t mBookings = 0;
-  std::int64_t mEnded = 0;
+  std::int64_t mCompletedRuns = 0;
   std::map<std::string, std::int64_t> mRunsById;
-  /** Runs for each body; a test that sends each body once sees repeats. */
+  /** Runs by request body. A test that sends each body once detects repeated
+   * runs with it. */
   std::map<std::string, std::int64_t> mRunsByBody;
   std::string mReceived;
 };
--- a/StandIns/Platform/ObjectStore.cpp
+++ b/StandIns/Platform/ObjectStore.cpp
@@ -6,14 +6,14 @@
 constexpr std::size_t kMaximumEvents = 20000;
 
 bool
-IsExpected(const std::optional<kept_object>& aCurrent, std::int64_t aExpected)
+IsExpected(const std::optional<stored_object>& aCurrent, std::int64_t aExpected)
 {
   return aExpected < 0 || (aCurrent ? aCurrent->mRevision : 0) == aExpected;
 }
 
 } // namespace
 
-std::optional<kept_object>
+std::optional<stored_object>
 object_store::Read(const std::string& aKind, const std::string& aName) const
 {
   std::lock_guard lock(mMutex);
@@ -24,7 +24,7 @@
   return found->second;
 }
 
-store_outcome
+write_result
 object_store::Write(const std::string& aKind,
                     const std::string& aName,
                     std::int64_t aExpected,
@@ -32,7 +32,7 @@
 {
   std::lock_guard lock(mMutex);
   const auto found = mObjects.find({ aKind, aName });
-  std::optional<kept_object> current;
+  std::optional<stored_object> current;
   if (found != mObjects.end()) {
     current = found->second;
   }
@@ -45,7 +45,7 @@
   return { true, mRevision, std::nullopt };
 }
 
-store_outcome
+write_result
 object_store::Delete(const std::string& aKind,
                      const std::string& aName,
                      std::int64_t aExpected)
@@ -71,7 +71,7 @@
   json::array items;
   for (const auto& [key, object] : mObjects) {
     if (aKind.empty() || key.first == aKind) {
-      items.push_back(DescribeObject(key.first, key.second, object));
+      items.push_back(ToJson(key.first, key.second, object));
     }
   }
   return { mRevision, std::move(items) };
@@ -81,11 +81,11 @@
 object_store::Watch(std::int64_t aFrom, std::chrono::milliseconds aWait)
 {
   std::unique_lock lock(mMutex);
-  if (aFrom < mOldestKept) {
+  if (aFrom < mOldestRetained) {
     return std::nullopt;
   }
   mChanged.wait_for(lock, aWait, [&] { return mRevision > aFrom; });
-  if (aFrom < mOldestKept) {
+  if (aFrom < mOldestRetained) {
     return std::nullopt;
   }
   json::array events;
@@ -93,10 +93,10 @@
     if (event.mRevision <= aFrom) {
       continue;
     }
-    auto described = DescribeObject(
-      event.mKind, event.mName, { event.mRevision, event.mValue });
-    described.Set("type", event.mIsDeletion ? "delete" : "put");
-    events.push_back(std::move(described));
+    auto item =
+      ToJson(event.mKind, event.mName, { event.mRevision, event.mValue });
+    item.Set("type", event.mIsDeletion ? "delete" : "put");
+    events.push_back(std::move(item));
   }
   return std::pair{ mRevision, std::move(events) };
 }
@@ -106,39 +106,39 @@
 {
   std::lock_guard lock(mMutex);
   mEvents.clear();
-  mOldestKept = mRevision;
+  mOldestRetained = mRevision;
 }
 
 void
-object_store::KeepOldCopy()
+object_store::SaveSnapshot()
 {
   auto list = List("");
   std::lock_guard lock(mMutex);
-  mOldCopy = std::move(list);
+  mSnapshot = std::move(list);
 }
 
 std::pair<std::int64_t, json::array>
-object_store::ListOldCopy() const
+object_store::ListSnapshot() const
 {
   std::lock_guard lock(mMutex);
-  return mOldCopy;
+  return mSnapshot;
 }
 
 void
-object_store::Append(kept_event aEvent)
+object_store::Append(stored_event aEvent)
 {
   mEvents.push_back(std::move(aEvent));
   if (mEvents.size() > kMaximumEvents) {
-    mOldestKept = mEvents.front().mRevision;
+    mOldestRetained = mEvents.front().mRevision;
     mEvents.pop_front();
   }
   mChanged.notify_all();
 }
 
 json::value
-DescribeObject(const std::string& aKind,
-               const std::string& aName,
-               const kept_object& aObject)
+ToJson(const std::string& aKind,
+       const std::string& aName,
+       const stored_object& aObject)
 {
   json::value item;
   item.Set("kind", aKind);
--- a/StandIns/Platform/ObjectStore.h
+++ b/StandIns/Platform/ObjectStore.h
@@ -15,13 +15,13 @@
 
 namespace lavender::standin {
 
-struct kept_object
+struct stored_object
 {
   std::int64_t mRevision = 0;
   json::value mValue;
 };
 
-struct kept_event
+struct stored_event
 {
   std::int64_t mRevision = 0;
   bool mIsDeletion = false;
@@ -30,59 +30,61 @@
   json::value mValue;
 };
 
-struct store_outcome
+struct write_result
 {
-  bool mIsDone = false;
+  bool mIsApplied = false;
   std::int64_t mRevision = 0;
-  /** What stands there after a conflict. */
-  std::optional<kept_object> mCurrent;
+  /** The stored object that caused a conflict. */
+  std::optional<stored_object> mCurrent;
 };
 
 /** Versioned objects with conditional updates and watches. */
 class object_store
 {
 public:
-  std::optional<kept_object> Read(const std::string& aKind,
-                                  const std::string& aName) const;
+  std::optional<stored_object> Read(const std::string& aKind,
+                                    const std::string& aName) const;
   /** Writes when the object has the expected revision: 0 for absent, -1 for
    * any. */
-  store_outcome Write(const std::string& aKind,
+  write_result Write(const std::string& aKind,
+                     const std::string& aName,
+                     std::int64_t aExpected,
+                     json::value aValue);
+  write_result Delete(const std::string& aKind,
                       const std::string& aName,
-                      std::int64_t aExpected,
-                      json::value aValue);
-  store_outcome Delete(const std::string& aKind,
-                       const std::string& aName,
-                       std::int64_t aExpected);
-  /** Revision of the store, and the objects of a kind (all when empty). */
+                      std::int64_t aExpected);
+  /** Returns the store's revision and the objects of a kind, or all objects if
+   * the kind is empty. */
   std::pair<std::int64_t, json::array> List(const std::string& aKind) const;
-  /** Events after the revision, waiting for the first; none when the
-   * revision is no longer kept. */
+  /** Returns the events after a revision and waits for the first one. Returns
+   * nothing if the events after that revision have been compacted. */
   std::optional<std::pair<std::int64_t, json::array>> Watch(
     std::int64_t aFrom,
     std::chrono::milliseconds aWait);
-  /** Forgets old events, so that watches from before fail. */
+  /** Drops all events, so that watches from older revisions fail. */
   void Compact();
-  /** Keeps the present state as the old copy. */
-  void KeepOldCopy();
-  /** The old copy as a list shows it. */
-  std::pair<std::int64_t, json::array> ListOldCopy() const;
+  /** Saves the current state as the snapshot for callers that read stale data.
+   */
+  void SaveSnapshot();
+  /** Returns the snapshot in the form that List() returns. */
+  std::pair<std::int64_t, json::array> ListSnapshot() const;
 
 private:
-  void Append(kept_event aEvent);
+  void Append(stored_event aEvent);
 
   mutable std::mutex mMutex;
   std::condition_variable mChanged;
-  std::map<std::pair<std::string, std::string>, kept_object> mObjects;
-  std::deque<kept_event> mEvents;
-  std::pair<std::int64_t, json::array> mOldCopy;
+  std::map<std::pair<std::string, std::string>, stored_object> mObjects;
+  std::deque<stored_event> mEvents;
+  std::pair<std::int64_t, json::array> mSnapshot;
   std::int64_t mRevision = 1;
-  std::int64_t mOldestKept = 1;
+  std::int64_t mOldestRetained = 1;
 };
 
-/** The JSON form of one object, as all interfaces show it. */
+/** Encodes an object in the form that all interfaces return. */
 json::value
-DescribeObject(const std::string& aKind,
-               const std::string& aName,
-               const kept_object& aObject);
+ToJson(const std::string& aKind,
+       const std::string& aName,
+       const stored_object& aObject);
 
 } // namespace lavender::standin
--- a/StandIns/Platform/Platform.cpp
+++ b/StandIns/Platform/Platform.cpp
@@ -28,9 +28,9 @@
 }
 
 void
-TakeNames(const json::value& aBody,
-          const std::string& aMember,
-          std::set<std::string>& aNames)
+ReplaceNames(const json::value& aBody,
+             const std::string& aMember,
+             std::set<std::string>& aNames)
 {
   if (const auto* names = aBody.Find(aMember)) {
     aNames.clear();
@@ -59,23 +59,23 @@
 platform::Serve(const http::request& aRequest)
 {
   if (!IsControl(aRequest)) {
-    Keep(aRequest);
+    RecordReceivedBytes(aRequest);
     if (auto fault = ApplyFaults(aRequest)) {
       return *fault;
     }
-    if (auto old = AnswerFromOldCopy(aRequest)) {
-      return *old;
+    if (auto stale = RespondFromSnapshot(aRequest)) {
+      return *stale;
     }
   }
   return http::Serve(mRouter, aRequest);
 }
 
 void
-platform::Keep(const http::request& aRequest)
+platform::RecordReceivedBytes(const http::request& aRequest)
 {
-  constexpr std::size_t kMostBytes = 8 << 20;
+  constexpr std::size_t kMaximumBytes = 8 << 20;
   std::lock_guard lock(mMutex);
-  if (mReceived.size() > kMostBytes) {
+  if (mReceived.size() > kMaximumBytes) {
     return;
   }
   mReceived += aRequest.mPath + "?" + aRequest.mQuery + "\n";
@@ -88,46 +88,46 @@
 std::optional<http::response>
 platform::ApplyFaults(const http::request& aRequest)
 {
-  std::chrono::milliseconds slowness{ 0 };
-  bool isCut = false;
+  std::chrono::milliseconds delay{ 0 };
+  bool isUnresponsive = false;
   {
     std::lock_guard lock(mMutex);
     ++mCalls[aRequest.mMethod];
-    if (mFaults.mIsDown) {
+    if (mFaults.mIsUnavailable) {
       return Failure(503, "down");
     }
-    slowness = mFaults.mSlowness;
-    isCut = mFaults.mCutCallers.count(
-              http::HeaderOr(aRequest.mHeaders, "X-Caller", "")) > 0;
+    delay = mFaults.mResponseDelay;
+    isUnresponsive = mFaults.mUnresponsiveCallers.count(
+                       http::HeaderOr(aRequest.mHeaders, "X-Caller", "")) > 0;
   }
-  if (isCut) {
+  if (isUnresponsive) {
     {
       std::lock_guard lock(mMutex);
       ++mCalls["cut"];
     }
-    // A cut caller sees silence: nothing is carried out, and the answer
-    // comes after every client's timeout.
+    // The request has no effect, and the response is sent after every client's
+    // timeout.
     std::this_thread::sleep_for(6s);
     return Failure(503, "cut");
   }
-  std::this_thread::sleep_for(slowness);
+  std::this_thread::sleep_for(delay);
   return std::nullopt;
 }
 
 std::optional<http::response>
-platform::AnswerFromOldCopy(const http::request& aRequest)
+platform::RespondFromSnapshot(const http::request& aRequest)
 {
   const bool isList = aRequest.mPath == "/v1/objects";
   const bool isWatch = aRequest.mPath == "/v1/watch";
   {
     std::lock_guard lock(mMutex);
     const auto caller = http::HeaderOr(aRequest.mHeaders, "X-Caller", "");
-    if ((!isList && !isWatch) || mFaults.mOldCopyCallers.count(caller) == 0) {
+    if ((!isList && !isWatch) || mFaults.mSnapshotCallers.count(caller) == 0) {
       return std::nullopt;
     }
     ++mCalls["old_copy"];
   }
-  auto [revision, items] = mStore.ListOldCopy();
+  auto [revision, items] = mStore.ListSnapshot();
   json::value body;
   body.Set("revision", revision);
   if (isList) {
@@ -140,26 +140,25 @@
 }
 
 http::response
-platform::AnswerWrite(const store_outcome& aOutcome,
-                      const std::string& aKind,
-                      const std::string& aName)
+platform::RespondToWrite(const write_result& aResult,
+                         const std::string& aKind,
+                         const std::string& aName)
 {
   json::value body;
-  if (!aOutcome.mIsDone) {
+  if (!aResult.mIsApplied) {
     body.Set("current",
-             aOutcome.mCurrent
-               ? DescribeObject(aKind, aName, *aOutcome.mCurrent)
-               : json::value());
+             aResult.mCurrent ? ToJson(aKind, aName, *aResult.mCurrent)
+                              : json::value());
     return JsonResponse(409, body);
   }
   {
     std::lock_guard lock(mMutex);
-    if (mFaults.mLostAnswers > 0) {
-      --mFaults.mLostAnswers;
+    if (mFaults.mLostResponses > 0) {
+      --mFaults.mLostResponses;
       return Failure(500, "answer_lost");
     }
   }
-  body.Set("revision", aOutcome.mRevision);
+  body.Set("revision", aResult.mRevision);
   return JsonResponse(200, body);
 }
 
@@ -178,10 +177,9 @@
               "/v1/objects/*/*",
               [this](const http::request&, const http::path_parts& aParts) {
                 const auto found = mStore.Read(aParts[0], aParts[1]);
-                return found
-                         ? JsonResponse(
-                             200, DescribeObject(aParts[0], aParts[1], *found))
-                         : Failure(404, "absent");
+                return found ? JsonResponse(
+                                 200, ToJson(aParts[0], aParts[1], *found))
+                             : Failure(404, "absent");
               });
   mRouter.Add(
     "PUT",
@@ -194,7 +192,7 @@
       if (aRequest.mBody.size() > (1u << 20)) {
         return Failure(413, "value_too_large");
       }
-      return AnswerWrite(
+      return RespondToWrite(
         mStore.Write(
           aParts[0], aParts[1], QueryInteger(aRequest, "expected", -1), *body),
         aParts[0],
@@ -204,11 +202,11 @@
     "DELETE",
     "/v1/objects/*/*",
     [this](const http::request& aRequest, const http::path_parts& aParts) {
-      return AnswerWrite(mStore.Delete(aParts[0],
-                                       aParts[1],
-                                       QueryInteger(aRequest, "expected", -1)),
-                         aParts[0],
-                         aParts[1]);
+      return RespondToWrite(
+        mStore.Delete(
+          aParts[0], aParts[1], QueryInteger(aRequest, "expected", -1)),
+        aParts[0],
+        aParts[1]);
     });
   mRouter.Add(
     "GET", "/v1/watch", [this](const http::request& aRequest, const auto&) {
@@ -236,13 +234,13 @@
     "POST",
     "/v1/zones/*/orders",
     [this](const http::request& aRequest, const http::path_parts& aParts) {
-      return TakeOrder(aRequest, aParts[0]);
+      return HandleOrder(aRequest, aParts[0]);
     });
   mRouter.Add(
     "POST",
     "/v1/usage/*",
     [this](const http::request& aRequest, const http::path_parts& aParts) {
-      return TakeUsage(aRequest, aParts[0]);
+      return HandleUsage(aRequest, aParts[0]);
     });
   mRouter.Add(
     "GET",
@@ -264,24 +262,24 @@
 }
 
 void
-platform::WaitAsSlowOrder()
+platform::ApplyOrderDelay()
 {
-  std::chrono::milliseconds slowness{ 0 };
+  std::chrono::milliseconds delay{ 0 };
   {
     std::lock_guard lock(mMutex);
-    slowness = mFaults.mOrderSlowness;
+    delay = mFaults.mOrderDelay;
   }
-  std::this_thread::sleep_for(slowness);
+  std::this_thread::sleep_for(delay);
 }
 
 http::response
-platform::TakeOrder(const http::request& aRequest, const std::string& aZone)
+platform::HandleOrder(const http::request& aRequest, const std::string& aZone)
 {
   auto body = json::Parse(aRequest.mBody);
   if (!body) {
     return Failure(400, body.mLastReason);
   }
-  WaitAsSlowOrder();
+  ApplyOrderDelay();
   const auto fencing = json::IntegerAt(*body, "fencing", 0);
   const auto lease = LeaseOf("zone-" + aZone);
   bool isLost = false;
@@ -295,8 +293,8 @@
     highest = std::max(highest, fencing);
     const auto id = json::StringAt(*body, "id", "");
     isRepeated = !id.empty() && !mOrderIds.insert(id).second;
-    if (mFaults.mLostAnswers > 0) {
-      --mFaults.mLostAnswers;
+    if (mFaults.mLostResponses > 0) {
+      --mFaults.mLostResponses;
       isLost = true;
     }
   }
@@ -308,24 +306,24 @@
 }
 
 http::response
-platform::TakeUsage(const http::request& aRequest, const std::string& aWindow)
+platform::HandleUsage(const http::request& aRequest, const std::string& aWindow)
 {
   auto body = json::Parse(aRequest.mBody);
   if (!body) {
     return Failure(400, body.mLastReason);
   }
-  WaitAsSlowOrder();
+  ApplyOrderDelay();
   body->Set("window", aWindow);
   body->Set("lease", LeaseOf("usage"));
   Record("usage", aRequest, *body);
   std::lock_guard lock(mMutex);
   mUsage[aWindow] = *body;
-  if (mFaults.mLostUsageAnswers > 0) {
-    --mFaults.mLostUsageAnswers;
+  if (mFaults.mLostUsageResponses > 0) {
+    --mFaults.mLostUsageResponses;
     return Failure(500, "answer_lost");
   }
-  if (mFaults.mLostAnswers > 0) {
-    --mFaults.mLostAnswers;
+  if (mFaults.mLostResponses > 0) {
+    --mFaults.mLostResponses;
     return Failure(500, "answer_lost");
   }
   return JsonResponse(200, *body);
@@ -369,23 +367,24 @@
     return Failure(400, body.mLastReason);
   }
   std::lock_guard lock(mMutex);
-  mFaults.mIsDown = json::BooleanAt(*body, "down", mFaults.mIsDown);
-  mFaults.mSlowness = std::chrono::milliseconds(
-    json::IntegerAt(*body, "slow_ms", mFaults.mSlowness.count()));
-  mFaults.mOrderSlowness = std::chrono::milliseconds(
-    json::IntegerAt(*body, "slow_orders_ms", mFaults.mOrderSlowness.count()));
-  mFaults.mLostAnswers = static_cast<int>(
-    json::IntegerAt(*body, "lose_answers", mFaults.mLostAnswers));
-  mFaults.mLostUsageAnswers = static_cast<int>(
-    json::IntegerAt(*body, "lose_usage_answers", mFaults.mLostUsageAnswers));
+  mFaults.mIsUnavailable =
+    json::BooleanAt(*body, "down", mFaults.mIsUnavailable);
+  mFaults.mResponseDelay = std::chrono::milliseconds(
+    json::IntegerAt(*body, "slow_ms", mFaults.mResponseDelay.count()));
+  mFaults.mOrderDelay = std::chrono::milliseconds(
+    json::IntegerAt(*body, "slow_orders_ms", mFaults.mOrderDelay.count()));
+  mFaults.mLostResponses = static_cast<int>(
+    json::IntegerAt(*body, "lose_answers", mFaults.mLostResponses));
+  mFaults.mLostUsageResponses = static_cast<int>(
+    json::IntegerAt(*body, "lose_usage_answers", mFaults.mLostUsageResponses));
   mFaults.mIgnoresFencing =
     json::BooleanAt(*body, "ignore_fencing", mFaults.mIgnoresFencing);
   mFaults.mListLag = std::chrono::milliseconds(
     json::IntegerAt(*body, "list_lag_ms", mFaults.mListLag.count()));
-  TakeNames(*body, "cut", mFaults.mCutCallers);
+  ReplaceNames(*body, "cut", mFaults.mUnresponsiveCallers);
   if (body->Find("old_copy_for")) {
-    mStore.KeepOldCopy();
-    TakeNames(*body, "old_copy_for", mFaults.mOldCopyCallers);
+    mStore.SaveSnapshot();
+    ReplaceNames(*body, "old_copy_for", mFaults.mSnapshotCallers);
   }
   return JsonResponse(200, json::object{});
 }
--- a/StandIns/Platform/Platform.h
+++ b/StandIns/Platform/Platform.h
@@ -14,42 +14,43 @@
 /** Faults that a test or experiment switches on with POST /control/faults. */
 struct platform_faults
 {
-  /** Every call is answered with 503 at once. */
-  bool mIsDown = false;
-  /** Every call is answered this much later. */
-  std::chrono::milliseconds mSlowness{ 0 };
-  /** That many writes take effect and answer 500. */
-  int mLostAnswers = 0;
-  /** That many usage reports are taken and answered 500; kept apart, so that
-   * other writes don't use them up. */
-  int mLostUsageAnswers = 0;
-  /** Callers that get no answer. */
-  std::set<std::string> mCutCallers;
-  /** Zone orders and usage reports are taken up this much after their bytes
-   * came. */
-  std::chrono::milliseconds mOrderSlowness{ 0 };
-  /** Callers whose lists and watches show the state at the time of the order.
+  /** Every call fails at once with status 503. */
+  bool mIsUnavailable = false;
+  /** Delay before every call is handled. */
+  std::chrono::milliseconds mResponseDelay{ 0 };
+  /** Number of following writes that take effect but return status 500. */
+  int mLostResponses = 0;
+  /** Number of following usage reports that are stored but return status 500.
+   * Counted separately, so that other writes don't use them up. */
+  int mLostUsageResponses = 0;
+  /** Callers that get no response before their timeout. */
+  std::set<std::string> mUnresponsiveCallers;
+  /** Delay between the receipt of a zone order or usage report and its
+   * handling. */
+  std::chrono::milliseconds mOrderDelay{ 0 };
+  /** Callers whose lists and watches show the state at the time when this fault
+   * was set.
    */
-  std::set<std::string> mOldCopyCallers;
-  /** Zone orders with old fencing numbers are carried out. */
+  std::set<std::string> mSnapshotCallers;
+  /** Zone orders with outdated fencing numbers are accepted. */
   bool mIgnoresFencing = false;
-  /** The instance list shows changes that much later. */
+  /** Delay until the instance list shows a change. */
   std::chrono::milliseconds mListLag{ 0 };
 };
 
-/** What the platform received on its order, usage and weight interfaces. */
+/** A request received on the order, usage or weight interface. */
 struct platform_log_line
 {
   std::int64_t mSequence = 0;
   std::string mInterface;
   std::string mCaller;
   json::value mDetail;
-  /** CLOCK_BOOTTIME. */
+  /** Time of receipt by CLOCK_BOOTTIME. */
   std::chrono::milliseconds mArrivedAt{ 0 };
 };
 
-/** The whole platform: objects, instance list, zone orders, usage intake and
- * weight store, with an account of all that it received. */
+/** Simulates the platform: object store, instance list, zone orders, usage
+ * reports and weight store. Records the requests that it received. */
 class platform
 {
 public:
@@ -67,20 +68,20 @@
   void AddObjectRoutes();
   void AddInterfaceRoutes();
   void AddControlRoutes();
-  void Keep(const http::request& aRequest);
+  void RecordReceivedBytes(const http::request& aRequest);
   std::optional<http::response> ApplyFaults(const http::request& aRequest);
-  std::optional<http::response> AnswerFromOldCopy(
+  std::optional<http::response> RespondFromSnapshot(
     const http::request& aRequest);
-  http::response AnswerWrite(const store_outcome& aOutcome,
-                             const std::string& aKind,
-                             const std::string& aName);
-  http::response TakeOrder(const http::request& aRequest,
-                           const std::string& aZone);
-  /** Lease that the store holds for the orders of a zone. */
+  http::response RespondToWrite(const write_result& aResult,
+                                const std::string& aKind,
+                                const std::string& aName);
+  http::response HandleOrder(const http::request& aRequest,
+                             const std::string& aZone);
+  /** Returns the stored lease of that name, or null. */
   json::value LeaseOf(const std::string& aName) const;
-  void WaitAsSlowOrder();
-  http::response TakeUsage(const http::request& aRequest,
-                           const std::string& aWindow);
+  void ApplyOrderDelay();
+  http::response HandleUsage(const http::request& aRequest,
+                             const std::string& aWindow);
   http::response SetFaults(const http::request& aRequest);
   json::value VisibleInstances();
   void Record(const std::string& aInterface,
@@ -97,7 +98,7 @@
   std::set<std::string> mOrderIds;
   std::map<std::string, json::value> mUsage;
   std::map<std::string, std::int64_t> mCalls;
-  /** Bytes of all requests but control ones, up to a limit. */
+  /** Bytes of all requests except control requests, up to a limit. */
   std::string mReceived;
 };
 
