--- a/Duties/Feed/StoreFeed.cpp
+++ b/Duties/Feed/StoreFeed.cpp
@@ -295,7 +295,7 @@
   const auto feed = isComplete && aResponse.mStatus == 200
                       ? DecodeFeed(aResponse.mBody)
                       : std::nullopt;
-  std::string reason = isComplete ? "rejected" : "no response";
+  std::string reason = isComplete ? "refused" : "no response";
   if (feed) {
     // The duration of the transfer isn't known, so the response is assumed to
     // have been sent at the earliest possible time.
