--- a/Tests/Site/TestForwarding.cpp
+++ b/Tests/Site/TestForwarding.cpp
@@ -78,9 +78,9 @@
 // second server after the connection to the first one broke.
 BOOST_AUTO_TEST_CASE(ABrokenResponseIsRetriedOnlyWhenIdempotent)
 {
-  for (const auto retry_policy :
+  for (const auto retryPolicy :
        { site::retry_policy::AtMostOnce, site::retry_policy::Idempotent }) {
-    forwarding_site site(retry_policy);
+    forwarding_site site(retryPolicy);
     plain_server first(site.mLoop);
     plain_server second(site.mLoop);
     const auto breaks = [](const auto& aExchange) { aExchange->Abort(); };
@@ -88,7 +88,7 @@
     site.Add("s1", first);
     site.Add("s2", second);
     const auto result = site.Send();
-    const bool isOnce = retry_policy == site::retry_policy::AtMostOnce;
+    const bool isOnce = retryPolicy == site::retry_policy::AtMostOnce;
     BOOST_TEST(first.mRequests + second.mRequests == (isOnce ? 1 : 2));
     BOOST_TEST(result.mAnswer.mStatus == 502u);
     // Billed once, however many attempts were made.
