--- a/Duties/Versions/GiverClaim.cpp
+++ b/Duties/Versions/GiverClaim.cpp
@@ -14,9 +14,9 @@
 /** Each claim contains a new random name, because a PUT that changes nothing
  * creates no new revision. */
 std::string
-EncodeClaim(const std::string& aGiver, bool aIsTakenOver)
+EncodeClaim(const std::string& aController, bool aIsTakenOver)
 {
-  return json::Write(json::object{ { "giver", aGiver },
+  return json::Write(json::object{ { "giver", aController },
                                    { "takenOver", aIsTakenOver },
                                    { "claim", MakeRandomName() } });
 }
@@ -80,18 +80,18 @@
 void
 ClaimServer(const objects::object_store& aStore,
             const std::string& aClaimName,
-            const std::string& aGiver,
+            const std::string& aController,
             claim_done aDone)
 {
   aStore.mCreate(
     kControllerKind,
     aClaimName,
-    EncodeClaim(aGiver, false),
-    [&aStore, aClaimName, aGiver, done = std::move(aDone)](
+    EncodeClaim(aController, false),
+    [&aStore, aClaimName, aController, done = std::move(aDone)](
       const objects::object_reply& aReply) {
       if (aReply.mOutcome == store_outcome::Conflict) {
         ClaimIfUnchanged(
-          aStore, aClaimName, DecodeClaim(aReply.mObject), aGiver, done);
+          aStore, aClaimName, DecodeClaim(aReply.mObject), aController, done);
       } else if (aReply.mOutcome == store_outcome::Done) {
         done(GrantOf(aReply.mObject));
       } else {
@@ -104,7 +104,7 @@
 ClaimIfUnchanged(const objects::object_store& aStore,
                  const std::string& aClaimName,
                  const controller_claim& aSeen,
-                 const std::string& aGiver,
+                 const std::string& aController,
                  claim_done aDone)
 {
   const auto take = [done =
@@ -115,16 +115,17 @@
   };
   if (aSeen.mEpoch == 0) {
     aStore.mCreate(
-      kControllerKind, aClaimName, EncodeClaim(aGiver, false), take);
+      kControllerKind, aClaimName, EncodeClaim(aController, false), take);
     return;
   }
   // A controller that restarts and claims again may still have to wait for the
   // last order of the controller before it.
-  const bool isTakenOver = aSeen.mIsTakenOver || aSeen.mController != aGiver;
+  const bool isTakenOver =
+    aSeen.mIsTakenOver || aSeen.mController != aController;
   aStore.mReplace(kControllerKind,
                   aClaimName,
                   aSeen.mEpoch,
-                  EncodeClaim(aGiver, isTakenOver),
+                  EncodeClaim(aController, isTakenOver),
                   take);
 }
 
--- a/Duties/Versions/GiverClaim.h
+++ b/Duties/Versions/GiverClaim.h
@@ -71,7 +71,7 @@
 void
 ClaimServer(const objects::object_store& aStore,
             const std::string& aClaimName,
-            const std::string& aGiver,
+            const std::string& aController,
             claim_done aDone);
 
 /** Claims a server if its claim is still the one that was seen.
@@ -80,7 +80,7 @@
 ClaimIfUnchanged(const objects::object_store& aStore,
                  const std::string& aClaimName,
                  const controller_claim& aSeen,
-                 const std::string& aGiver,
+                 const std::string& aController,
                  claim_done aDone);
 
 } // namespace lavender::versions
